--- a/internal/experience/board.go
+++ b/internal/experience/board.go
@@ -6,45 +6,46 @@
 )
 
 const (
-	// judgeEvery is the time between two judgements of a group.
-	judgeEvery = 100 * time.Millisecond
-	// verdictLasts is for how long a verdict counts at a node that hears no other.
-	verdictLasts = time.Second
-	// tellClear is for how long nodes are told that nothing speaks against a worker any more.
-	tellClear = 3 * time.Second
-	// forgetAfter is how long after the last word of it a node or a worker is forgotten.
-	forgetAfter = 10 * time.Second
-	// mostWorkers and mostNodes bound what a board holds: workers, and nodes that speak of each.
-	mostWorkers = 2048
-	mostNodes   = 256
+	// evaluationInterval is the minimum time between two evaluations of an unchanged group.
+	evaluationInterval = 100 * time.Millisecond
+	// minVerdictDuration is the minimum duration of an ejection verdict, for nodes that receive no
+	// later one.
+	minVerdictDuration = time.Second
+	// clearNoticeDuration is how long clear verdicts are sent after the last restrictive one.
+	clearNoticeDuration = 3 * time.Second
+	// stateTTL is how long the state of a node or worker is kept after its last report.
+	stateTTL = 10 * time.Second
+	// maxWorkers and maxNodes bound a board: workers, and reporting nodes per worker.
+	maxWorkers = 2048
+	maxNodes   = 256
 )
 
-// Reason is why a worker's state changed.
+// Reason is why a worker was ejected or readmitted. Its values are metric labels.
 type Reason string
 
-// The reasons.
+// Reasons for a Change.
 const (
-	Failing Reason = "failing" // clearly more than its fellows: ejected
-	Tried   Reason = "tried"   // its trial failed: ejected for longer
-	Sound   Reason = "sound"   // its trials went well: back
-	Needed  Reason = "needed"  // its fellows cannot bear the load without it: back
-	Untried Reason = "untried" // nobody has tried it: back
+	Failing Reason = "failing" // ejected: it fails clearly more requests than the others of its group
+	Tried   Reason = "tried"   // ejected for longer: a trial failed
+	Sound   Reason = "sound"   // readmitted: its trials succeeded
+	Needed  Reason = "needed"  // readmitted: the other workers lack capacity for the load
+	Untried Reason = "untried" // readmitted: no node reported a trial
 )
 
-// Change is a decision about a worker, for the log.
+// Change is a decision about a worker, for logs and metrics.
 type Change struct {
-	Worker string
-	Out    bool // it gets no requests but trials from now on
+	Worker string // its key
+	Out    bool   // whether the worker is ejected
 	Reason Reason
-	Share  float64       // of its requests that failed
-	Weight float64       // requests by which that is known
-	Nodes  int           // that have seen failures
-	Wait   time.Duration // until its next trial, if it is out
-	Lasted time.Duration // since it was ejected
-	Busy   float64       // share of the group's places that were taken
+	Share  float64       // the worker's failure rate, from 0 to 1
+	Weight float64       // decayed number of requests behind the decision
+	Nodes  int           // number of nodes that saw failures
+	Wait   time.Duration // until the next trial, if Out
+	Lasted time.Duration // since the ejection
+	Busy   float64       // utilization of the group's capacity; above 1 if requests are queued
 }
 
-// Event names the decision.
+// Event returns the name of the decision, for log messages and metric labels.
 func (c Change) Event() string {
 	switch {
 	case !c.Out:
@@ -56,38 +57,38 @@
 	}
 }
 
-// Board merges the experience of all nodes with the workers of one group. It takes one caller at a
-// time.
+// Board merges the reports of all nodes about the workers of one group and decides which workers
+// are ejected. It is not safe for concurrent use.
 type Board struct {
-	onChange func(Change)
-	workers  map[string]*worker // by key
-	trust    map[string]float64 // in nodes that are not believed wholly
-	busy     float64            // share of the group's places that are taken
-	group    []string           // that was judged last
-	judged   time.Time
-	swept    time.Time
+	onChange    func(Change)
+	workers     map[string]*worker // by key
+	trust       map[string]float64 // by node, 0 to 1; nodes that are fully trusted are absent
+	utilization float64            // of the group's capacity
+	lastGroup   []string           // worker keys of the last evaluation
+	evaluatedAt time.Time
+	sweptAt     time.Time
 }
 
-// worker is what is known of one incarnation of a worker.
+// worker is the state of one incarnation of a worker.
 type worker struct {
-	key       string
-	cells     map[string]*cell // by node
-	recent    tally
-	newest    time.Time
-	charged   charge
-	step      float64 // time of a token; 0: unknown
-	slow      float64
-	pacedAt   time.Time // when its pace was last known
-	nextPaced time.Time // when it may next be tried for being slow
-	cost      time.Duration
-	doubted   bool // failures were told since it last was beyond doubt
-	ejection  *ejection
-	lastWait  time.Duration // of the last ejection
-	back      time.Time     // when that ended
-	spoken    time.Time     // when something last spoke against it
+	key           string
+	byNode        map[string]*nodeStats // reports by node
+	recent        decayingCounts        // requests outside ejections, weighted by trust
+	lastReport    time.Time
+	evidence      evidence  // as of the last evaluation
+	tokenTime     float64   // median over nodes in nanoseconds; 0: unknown
+	slowdown      float64   // relative to the group's median; 0: not slow
+	tokenTimeAt   time.Time // when tokenTime was last known
+	nextSlowTrial time.Time // earliest time of the next trial of a slow worker
+	cost          time.Duration
+	suspected     bool // failures were reported and the suspicion has not been cleared
+	ejection      *ejection
+	lastDelay     time.Duration // trial delay of the last ejection
+	readmittedAt  time.Time     // end of the last ejection
+	lastAdverse   time.Time     // when the last restrictive verdict was returned
 }
 
-// New returns an empty board. onChange is told each decision; it may be nil.
+// New returns an empty board. onChange is called for each decision; nil ignores them.
 func New(onChange func(Change)) *Board {
 	if onChange == nil {
 		onChange = func(Change) {}
@@ -95,166 +96,167 @@
 	return &Board{onChange: onChange, workers: map[string]*worker{}, trust: map[string]float64{}}
 }
 
-// SetBusy tells which share of the places of the group's workers is taken; above 1 if requests wait.
-// Without it the load is taken to be nothing.
-func (b *Board) SetBusy(share float64) { b.busy = share }
+// SetBusy sets the utilization of the group's capacity; above 1 if requests are queued. It is 0
+// until set, which never prevents an ejection.
+func (b *Board) SetBusy(share float64) { b.utilization = share }
 
-// Add takes in what a node has seen since it told last.
+// Add merges a node's report. Invalid samples are ignored.
 func (b *Board) Add(from string, samples []Sample, now time.Time) {
 	trust := b.trustIn(from)
 	for _, sample := range samples {
-		if known := b.worker(sample.Worker); known != nil && valid(sample) {
-			b.take(known, from, sample, trust, now)
+		if w := b.findOrAddWorker(sample.Worker); w != nil && valid(sample) {
+			b.addSample(w, from, sample, trust, now)
 		}
 	}
 	b.sweep(now)
 }
 
-// valid reports whether a sample can be: it comes from another process.
+// valid reports whether a sample's counts are consistent. Samples come from other processes.
 func valid(sample Sample) bool {
 	return sample.Failures >= 0 && sample.Requests >= sample.Failures && sample.Silences >= 0 &&
 		sample.Paced >= 0 && sample.Pace >= 0
 }
 
-func (b *Board) worker(key string) *worker {
-	known, ok := b.workers[key]
-	if !ok && len(b.workers) < mostWorkers {
-		known = &worker{key: key, cells: map[string]*cell{}}
-		b.workers[key] = known
+// findOrAddWorker returns the state of a worker, or nil if the board is full.
+func (b *Board) findOrAddWorker(key string) *worker {
+	w, ok := b.workers[key]
+	if !ok && len(b.workers) < maxWorkers {
+		w = &worker{key: key, byNode: map[string]*nodeStats{}}
+		b.workers[key] = w
 	}
-	return known
+	return w
 }
 
-func (b *Board) take(known *worker, from string, sample Sample, trust float64, now time.Time) {
+func (b *Board) addSample(w *worker, from string, sample Sample, trust float64, now time.Time) {
 	requests, failures, silences := float64(sample.Requests), float64(sample.Failures), float64(sample.Silences)
-	known.newest = now
-	told, ok := known.cells[from]
+	w.lastReport = now
+	stats, ok := w.byNode[from]
 	if !ok {
-		if len(known.cells) >= mostNodes {
+		if len(w.byNode) >= maxNodes {
 			return
 		}
-		told = &cell{}
-		known.cells[from] = told
+		stats = &nodeStats{}
+		w.byNode[from] = stats
 	}
-	told.newest = now
-	told.spread.add(requests, failures, silences, 1, now, spreadHalfLife)
+	stats.lastReport = now
+	stats.spread.add(requests, failures, silences, 1, now, spreadHalfLife)
 	if sample.Paced > 0 && sample.Pace > 0 {
-		told.pace.add(sample.Pace, float64(sample.Paced), now)
+		stats.pace.add(sample.Pace, float64(sample.Paced), now)
 	}
-	if known.ejection == nil {
-		known.recent.add(requests, failures, silences, trust, now, recentHalfLife)
-		known.doubted = known.doubted || failures > 0
-		if known.doubted {
-			told.open.add(requests, failures, silences, 1, now, caseHalfLife)
+	if w.ejection == nil {
+		w.recent.add(requests, failures, silences, trust, now, recentHalfLife)
+		w.suspected = w.suspected || failures > 0
+		if w.suspected {
+			stats.suspicion.add(requests, failures, silences, 1, now, suspicionHalfLife)
 		}
 		return
 	}
-	if trust >= believed {
-		b.tried(known, sample, now)
+	if trust >= minTrialTrust {
+		b.addTrialOutcome(w, sample, now)
 	}
 }
 
-// tried takes in the outcome of trials of an ejected worker.
-func (b *Board) tried(known *worker, sample Sample, now time.Time) {
-	before := known.ejection.wait
-	if known.ejection.outcome(sample.Requests, sample.Failures, now) {
-		b.readmit(known, Sound, now)
+// addTrialOutcome processes the outcomes of an ejected worker's trials.
+func (b *Board) addTrialOutcome(w *worker, sample Sample, now time.Time) {
+	before := w.ejection.delay
+	if w.ejection.recordOutcome(sample.Requests, sample.Failures, now) {
+		b.readmit(w, Sound, now)
 		return
 	}
-	if known.ejection.wait != before {
-		b.tell(known, true, Tried, now)
+	if w.ejection.delay != before {
+		b.notify(w, true, Tried, now)
 	}
 }
 
-func (b *Board) eject(found charge, now time.Time) {
-	known := found.worker
-	known.ejection = newEjection(found.share, waitAfter(known.lastWait, known.back, now), now)
-	known.lastWait = known.ejection.wait
-	b.tell(known, true, Failing, now)
+func (b *Board) eject(candidate evidence, now time.Time) {
+	w := candidate.worker
+	w.ejection = newEjection(candidate.failureRate, delayAfter(w.lastDelay, w.readmittedAt, now), now)
+	w.lastDelay = w.ejection.delay
+	b.notify(w, true, Failing, now)
 }
 
-func (b *Board) readmit(known *worker, reason Reason, now time.Time) {
-	b.tell(known, false, reason, now)
-	known.lastWait = known.ejection.wait
-	known.ejection = nil
-	known.back = now
-	known.recent = tally{}
-	known.dismiss()
+func (b *Board) readmit(w *worker, reason Reason, now time.Time) {
+	b.notify(w, false, reason, now)
+	w.lastDelay = w.ejection.delay
+	w.ejection = nil
+	w.readmittedAt = now
+	w.recent = decayingCounts{}
+	w.clearSuspicion()
 }
 
-func (b *Board) tell(known *worker, out bool, reason Reason, now time.Time) {
+func (b *Board) notify(w *worker, ejected bool, reason Reason, now time.Time) {
 	b.onChange(Change{
-		Worker: known.key, Out: out, Reason: reason, Share: known.ejection.share,
-		Weight: known.charged.weight, Nodes: known.charged.nodes, Wait: known.ejection.wait,
-		Lasted: now.Sub(known.ejection.since), Busy: b.busy,
+		Worker: w.key, Out: ejected, Reason: reason, Share: w.ejection.failureRate,
+		Weight: w.evidence.weight, Nodes: w.evidence.nodes, Wait: w.ejection.delay,
+		Lasted: now.Sub(w.ejection.since), Busy: b.utilization,
 	})
 }
 
-// Verdicts is what the answer to one node says of a group's workers: those that something speaks
-// against, and those of which that has ended a moment ago. A trial is handed out once, so each
-// call must be for one answer.
+// Verdicts returns the verdicts on a group's workers for one node: the restrictive ones, and for
+// clearNoticeDuration afterwards the clear ones. Each trial is offered to a single caller, so the
+// result must be sent to one node only.
 func (b *Board) Verdicts(workers []string, now time.Time) []Verdict {
-	b.judgeIfDue(workers, now)
+	b.evaluateIfDue(workers, now)
 	var verdicts []Verdict
 	for _, key := range workers {
-		known, ok := b.workers[key]
+		w, ok := b.workers[key]
 		if !ok {
 			continue
 		}
-		verdict := known.verdict(now)
+		verdict := w.verdict(now)
 		if !verdict.Clear() {
-			known.spoken = now
+			w.lastAdverse = now
 		}
-		if !known.spoken.IsZero() && now.Sub(known.spoken) < tellClear {
+		if !w.lastAdverse.IsZero() && now.Sub(w.lastAdverse) < clearNoticeDuration {
 			verdicts = append(verdicts, verdict)
 		}
 	}
 	return verdicts
 }
 
-func (b *Board) judgeIfDue(workers []string, now time.Time) {
-	if now.Sub(b.judged) >= judgeEvery || !slices.Equal(workers, b.group) {
-		b.judge(workers, now)
+func (b *Board) evaluateIfDue(workers []string, now time.Time) {
+	if now.Sub(b.evaluatedAt) >= evaluationInterval || !slices.Equal(workers, b.lastGroup) {
+		b.evaluate(workers, now)
 	}
 }
 
-func (b *Board) judge(workers []string, now time.Time) {
-	b.judged, b.group = now, slices.Clone(workers)
-	known := make([]*worker, 0, len(workers))
+func (b *Board) evaluate(workers []string, now time.Time) {
+	b.evaluatedAt, b.lastGroup = now, slices.Clone(workers)
+	members := make([]*worker, 0, len(workers))
 	for _, key := range workers {
-		if member := b.worker(key); member != nil {
-			known = append(known, member)
+		if member := b.findOrAddWorker(key); member != nil {
+			members = append(members, member)
 		}
 	}
-	b.judgeNodes(known, now)
-	b.judgeFailures(known, now)
-	b.judgePaces(known, now)
+	b.updateTrust(members, now)
+	b.evaluateFailures(members, now)
+	b.evaluateTokenTimes(members, now)
 }
 
 func (w *worker) verdict(now time.Time) Verdict {
-	verdict := Verdict{Worker: w.key, Slow: w.slow, Cost: w.cost}
+	verdict := Verdict{Worker: w.key, Slow: w.slowdown, Cost: w.cost}
 	if w.ejection == nil {
-		verdict.Trial = w.tryPace(now)
+		verdict.Trial = w.offerSlowTrial(now)
 		return verdict
 	}
-	verdict.Until = max(w.ejection.next.Sub(now), verdictLasts)
-	verdict.Trial = w.ejection.hand(now)
+	verdict.Until = max(w.ejection.nextTrial.Sub(now), minVerdictDuration)
+	verdict.Trial = w.ejection.offerTrial(now)
 	return verdict
 }
 
-// sweep forgets nodes and workers that nobody has spoken of for long.
+// sweep removes the state of nodes and workers without recent reports.
 func (b *Board) sweep(now time.Time) {
-	if now.Sub(b.swept) < forgetAfter/4 {
+	if now.Sub(b.sweptAt) < stateTTL/4 {
 		return
 	}
-	b.swept = now
-	for key, known := range b.workers {
-		for node, told := range known.cells {
-			if now.Sub(told.newest) > forgetAfter {
-				delete(known.cells, node)
+	b.sweptAt = now
+	for key, w := range b.workers {
+		for node, stats := range w.byNode {
+			if now.Sub(stats.lastReport) > stateTTL {
+				delete(w.byNode, node)
 			}
 		}
-		if known.ejection == nil && now.Sub(known.newest) > forgetAfter {
+		if w.ejection == nil && now.Sub(w.lastReport) > stateTTL {
 			delete(b.workers, key)
 		}
 	}
--- a/internal/experience/board_test.go
+++ b/internal/experience/board_test.go
@@ -10,14 +10,14 @@
 	"pgregory.net/rapid"
 )
 
-var begun = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// ended tells of requests to a worker.
-func ended(worker, requests, failures int) Sample {
+// sampleOf returns a sample of requests to a worker.
+func sampleOf(worker, requests, failures int) Sample {
 	return Sample{Worker: key(worker), Requests: requests, Failures: failures}
 }
 
-// group is a board of which every node tells that each worker answers, and some fail.
+// group is a board with the workers it covers, its clock and the changes it reported.
 type group struct {
 	board   *Board
 	workers []string
@@ -26,25 +26,25 @@
 }
 
 func newGroup(workers int) *group {
-	g := &group{workers: slices.Clone(names[:workers]), now: begun}
+	g := &group{workers: slices.Clone(names[:workers]), now: startTime}
 	g.board = New(func(change Change) { g.changes = append(g.changes, change) })
 	return g
 }
 
-// tell lets nodes tell of ten requests to each worker, of which a share failed at some workers.
-func (g *group) tell(nodes int, failures func(worker int) int) {
-	g.now = g.now.Add(judgeEvery)
+// report adds a report of each node: ten requests to each worker, some of which failed.
+func (g *group) report(nodes int, failures func(worker int) int) {
+	g.now = g.now.Add(evaluationInterval)
 	for node := range nodes {
 		var samples []Sample
 		for worker := range g.workers {
-			samples = append(samples, ended(worker, 10, failures(worker)))
+			samples = append(samples, sampleOf(worker, 10, failures(worker)))
 		}
 		g.board.Add(fmt.Sprint("n", node), samples, g.now)
 	}
 	g.board.Verdicts(g.workers, g.now)
 }
 
-func (g *group) out() (out []string) {
+func (g *group) ejected() (out []string) {
 	for _, verdict := range g.board.Verdicts(g.workers, g.now) {
 		if verdict.Until > 0 {
 			out = append(out, verdict.Worker)
@@ -53,8 +53,8 @@
 	return out
 }
 
-// only makes some workers fail a number of ten requests.
-func only(bad, failures int) func(int) int {
+// failFirst makes the first bad workers fail that many of ten requests.
+func failFirst(bad, failures int) func(int) int {
 	return func(worker int) int {
 		if worker < bad {
 			return failures
@@ -63,94 +63,96 @@
 	}
 }
 
+// Guards against ejecting more workers than the limit or the load
+// permits.
 func TestEjectedWorkersAreBounded(t *testing.T) {
 	for name, test := range map[string]struct {
 		workers, bad, failures int
 		busy                   float64
 		out                    int
 	}{
-		"one of many":                     {workers: 10, bad: 1, failures: 6, out: 1},
-		"no more than a share":            {workers: 10, bad: 4, failures: 6, out: 3},
-		"none where most fail":            {workers: 10, bad: 8, failures: 6, out: 0},
-		"one of two":                      {workers: 2, bad: 1, failures: 6, out: 1},
-		"never the only one":              {workers: 1, bad: 1, failures: 10, out: 0},
-		"none while all are needed":       {workers: 10, bad: 1, failures: 6, busy: 0.9, out: 0},
-		"but one that serves nothing":     {workers: 10, bad: 1, failures: 10, busy: 0.8, out: 1},
-		"as many as are not needed":       {workers: 10, bad: 3, failures: 6, busy: 0.72, out: 2},
-		"all that may, with room to rest": {workers: 10, bad: 3, failures: 6, busy: 0.5, out: 3},
+		"one of many":                   {workers: 10, bad: 1, failures: 6, out: 1},
+		"at most the limit":             {workers: 10, bad: 4, failures: 6, out: 3},
+		"none if most fail":             {workers: 10, bad: 8, failures: 6, out: 0},
+		"one of two":                    {workers: 2, bad: 1, failures: 6, out: 1},
+		"never the only worker":         {workers: 1, bad: 1, failures: 10, out: 0},
+		"none at high load":             {workers: 10, bad: 1, failures: 6, busy: 0.9, out: 0},
+		"useless worker at high load":   {workers: 10, bad: 1, failures: 10, busy: 0.8, out: 1},
+		"only as many as can be spared": {workers: 10, bad: 3, failures: 6, busy: 0.72, out: 2},
+		"up to the limit at low load":   {workers: 10, bad: 3, failures: 6, busy: 0.5, out: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGroup(test.workers)
 			g.board.SetBusy(test.busy)
 			for range 5 {
-				g.tell(3, only(test.bad, test.failures))
+				g.report(3, failFirst(test.bad, test.failures))
 			}
-			require.Len(t, g.out(), test.out)
+			require.Len(t, g.ejected(), test.out)
 		})
 	}
 }
 
-// TestEjectedWorkerIsBackWhenItIsNeeded: the load has risen since.
-func TestEjectedWorkerIsBackWhenItIsNeeded(t *testing.T) {
+// Guards against overload of the remaining workers when the load rises after ejections.
+func TestEjectedWorkerIsReadmittedWhenCapacityIsNeeded(t *testing.T) {
 	g := newGroup(10)
 	g.board.SetBusy(0.5)
-	g.tell(3, only(2, 6))
-	require.Len(t, g.out(), 2)
+	g.report(3, failFirst(2, 6))
+	require.Len(t, g.ejected(), 2)
 	g.board.SetBusy(0.9)
-	g.now = g.now.Add(judgeEvery)
-	require.Len(t, g.out(), 1, "nine bear that")
+	g.now = g.now.Add(evaluationInterval)
+	require.Len(t, g.ejected(), 1, "nine workers can carry the load")
 	g.board.SetBusy(1.1)
-	g.now = g.now.Add(judgeEvery)
-	require.Empty(t, g.out())
+	g.now = g.now.Add(evaluationInterval)
+	require.Empty(t, g.ejected())
 	require.Equal(t, Needed, g.changes[len(g.changes)-1].Reason)
-	g.tell(3, only(2, 6))
-	require.Empty(t, g.out(), "not again at this load")
-	require.Positive(t, g.board.Verdicts(g.workers, g.now)[0].Cost, "but others come first")
+	g.report(3, failFirst(2, 6))
+	require.Empty(t, g.ejected(), "ejected again at high load")
+	require.Positive(t, g.board.Verdicts(g.workers, g.now)[0].Cost, "a readmitted worker that still fails has a cost")
 }
 
-// TestOneNodeEjectsNobody, however much it says.
-func TestOneNodeEjectsNobody(t *testing.T) {
+// Guards against an ejection on the reports of a single faulty node.
+func TestSingleNodeCannotEjectWorker(t *testing.T) {
 	g := newGroup(10)
-	g.tell(3, only(0, 0))
+	g.report(3, failFirst(0, 0))
 	for range 50 {
-		g.now = g.now.Add(judgeEvery)
-		g.board.Add("n0", []Sample{ended(0, 1000, 1000)}, g.now)
+		g.now = g.now.Add(evaluationInterval)
+		g.board.Add("n0", []Sample{sampleOf(0, 1000, 1000)}, g.now)
 		g.board.Verdicts(g.workers, g.now)
 	}
 	require.Empty(t, g.changes)
 	for range 5 {
-		g.now = g.now.Add(judgeEvery)
-		g.board.Add("n2", []Sample{ended(1, 1, 0), ended(2, 1, 0), ended(3, 1, 0)}, g.now)
-		g.board.Add("n0", []Sample{ended(0, 10, 10)}, g.now)
-		g.board.Add("n1", []Sample{ended(0, 10, 10)}, g.now)
+		g.now = g.now.Add(evaluationInterval)
+		g.board.Add("n2", []Sample{sampleOf(1, 1, 0), sampleOf(2, 1, 0), sampleOf(3, 1, 0)}, g.now)
+		g.board.Add("n0", []Sample{sampleOf(0, 10, 10)}, g.now)
+		g.board.Add("n1", []Sample{sampleOf(0, 10, 10)}, g.now)
 		g.board.Verdicts(g.workers, g.now)
 	}
 	require.Len(t, g.changes, 1)
 	require.Equal(t, 2, g.changes[0].Nodes)
 }
 
-// TestTrialsAreForTheWholeFleet: one at a time, in rounds that double.
-func TestTrialsAreForTheWholeFleet(t *testing.T) {
+// Guards against sending an ejected worker more trials than the current round permits.
+func TestTrialsAreLimitedAcrossAllNodes(t *testing.T) {
 	g := newGroup(10)
-	g.tell(3, only(1, 6))
-	require.Empty(t, g.trials(20), "not at once")
-	g.now = g.now.Add(firstWait)
-	require.Len(t, g.trials(20), 1)
+	g.report(3, failFirst(1, 6))
+	require.Empty(t, g.offeredTrials(20), "trial before the initial delay")
+	g.now = g.now.Add(initialTrialDelay)
+	require.Len(t, g.offeredTrials(20), 1)
 	g.outcome(1, 0)
-	require.Len(t, g.trials(20), 2)
+	require.Len(t, g.offeredTrials(20), 2)
 	g.outcome(2, 0)
-	require.Len(t, g.trials(20), 4)
+	require.Len(t, g.offeredTrials(20), 4)
 	g.outcome(4, 0)
-	require.Empty(t, g.out())
+	require.Empty(t, g.ejected())
 	last := g.changes[len(g.changes)-1]
 	require.Equal(t, Sound, last.Reason)
-	require.True(t, g.board.Verdicts(g.workers, g.now)[0].Clear(), "nodes are told so")
-	g.now = g.now.Add(tellClear)
+	require.True(t, g.board.Verdicts(g.workers, g.now)[0].Clear(), "nodes receive a clear verdict")
+	g.now = g.now.Add(clearNoticeDuration)
 	require.Empty(t, g.board.Verdicts(g.workers, g.now))
 }
 
-// trials is how many of so many answers let their nodes try a worker.
-func (g *group) trials(answers int) (handed []Verdict) {
+// offeredTrials asks for verdicts a number of times and returns those that offer a trial.
+func (g *group) offeredTrials(answers int) (handed []Verdict) {
 	for range answers {
 		for _, verdict := range g.board.Verdicts(g.workers, g.now) {
 			if verdict.Trial {
@@ -161,92 +163,93 @@
 	return handed
 }
 
+// outcome adds a report of requests to the first worker.
 func (g *group) outcome(requests, failures int) {
-	g.now = g.now.Add(judgeEvery)
-	g.board.Add("n0", []Sample{ended(0, requests, failures)}, g.now)
+	g.now = g.now.Add(evaluationInterval)
+	g.board.Add("n0", []Sample{sampleOf(0, requests, failures)}, g.now)
 }
 
-// TestWorkerThatGoesBadAgainWaitsLonger, whether its trial fails or it does after its return.
-func TestWorkerThatGoesBadAgainWaitsLonger(t *testing.T) {
+// Guards against trying a worker again too early after a failed trial or a relapse.
+func TestRelapseLengthensTrialDelay(t *testing.T) {
 	g := newGroup(10)
-	g.tell(3, only(1, 6))
-	g.now = g.now.Add(firstWait)
-	require.Len(t, g.trials(20), 1)
+	g.report(3, failFirst(1, 6))
+	g.now = g.now.Add(initialTrialDelay)
+	require.Len(t, g.offeredTrials(20), 1)
 	g.outcome(1, 1)
 	require.Equal(t, Tried, g.changes[len(g.changes)-1].Reason)
-	g.now = g.now.Add(2*firstWait - judgeEvery)
-	require.Empty(t, g.trials(20))
-	g.now = g.now.Add(judgeEvery)
-	for _, sound := range []int{1, 2, 4} {
-		require.Len(t, g.trials(20), sound)
-		g.outcome(sound, 0)
+	g.now = g.now.Add(2*initialTrialDelay - evaluationInterval)
+	require.Empty(t, g.offeredTrials(20))
+	g.now = g.now.Add(evaluationInterval)
+	for _, size := range []int{1, 2, 4} {
+		require.Len(t, g.offeredTrials(20), size)
+		g.outcome(size, 0)
 	}
-	require.Empty(t, g.out())
-	g.tell(3, only(1, 6))
-	require.Len(t, g.out(), 1)
-	require.Equal(t, longestWait, g.changes[len(g.changes)-1].Wait)
+	require.Empty(t, g.ejected())
+	g.report(3, failFirst(1, 6))
+	require.Len(t, g.ejected(), 1)
+	require.Equal(t, maxTrialDelay, g.changes[len(g.changes)-1].Wait)
 }
 
-// TestTrialWithoutOutcome is offered to more and more nodes: those before had no request that may
-// make it. A worker that nobody tries is back.
-func TestTrialWithoutOutcome(t *testing.T) {
+// Guards against a worker that stays ejected because the nodes offered a trial have no suitable
+// request.
+func TestTrialWithoutOutcomeIsOfferedToMoreNodes(t *testing.T) {
 	g := newGroup(10)
-	g.tell(3, only(1, 6))
-	g.now = g.now.Add(firstWait)
-	require.Len(t, g.trials(20), 1)
+	g.report(3, failFirst(1, 6))
+	g.now = g.now.Add(initialTrialDelay)
+	require.Len(t, g.offeredTrials(20), 1)
 	for _, offered := range []int{2, 4, 8, 8} {
-		g.now = g.now.Add(trialLasts)
-		require.Len(t, g.trials(20), offered)
+		g.now = g.now.Add(trialTimeout)
+		require.Len(t, g.offeredTrials(20), offered)
 	}
-	g.now = g.now.Add(untried)
-	require.Empty(t, g.out())
+	g.now = g.now.Add(untriedTimeout)
+	require.Empty(t, g.ejected())
 	require.Equal(t, Untried, g.changes[len(g.changes)-1].Reason)
 }
 
-// TestRequestsSentBeforeTheEjection are no trials.
-func TestRequestsSentBeforeTheEjection(t *testing.T) {
+// Guards against counting requests from before the ejection as successful trials.
+func TestRequestsSentBeforeEjectionAreNotTrials(t *testing.T) {
 	g := newGroup(10)
-	g.tell(3, only(1, 6))
+	g.report(3, failFirst(1, 6))
 	for range 4 {
 		g.outcome(10, 0)
 	}
-	require.Len(t, g.out(), 1)
+	require.Len(t, g.ejected(), 1)
 	require.Len(t, g.changes, 1)
 }
 
-// TestNextIncarnationIsAnotherWorker: its key names it.
-func TestNextIncarnationIsAnotherWorker(t *testing.T) {
+// Guards against ejecting a restarted worker because of its previous incarnation.
+func TestRestartedWorkerHasNoHistory(t *testing.T) {
 	g := newGroup(10)
-	g.tell(3, only(1, 10))
-	require.Equal(t, []string{key(0)}, g.out())
+	g.report(3, failFirst(1, 10))
+	require.Equal(t, []string{key(0)}, g.ejected())
 	g.workers[0] = key(0) + "@2"
-	require.Empty(t, g.out())
+	require.Empty(t, g.ejected())
 }
 
-// TestSilencesCost: a worker that lets requests wait for their first event is not ejected.
-func TestSilencesCost(t *testing.T) {
+// Guards against ejecting a worker for late first events, which should only raise its cost.
+func TestLateFirstEventsRaiseCost(t *testing.T) {
 	g := newGroup(10)
 	for range 5 {
-		g.now = g.now.Add(judgeEvery)
+		g.now = g.now.Add(evaluationInterval)
 		for node := range 3 {
 			g.board.Add(fmt.Sprint("n", node), []Sample{
-				{Worker: key(0), Requests: 1, Silences: 5}, ended(1, 5, 0), ended(2, 5, 0), ended(3, 5, 0),
+				{Worker: key(0), Requests: 1, Silences: 5}, sampleOf(1, 5, 0), sampleOf(2, 5, 0), sampleOf(3, 5, 0),
 			}, g.now)
 		}
 	}
 	verdicts := g.board.Verdicts(g.workers, g.now)
 	require.Len(t, verdicts, 1)
 	require.Zero(t, verdicts[0].Until)
-	require.Greater(t, verdicts[0].Cost, costOfSilence/2)
+	require.Greater(t, verdicts[0].Cost, silenceCost/2)
 }
 
-// TestSlowNodesMakeNobodySlow: they see all workers slow.
-func TestSlowNodesMakeNobodySlow(t *testing.T) {
+// Guards against blaming workers for nodes that measure all workers as slow.
+func TestSlowNodesDoNotMarkWorkersSlow(t *testing.T) {
 	g := newGroup(10)
 	for node := range 20 {
-		step := wellPaced
+		step := healthyTokenTime
 		if node < 3 {
-			step = 5 * wellPaced
+			step = 5 * healthyTokenTime
 		}
 		var samples []Sample
 		for worker := range 10 {
@@ -257,29 +260,30 @@
 	require.Empty(t, g.board.Verdicts(g.workers, g.now))
 }
 
-// TestOldExperienceIsForgotten, and what is kept has a bound.
-func TestOldExperienceIsForgotten(t *testing.T) {
+// Guards against unbounded growth of a board's state.
+func TestStateIsBoundedAndExpires(t *testing.T) {
 	board := New(nil)
-	now := begun
-	for index := range mostWorkers + 100 {
-		board.Add("n0", []Sample{ended(index, 1, 0)}, now)
+	now := startTime
+	for index := range maxWorkers + 100 {
+		board.Add("n0", []Sample{sampleOf(index, 1, 0)}, now)
 	}
-	for node := range mostNodes + 100 {
-		board.Add(fmt.Sprint("m", node), []Sample{ended(0, 1, 0)}, now)
+	for node := range maxNodes + 100 {
+		board.Add(fmt.Sprint("m", node), []Sample{sampleOf(0, 1, 0)}, now)
 	}
-	require.Len(t, board.workers, mostWorkers)
-	require.Len(t, board.workers[key(0)].cells, mostNodes)
-	board.Add("n0", []Sample{ended(0, 1, 0)}, now.Add(2*forgetAfter))
+	require.Len(t, board.workers, maxWorkers)
+	require.Len(t, board.workers[key(0)].byNode, maxNodes)
+	board.Add("n0", []Sample{sampleOf(0, 1, 0)}, now.Add(2*stateTTL))
 	require.Len(t, board.workers, 1)
-	require.Len(t, board.workers[key(0)].cells, 1)
+	require.Len(t, board.workers[key(0)].byNode, 1)
 }
 
-// TestBoardHoldsItsBounds whatever nodes tell it, and when.
-func TestBoardHoldsItsBounds(t *testing.T) {
+// Guards against verdicts out of range and too many ejections, for arbitrary reports and clock
+// steps.
+func TestVerdictsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 12).Draw(t, "workers")
 		board := New(nil)
-		now := begun
+		now := startTime
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(-100, 2000).Draw(t, "ms")) * time.Millisecond)
 			board.SetBusy(rapid.Float64Range(0, 2).Draw(t, "busy"))
@@ -299,18 +303,18 @@
 					out++
 				}
 				require.GreaterOrEqual(t, verdict.Cost, time.Duration(0))
-				require.LessOrEqual(t, verdict.Cost, costOfFailure+costOfSilence)
+				require.LessOrEqual(t, verdict.Cost, failureCost+silenceCost)
 				require.False(t, verdict.Slow < 0)
-				require.LessOrEqual(t, verdict.Until, longestWait)
+				require.LessOrEqual(t, verdict.Until, maxTrialDelay)
 			}
-			require.LessOrEqual(t, out, mostOf(workers))
+			require.LessOrEqual(t, out, maxEjected(workers))
 		}
 	})
 }
 
-// paced lets nodes tell how long a token takes at each worker.
-func (g *group) paced(nodes int, step func(worker int) time.Duration) {
-	g.now = g.now.Add(judgeEvery)
+// reportTokenTimes adds a report of each node with the time per token at each worker; 0 omits it.
+func (g *group) reportTokenTimes(nodes int, step func(worker int) time.Duration) {
+	g.now = g.now.Add(evaluationInterval)
 	for node := range nodes {
 		var samples []Sample
 		for worker := range g.workers {
@@ -322,33 +326,33 @@
 	}
 }
 
-// TestSlowWorkerStaysSlowUntilATrialShowsOtherwise: it gets no requests by which that would show.
-func TestSlowWorkerStaysSlowUntilATrialShowsOtherwise(t *testing.T) {
+// Guards against readmitting a slow worker only because it no longer receives requests.
+func TestSlowWorkerStaysSlowUntilTrialSucceeds(t *testing.T) {
 	g := newGroup(10)
-	g.paced(5, func(worker int) time.Duration { return wellPaced * time.Duration(1+4*oneIn(worker == 0, 1)) })
+	g.reportTokenTimes(5, func(worker int) time.Duration { return healthyTokenTime * time.Duration(1+4*shareIf(worker == 0, 1)) })
 	verdicts := g.board.Verdicts(g.workers, g.now)
 	require.Len(t, verdicts, 1)
 	require.InDelta(t, 5, verdicts[0].Slow, 0.1)
-	sound := func(worker int) time.Duration { return wellPaced * time.Duration(oneIn(worker > 0, 1)) }
+	healthyOnly := func(worker int) time.Duration { return healthyTokenTime * time.Duration(shareIf(worker > 0, 1)) }
 	trials := 0
 	for range 20 {
-		g.paced(5, sound)
-		trials += len(g.trials(10))
+		g.reportTokenTimes(5, healthyOnly)
+		trials += len(g.offeredTrials(10))
 		require.Positive(t, g.board.Verdicts(g.workers, g.now)[0].Slow)
 	}
-	require.InDelta(t, float64(20*judgeEvery/slowTrialEvery), trials, 1)
-	g.board.Add("n7", []Sample{{Worker: key(0), Requests: 1, Pace: wellPaced, Paced: 3}}, g.now)
-	g.paced(5, sound)
+	require.InDelta(t, float64(20*evaluationInterval/slowTrialInterval), trials, 1)
+	g.board.Add("n7", []Sample{{Worker: key(0), Requests: 1, Pace: healthyTokenTime, Paced: 3}}, g.now)
+	g.reportTokenTimes(5, healthyOnly)
 	require.True(t, g.board.Verdicts(g.workers, g.now)[0].Clear())
 }
 
-// TestSlowWorkerThatNobodyTries counts as the others after a while.
-func TestSlowWorkerThatNobodyTries(t *testing.T) {
+// Guards against a worker that stays slow forever because no node tests it.
+func TestUntestedSlowWorkerExpires(t *testing.T) {
 	g := newGroup(10)
-	g.paced(5, func(worker int) time.Duration { return wellPaced * time.Duration(1+4*oneIn(worker == 0, 1)) })
+	g.reportTokenTimes(5, func(worker int) time.Duration { return healthyTokenTime * time.Duration(1+4*shareIf(worker == 0, 1)) })
 	require.Len(t, g.board.Verdicts(g.workers, g.now), 1)
-	g.now = g.now.Add(slowUntried - judgeEvery)
+	g.now = g.now.Add(slowTTL - evaluationInterval)
 	require.Positive(t, g.board.Verdicts(g.workers, g.now)[0].Slow)
-	g.now = g.now.Add(judgeEvery)
+	g.now = g.now.Add(evaluationInterval)
 	require.True(t, g.board.Verdicts(g.workers, g.now)[0].Clear())
 }
--- a/internal/experience/boards.go
+++ b/internal/experience/boards.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// mostBoards bounds the groups whose experience a process keeps.
-const mostBoards = 256
+// maxBoards bounds the number of groups.
+const maxBoards = 256
 
-// Options of Boards.
+// Options configure Boards.
 type Options[Group comparable] struct {
-	// Members lists the keys of a group's workers, in an order that does not change by itself.
+	// Members returns the keys of a group's workers, in a stable order.
 	Members func(Group) []string
-	// Busy is the share of a group's places that are taken; nil: not known, it counts as nothing.
+	// Busy returns the utilization of a group's capacity; nil means 0.
 	Busy func(Group) float64
-	// OnChange is told each decision; nil: nobody is.
+	// OnChange is called for each decision, with the mutex of Boards held; nil ignores them.
 	OnChange func(Group, Change)
 }
 
-// Boards are those of the groups that a process keeps. It is safe for concurrent use.
+// Boards holds a Board per group. It is safe for concurrent use.
 type Boards[Group comparable] struct {
 	options Options[Group]
 	mutex   sync.Mutex
@@ -27,24 +27,25 @@
 
 type groupBoard struct {
 	*Board
-	newest time.Time // when it was last used
+	lastUsed time.Time
 }
 
-// NewBoards returns boards of no group yet.
+// NewBoards returns an empty set of boards.
 func NewBoards[Group comparable](options Options[Group]) *Boards[Group] {
 	return &Boards[Group]{options: options, boards: map[Group]*groupBoard{}}
 }
 
-// Learn takes in what a node has seen of a group's workers.
+// Learn merges a node's report about a group's workers.
 func (b *Boards[Group]) Learn(group Group, from string, samples []Sample, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if board := b.board(group, now); board != nil {
+	if board := b.boardOf(group, now); board != nil {
 		board.Add(from, samples, now)
 	}
 }
 
-// Verdicts is what the answer to one node says of a group's workers.
+// Verdicts returns the verdicts on a group's workers for one node; see Board.Verdicts. It returns
+// nil if there are too many groups.
 func (b *Boards[Group]) Verdicts(group Group, now time.Time) []Verdict {
 	members := b.options.Members(group)
 	busy := 0.0
@@ -53,7 +54,7 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	board := b.board(group, now)
+	board := b.boardOf(group, now)
 	if board == nil {
 		return nil
 	}
@@ -61,32 +62,33 @@
 	return board.Verdicts(members, now)
 }
 
-// board is that of a group; nil if there are too many. The caller holds the mutex.
-func (b *Boards[Group]) board(group Group, now time.Time) *groupBoard {
-	known, ok := b.boards[group]
+// boardOf returns the board of a group, created if necessary, or nil if there are too many. The
+// caller holds the mutex.
+func (b *Boards[Group]) boardOf(group Group, now time.Time) *groupBoard {
+	existing, ok := b.boards[group]
 	if !ok {
-		b.forget(now)
-		if len(b.boards) >= mostBoards {
+		b.dropIdle(now)
+		if len(b.boards) >= maxBoards {
 			return nil
 		}
-		known = &groupBoard{Board: New(b.changed(group))}
-		b.boards[group] = known
+		existing = &groupBoard{Board: New(b.changeHandler(group))}
+		b.boards[group] = existing
 	}
-	known.newest = now
-	return known
+	existing.lastUsed = now
+	return existing
 }
 
-func (b *Boards[Group]) changed(group Group) func(Change) {
+func (b *Boards[Group]) changeHandler(group Group) func(Change) {
 	if b.options.OnChange == nil {
 		return nil
 	}
 	return func(change Change) { b.options.OnChange(group, change) }
 }
 
-// forget drops the boards that were not used for long. The caller holds the mutex.
-func (b *Boards[Group]) forget(now time.Time) {
+// dropIdle removes boards that have not been used for stateTTL. The caller holds the mutex.
+func (b *Boards[Group]) dropIdle(now time.Time) {
 	for group, board := range b.boards {
-		if now.Sub(board.newest) > forgetAfter {
+		if now.Sub(board.lastUsed) > stateTTL {
 			delete(b.boards, group)
 		}
 	}
--- a/internal/experience/ejection.go
+++ b/internal/experience/ejection.go
@@ -2,105 +2,109 @@
 
 import "time"
 
-// An ejected worker gets no requests but trials. These come singly first, then in rounds that
-// double while none fails.
+// An ejected worker receives trial requests only: first a single one, then rounds that double in
+// size as long as none fails.
 const (
-	// firstWait is how long after its ejection a worker is first tried.
-	firstWait = 800 * time.Millisecond
-	// longestWait is how long a worker that failed again and again goes untried.
-	longestWait = 2 * time.Second
-	// lastRound is how many trials the last round has; the worker is back if all are sound.
-	lastRound = 4
-	// trialLasts is how long the outcome of a trial may take to be told.
-	trialLasts = 1200 * time.Millisecond
-	// mostPermits is to how many nodes each trial is offered at most.
-	mostPermits = 8
-	// outcomeWeight is that of the newest outcome in a worker's share of failures.
+	// initialTrialDelay is the time between an ejection and the first trial.
+	initialTrialDelay = 800 * time.Millisecond
+	// maxTrialDelay bounds the delay, which doubles with each failed first trial.
+	maxTrialDelay = 2 * time.Second
+	// finalRoundSize is the number of trials in the last round; the worker is readmitted if all
+	// succeed.
+	finalRoundSize = 4
+	// trialTimeout is how long the outcomes of a round are awaited before it is offered again.
+	trialTimeout = 1200 * time.Millisecond
+	// maxOffers is the maximum number of nodes that each trial is offered to.
+	maxOffers = 8
+	// outcomeWeight is the smoothing factor of the failure rate over trial outcomes.
 	outcomeWeight = 0.3
-	// untried is after how long a worker is back that nobody has tried.
-	untried = 10 * time.Second
-	// relapse is how soon after its return a worker must fail for that to count as the same trouble.
-	relapse = 10 * time.Second
+	// untriedTimeout is how long after the last outcome a worker is readmitted untested.
+	untriedTimeout = 10 * time.Second
+	// relapseWindow is how soon after readmission a new ejection continues the backoff of the
+	// last.
+	relapseWindow = 10 * time.Second
 )
 
-// ejection is a worker's time without requests.
+// ejection is the state of an ejected worker.
 type ejection struct {
-	since  time.Time
-	share  float64       // of failures; that when it began, and then by its trials
-	wait   time.Duration // after a failed trial
-	next   time.Time     // when the next trial may be handed out
-	round  int           // trials of this round
-	sound  int           // of them, those that went well
-	handed int           // permits for them that were handed out
-	// permits is to how many nodes a trial is offered: more than one if those to which it was
-	// offered had no request that may make it.
-	permits int
-	heard   time.Time // of the last outcome
+	since       time.Time
+	failureRate float64       // at the ejection, then smoothed over trial outcomes
+	delay       time.Duration // before the first trial of the next series
+	nextTrial   time.Time     // earliest time of the next trial
+	roundSize   int           // number of trials in this round
+	succeeded   int           // successful trials in this round
+	offered     int           // offers made in this round
+	// offersPerTrial is the number of nodes that each trial is offered to. It doubles when no
+	// outcome arrives, since a node may have no request suitable for a trial.
+	offersPerTrial int
+	lastOutcome    time.Time
 }
 
-func newEjection(share float64, wait time.Duration, now time.Time) *ejection {
-	return &ejection{since: now, share: share, wait: wait, next: now.Add(wait), round: 1, permits: 1, heard: now}
+func newEjection(failureRate float64, delay time.Duration, now time.Time) *ejection {
+	return &ejection{since: now, failureRate: failureRate, delay: delay, nextTrial: now.Add(delay), roundSize: 1, offersPerTrial: 1, lastOutcome: now}
 }
 
-// waitAfter is how long a worker waits for its first trial, given its last ejection.
-func waitAfter(last time.Duration, back, now time.Time) time.Duration {
-	if last == 0 || now.Sub(back) > relapse {
-		return firstWait
+// delayAfter returns the trial delay of a new ejection. last is the delay of the previous one (0
+// if none), which ended at back.
+func delayAfter(last time.Duration, back, now time.Time) time.Duration {
+	if last == 0 || now.Sub(back) > relapseWindow {
+		return initialTrialDelay
 	}
-	return min(2*last, longestWait)
+	return min(2*last, maxTrialDelay)
 }
 
-// hand reports whether the asker may make a trial.
-func (e *ejection) hand(now time.Time) bool {
-	if now.Before(e.next) {
+// offerTrial reports whether the calling node may make a trial, and counts the offer.
+func (e *ejection) offerTrial(now time.Time) bool {
+	if now.Before(e.nextTrial) {
 		return false
 	}
-	if e.handed >= e.round*e.permits {
-		e.handed = 0 // outcomes have not come
-		e.permits = min(2*e.permits, mostPermits)
+	if e.offered >= e.roundSize*e.offersPerTrial {
+		e.offered = 0 // no outcome arrived in time: offer the round again
+		e.offersPerTrial = min(2*e.offersPerTrial, maxOffers)
 	}
-	e.handed++
-	if e.handed >= e.round*e.permits {
-		e.next = now.Add(trialLasts)
+	e.offered++
+	if e.offered >= e.roundSize*e.offersPerTrial {
+		e.nextTrial = now.Add(trialTimeout)
 	}
 	return true
 }
 
-// outcome takes in how trials ended. It reports whether the worker is back. Requests that end while
-// no trial is under way were sent before the ejection, or belong to a round that has failed.
-func (e *ejection) outcome(requests, failures int, now time.Time) (back bool) {
-	if e.handed == 0 || requests == 0 {
+// recordOutcome processes trial outcomes and reports whether the worker is readmitted. Requests
+// that end while no trial is offered were sent before the ejection or in a failed round; they are
+// ignored.
+func (e *ejection) recordOutcome(requests, failures int, now time.Time) (back bool) {
+	if e.offered == 0 || requests == 0 {
 		return false
 	}
-	e.heard = now
-	e.share += outcomeWeight * (share(float64(failures), float64(requests)) - e.share)
+	e.lastOutcome = now
+	e.failureRate += outcomeWeight * (ratio(float64(failures), float64(requests)) - e.failureRate)
 	if failures > 0 {
-		e.failed(now)
+		e.restart(now)
 		return false
 	}
-	e.sound += requests
-	if e.sound < e.round {
+	e.succeeded += requests
+	if e.succeeded < e.roundSize {
 		return false
 	}
-	if e.round >= lastRound {
+	if e.roundSize >= finalRoundSize {
 		return true
 	}
-	e.round, e.handed, e.sound = 2*e.round, 0, 0
-	e.next = now
+	e.roundSize, e.offered, e.succeeded = 2*e.roundSize, 0, 0
+	e.nextTrial = now
 	return false
 }
 
-// failed begins anew. The failure of a first trial lengthens the wait for the next one; one after
-// sound ones may be chance, as any worker fails a few requests.
-func (e *ejection) failed(now time.Time) {
-	next := firstWait
-	if e.round == 1 {
-		e.wait = min(2*e.wait, longestWait)
-		next = e.wait
+// restart begins a new series of trials after a failure. Only the failure of the first trial
+// lengthens the delay: a later one may be chance, since healthy workers fail some requests too.
+func (e *ejection) restart(now time.Time) {
+	delay := initialTrialDelay
+	if e.roundSize == 1 {
+		e.delay = min(2*e.delay, maxTrialDelay)
+		delay = e.delay
 	}
-	e.next = now.Add(next)
-	e.round, e.handed, e.sound = 1, 0, 0
+	e.nextTrial = now.Add(delay)
+	e.roundSize, e.offered, e.succeeded = 1, 0, 0
 }
 
-// forgotten reports whether nobody tries the worker.
-func (e *ejection) forgotten(now time.Time) bool { return now.Sub(e.heard) > untried }
+// isUntried reports whether no trial outcome has arrived for untriedTimeout.
+func (e *ejection) isUntried(now time.Time) bool { return now.Sub(e.lastOutcome) > untriedTimeout }
--- a/internal/experience/evidence.go
+++ b/internal/experience/evidence.go
@@ -6,66 +6,68 @@
 	"time"
 )
 
-// How fast what was told loses its weight.
+// Half-lives of the weights of reported requests and measurements.
 const (
-	// recentHalfLife is that of the share of failures by which workers and nodes are compared: short,
-	// so that a trouble of all shows as one of all before single workers are held to account for it.
+	// recentHalfLife applies to the failure rates by which workers are compared. It is short, so
+	// that a failure of the whole group raises the median before single workers are ejected.
 	recentHalfLife = 400 * time.Millisecond
-	// paceHalfLife lets a worker count as slow while it is, and not long after: some are slow for
-	// less than a second.
+	// paceHalfLife applies to times per token. It is short, since a slowdown may last less than a
+	// second.
 	paceHalfLife = 300 * time.Millisecond
-	// caseHalfLife is that of what speaks for and against a worker since it last was beyond doubt.
-	caseHalfLife = 3 * time.Second
-	// spreadHalfLife is that of a node's failures over all workers that it uses.
+	// suspicionHalfLife applies to the requests of a suspected worker.
+	suspicionHalfLife = 3 * time.Second
+	// spreadHalfLife applies to a node's requests, by which its trust is computed.
 	spreadHalfLife = 2 * time.Second
 )
 
-// tally counts requests; it halves with time.
-type tally struct {
-	requests float64
-	failures float64
-	silences float64
-	at       time.Time
+// decayingCounts counts requests with exponential decay.
+type decayingCounts struct {
+	requests  float64
+	failures  float64
+	silences  float64
+	updatedAt time.Time
 }
 
-func (t *tally) add(requests, failures, silences, weight float64, now time.Time, halfLife time.Duration) {
-	t.age(now, halfLife)
-	t.requests += weight * requests
-	t.failures += weight * failures
-	t.silences += weight * silences
+func (c *decayingCounts) add(requests, failures, silences, weight float64, now time.Time, halfLife time.Duration) {
+	c.decay(now, halfLife)
+	c.requests += weight * requests
+	c.failures += weight * failures
+	c.silences += weight * silences
 }
 
-func (t *tally) age(now time.Time, halfLife time.Duration) {
-	left := remaining(t.at, now, halfLife)
-	t.requests *= left
-	t.failures *= left
-	t.silences *= left
-	t.at = now
+func (c *decayingCounts) decay(now time.Time, halfLife time.Duration) {
+	factor := decayFactor(c.updatedAt, now, halfLife)
+	c.requests *= factor
+	c.failures *= factor
+	c.silences *= factor
+	c.updatedAt = now
 }
 
-// weighed is the tally times a weight.
-func (t tally) weighed(weight float64) tally {
-	t.requests *= weight
-	t.failures *= weight
-	t.silences *= weight
-	return t
+// scaled returns the counts multiplied by weight.
+func (c decayingCounts) scaled(weight float64) decayingCounts {
+	c.requests *= weight
+	c.failures *= weight
+	c.silences *= weight
+	return c
 }
 
-// failureShare is the share of failures; 0: nothing is known.
-func (t *tally) failureShare() float64 { return share(t.failures, t.requests) }
+// failureRate returns the share of requests that failed; 0 without requests.
+func (c *decayingCounts) failureRate() float64 { return ratio(c.failures, c.requests) }
 
-// silenceShare is the share of requests that got no first event in time.
-func (t *tally) silenceShare() float64 { return min(1, share(t.silences, t.requests+t.silences)) }
+// silenceRate returns the share of requests without a first event within the usual time.
+func (c *decayingCounts) silenceRate() float64 {
+	return min(1, ratio(c.silences, c.requests+c.silences))
+}
 
-func share(part, whole float64) float64 {
+func ratio(part, whole float64) float64 {
 	if whole <= 0 {
 		return 0
 	}
 	return part / whole
 }
 
-// remaining is what is left of a weight.
-func remaining(since, now time.Time, halfLife time.Duration) float64 {
+// decayFactor returns the factor by which a weight decays between two times.
+func decayFactor(since, now time.Time, halfLife time.Duration) float64 {
 	elapsed := now.Sub(since)
 	if since.IsZero() || elapsed <= 0 {
 		return 1
@@ -73,39 +75,39 @@
 	return math.Exp2(-float64(elapsed) / float64(halfLife))
 }
 
-// pace is the mean time of a token; its weight halves with time.
+// pace is the mean time per token, with a decaying weight.
 type pace struct {
-	mean   time.Duration
-	weight float64
-	at     time.Time
+	mean      time.Duration
+	weight    float64
+	updatedAt time.Time
 }
 
 func (p *pace) add(mean time.Duration, weight float64, now time.Time) {
-	p.age(now)
+	p.decay(now)
 	p.weight += weight
 	p.mean += time.Duration(float64(mean-p.mean) * weight / p.weight)
 }
 
-func (p *pace) age(now time.Time) {
-	p.weight *= remaining(p.at, now, paceHalfLife)
-	p.at = now
+func (p *pace) decay(now time.Time) {
+	p.weight *= decayFactor(p.updatedAt, now, paceHalfLife)
+	p.updatedAt = now
 }
 
-// cell is what one node has told of one worker.
-type cell struct {
-	spread tally // over all that the node told
-	open   tally // of the worker's case, since it last was beyond doubt
-	pace   pace
-	newest time.Time
+// nodeStats holds one node's reports about one worker.
+type nodeStats struct {
+	spread     decayingCounts // all reported requests
+	suspicion  decayingCounts // requests reported while the worker is suspected
+	pace       pace
+	lastReport time.Time
 }
 
-// median of values, by weight; 0: there are none.
-func median(values []weighed) float64 {
+// median returns the weighted median of values, which it sorts; 0 if there are none.
+func median(values []weightedValue) float64 {
 	total := 0.0
 	for _, value := range values {
 		total += value.weight
 	}
-	slices.SortFunc(values, func(a, b weighed) int {
+	slices.SortFunc(values, func(a, b weightedValue) int {
 		switch {
 		case a.value < b.value:
 			return -1
@@ -125,5 +127,4 @@
 	return 0
 }
 
-// weighed is a value and its weight.
-type weighed struct{ value, weight float64 }
+type weightedValue struct{ value, weight float64 }
--- a/internal/experience/experience.go
+++ b/internal/experience/experience.go
@@ -1,37 +1,45 @@
-// Package experience merges what many nodes have seen of a worker: how often it failed and how fast
-// it was. One node sends a worker a request in some seconds; all nodes together see within a moment
-// that it fails a part of them, or has turned slow. It knows no clock and no network.
+// Package experience detects unhealthy and slow workers from the request outcomes that all nodes
+// report. It merges the reports per worker, ejects workers that fail clearly more requests than
+// the others of their group, and estimates the cost of sending requests to the rest.
+//
+// A single node sends a worker one request every few seconds, too few to detect partial failure or
+// a slowdown quickly; the merged reports of all nodes suffice within a second or two. The package
+// reads no clock and does no I/O: callers pass the current time.
 package experience
 
 import "time"
 
-// Sample is what one node has seen of one incarnation of a worker since it told last.
+// Sample is what one node observed of one incarnation of a worker since its previous report.
 type Sample struct {
-	Worker string // its key, which names the incarnation
-	// Requests ended, Failures of them by the worker's fault: failed, cut off, garbled.
+	Worker string // key of the worker's incarnation
+	// Requests is the number of requests that ended.
 	Requests int
+	// Failures is how many of Requests failed because of the worker: failed, truncated or garbled.
 	Failures int
-	// Silences are requests that got no first event within what is usual.
+	// Silences is the number of requests whose first event did not arrive within the usual time.
 	Silences int
-	// Pace is the mean time of a token over Paced measurements; 0: none was seen.
+	// Pace is the mean time per token over Paced measurements; 0 if there were none.
 	Pace  time.Duration
 	Paced int
 }
 
-// Verdict is what the merged experience says of a worker. One that has Worker alone takes back what
-// was said before: the worker may get all requests again.
+// Verdict is how nodes should treat a worker. The zero value, except for Worker, withdraws earlier
+// verdicts: the worker may receive all requests again.
 type Verdict struct {
 	Worker string
-	// Until is for how much longer it should get no requests but trials; 0: it may get all.
+	// Until is how much longer the worker is ejected and receives trial requests only; 0 if it is
+	// not ejected.
 	Until time.Duration
-	// Trial says that the node that gets this verdict is to send one request there nevertheless, for
-	// all nodes.
+	// Trial allows the receiving node to send the worker one request regardless of Until and Slow.
+	// The outcome counts for all nodes.
 	Trial bool
-	// Slow is how many times as long as at its fellows a token takes there; 0: it is like them.
+	// Slow is the worker's time per token divided by the median of its group; 0 if the worker is
+	// not slow.
 	Slow float64
-	// Cost is what sending a request there is expected to cost beyond a sound worker, its pace apart.
+	// Cost is the expected extra latency of a request to this worker compared with a healthy one,
+	// because of failures and late first events. It doesn't include Slow.
 	Cost time.Duration
 }
 
-// Clear reports whether the verdict speaks for the worker.
+// Clear reports whether the verdict imposes no restriction on the worker.
 func (v Verdict) Clear() bool { return v.Until <= 0 && v.Slow == 0 && v.Cost == 0 }
--- a/internal/experience/judge.go
+++ b/internal/experience/judge.go
@@ -8,184 +8,189 @@
 )
 
 const (
-	// mostEjected is the share of a group's workers that may be ejected at all: more than one of the
-	// zones of a usual region. What fails more than that is not a trouble of single workers.
-	mostEjected = 0.3
-	// spareUpTo and neededFrom are the shares of busy places of the workers left, up to which others
-	// are ejected, and from which on they are needed again.
-	spareUpTo  = 0.8
-	neededFrom = 0.95
-	// useless is the share of failures from which on a worker is no help, however high the load is.
-	useless = 0.9
-	// soundShare of failures says nothing against a worker.
-	soundShare = 0.05
-	// aboveFellows is how many times its fellows' share of failures a sound worker may have.
-	aboveFellows = 1.5
-	// clearlyWorse is by how much more requests a worker fails that is no use.
-	clearlyWorse = 0.3
-	// largestShare bounds the share of failures that is expected of a bad worker.
-	largestShare = 0.95
-	// enoughAgainst is the logarithm of how much likelier what was seen must be from a bad worker
-	// than from a sound one: chance makes a worker at soundShare seem bad once in 1,800 requests, even
-	// if the word of no node were left out.
-	enoughAgainst = 7.5
+	// maxEjectedShare is the maximum share of a group's workers that are ejected. It is larger
+	// than one of four zones; more widespread failures aren't caused by single workers.
+	maxEjectedShare = 0.3
+	// Workers are ejected only while the utilization of the remaining ones stays up to
+	// ejectUtilization, and readmitted once it exceeds readmitUtilization.
+	ejectUtilization   = 0.8
+	readmitUtilization = 0.95
+	// uselessFailureRate is the failure rate from which a worker is not readmitted for capacity.
+	uselessFailureRate = 0.9
+	// healthyFailureRate is the minimum failure rate expected of a healthy worker.
+	healthyFailureRate = 0.05
+	// healthyRateFactor times the median failure rate of the group is still healthy.
+	healthyRateFactor = 1.5
+	// minExcessRate is by how much the failure rate of a bad worker exceeds that of a healthy one.
+	minExcessRate = 0.3
+	// maxFailureRate bounds the failure rate expected of a bad worker.
+	maxFailureRate = 0.95
+	// ejectionThreshold is the log-likelihood ratio of a bad to a healthy worker from which a
+	// worker is ejected. A worker with failure rate healthyFailureRate exceeds it by chance about
+	// once in 1,800 requests, even if no node is discounted.
+	ejectionThreshold = 7.5
 )
 
-// hypotheses are the shares of failures by which a sound and a bad worker are told apart.
-type hypotheses struct{ sound, bad float64 }
+// hypotheses are the failure rates expected of a healthy and of a bad worker.
+type hypotheses struct{ healthy, bad float64 }
 
-// hypothesesBeside are those of a worker whose fellows fail a share of requests.
-func hypothesesBeside(fellows float64) hypotheses {
-	sound := min(max(soundShare, aboveFellows*fellows), largestShare-soundShare)
-	return hypotheses{sound: sound, bad: min(sound+clearlyWorse, largestShare)}
+// hypothesesFor returns the hypotheses for a group with the given median failure rate.
+func hypothesesFor(typical float64) hypotheses {
+	healthy := min(max(healthyFailureRate, healthyRateFactor*typical), maxFailureRate-healthyFailureRate)
+	return hypotheses{healthy: healthy, bad: min(healthy+minExcessRate, maxFailureRate)}
 }
 
-// against is how much what was seen speaks for a bad worker; below 0 it speaks for a sound one.
-func (h hypotheses) against(seen tally) float64 {
-	well := max(0, seen.requests-seen.failures)
-	return seen.failures*math.Log(h.bad/h.sound) + well*math.Log((1-h.bad)/(1-h.sound))
+// logLikelihoodRatio returns the logarithm of how much likelier the counts are for a bad worker
+// than for a healthy one; below 0 if they are likelier for a healthy one.
+func (h hypotheses) logLikelihoodRatio(counts decayingCounts) float64 {
+	successes := max(0, counts.requests-counts.failures)
+	return counts.failures*math.Log(h.bad/h.healthy) + successes*math.Log((1-h.bad)/(1-h.healthy))
 }
 
-// charge is what speaks against one worker.
-type charge struct {
-	worker  *worker
-	share   float64 // of failures
-	weight  float64 // requests
-	against float64 // by the word of all nodes but the loudest
-	doubt   float64 // by the word of all nodes; 0 or less: there is none
-	nodes   int     // that saw failures
+// evidence summarizes the reports about one worker.
+type evidence struct {
+	worker       *worker
+	failureRate  float64
+	weight       float64 // decayed number of requests
+	corroborated float64 // log-likelihood ratio without the node that reports the worker worst
+	total        float64 // log-likelihood ratio of all reports
+	nodes        int     // number of nodes that saw failures
 }
 
-// charge sums up what all nodes say of a worker. The word of the node that says most against it is
-// left out: that one may have bad links, and no single node ejects.
-func (b *Board) charge(w *worker, h hypotheses, now time.Time) charge {
-	if !w.doubted {
-		return charge{worker: w}
+// collectEvidence merges the reports of all nodes about a worker. It discounts the node whose
+// reports weigh most against the worker, since the fault may be that node's own links: no single
+// node can cause an ejection.
+func (b *Board) collectEvidence(w *worker, h hypotheses, now time.Time) evidence {
+	if !w.suspected {
+		return evidence{worker: w}
 	}
-	var all tally
-	loudest := 0.0
+	var all decayingCounts
+	strongest := 0.0
 	nodes := 0
-	for node, told := range w.cells {
-		told.open.age(now, caseHalfLife)
-		word := told.open.weighed(b.trustIn(node))
-		all.requests += word.requests
-		all.failures += word.failures
-		loudest = max(loudest, h.against(word))
-		if word.failures > 0 {
+	for node, stats := range w.byNode {
+		stats.suspicion.decay(now, suspicionHalfLife)
+		weighted := stats.suspicion.scaled(b.trustIn(node))
+		all.requests += weighted.requests
+		all.failures += weighted.failures
+		strongest = max(strongest, h.logLikelihoodRatio(weighted))
+		if weighted.failures > 0 {
 			nodes++
 		}
 	}
-	doubt := h.against(all)
-	return charge{
-		worker: w, share: all.failureShare(), weight: all.requests,
-		against: doubt - loudest, doubt: doubt, nodes: nodes,
+	total := h.logLikelihoodRatio(all)
+	return evidence{
+		worker: w, failureRate: all.failureRate(), weight: all.requests,
+		corroborated: total - strongest, total: total, nodes: nodes,
 	}
 }
 
-// fellowShare is the median share of failures of workers now.
-func fellowShare(workers []*worker, now time.Time) float64 {
-	shares := make([]weighed, 0, len(workers))
-	for _, known := range workers {
-		known.recent.age(now, recentHalfLife)
-		if known.ejection == nil && known.recent.requests >= leastUse {
-			shares = append(shares, weighed{known.recent.failureShare(), 1})
+// medianFailureRate returns the median recent failure rate of the workers that are not ejected.
+func medianFailureRate(workers []*worker, now time.Time) float64 {
+	failureRates := make([]weightedValue, 0, len(workers))
+	for _, w := range workers {
+		w.recent.decay(now, recentHalfLife)
+		if w.ejection == nil && w.recent.requests >= minRequestWeight {
+			failureRates = append(failureRates, weightedValue{w.recent.failureRate(), 1})
 		}
 	}
-	return median(shares)
+	return median(failureRates)
 }
 
-// judgeFailures ejects and readmits workers of a group.
-func (b *Board) judgeFailures(workers []*worker, now time.Time) {
-	h := hypothesesBeside(fellowShare(workers, now))
-	var charges []charge
-	for _, known := range workers {
-		known.charged = b.charge(known, h, now)
+// evaluateFailures ejects and readmits workers of a group, the worst first.
+func (b *Board) evaluateFailures(workers []*worker, now time.Time) {
+	h := hypothesesFor(medianFailureRate(workers, now))
+	var candidates []evidence
+	for _, w := range workers {
+		w.evidence = b.collectEvidence(w, h, now)
 		switch {
-		case known.ejection != nil && known.ejection.forgotten(now):
-			b.readmit(known, Untried, now)
-		case known.ejection == nil && known.charged.against > enoughAgainst:
-			charges = append(charges, known.charged)
-		case known.ejection == nil && known.charged.doubt <= 0:
-			known.dismiss()
+		case w.ejection != nil && w.ejection.isUntried(now):
+			b.readmit(w, Untried, now)
+		case w.ejection == nil && w.evidence.corroborated > ejectionThreshold:
+			candidates = append(candidates, w.evidence)
+		case w.ejection == nil && w.evidence.total <= 0:
+			w.clearSuspicion()
 		}
 	}
-	b.releaseNeeded(workers, now)
-	slices.SortFunc(charges, func(a, c charge) int {
-		return cmp.Or(cmp.Compare(c.against, a.against), cmp.Compare(a.worker.key, c.worker.key))
+	b.readmitNeeded(workers, now)
+	slices.SortFunc(candidates, func(a, c evidence) int {
+		return cmp.Or(cmp.Compare(c.corroborated, a.corroborated), cmp.Compare(a.worker.key, c.worker.key))
 	})
-	for _, found := range charges {
-		if b.canSpare(workers, found) {
-			b.eject(found, now)
+	for _, candidate := range candidates {
+		if b.canEject(workers, candidate) {
+			b.eject(candidate, now)
 		}
 	}
 }
 
-// dismiss drops the case against a worker that is beyond doubt, so that how long it was sound does
-// not hide that it is not any more.
-func (w *worker) dismiss() {
-	if !w.doubted {
+// clearSuspicion discards the evidence about a worker that appears healthy, so that its earlier
+// successes don't delay the detection of a later failure.
+func (w *worker) clearSuspicion() {
+	if !w.suspected {
 		return
 	}
-	w.doubted = false
-	for _, told := range w.cells {
-		told.open = tally{}
+	w.suspected = false
+	for _, stats := range w.byNode {
+		stats.suspicion = decayingCounts{}
 	}
 }
 
-// canSpare reports whether the group can do without one more worker.
-func (b *Board) canSpare(workers []*worker, found charge) bool {
-	out, lost := ejectedOf(workers)
-	return out+1 <= mostOf(len(workers)) && b.bears(len(workers), lost+1-found.share, spareUpTo)
+// canEject reports whether the group's limit and capacity permit another ejection.
+func (b *Board) canEject(workers []*worker, candidate evidence) bool {
+	out, lostCapacity := countEjected(workers)
+	return out+1 <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity+1-candidate.failureRate, ejectUtilization)
 }
 
-// mostOf is how many of a number of workers may be ejected.
-func mostOf(workers int) int {
+// maxEjected returns how many of a group's workers may be ejected.
+func maxEjected(workers int) int {
 	if workers < 2 {
 		return 0
 	}
-	return max(1, int(mostEjected*float64(workers)))
+	return max(1, int(maxEjectedShare*float64(workers)))
 }
 
-// bears reports whether the load leaves places free when the group lacks what some workers serve.
-func (b *Board) bears(workers int, lost, fullest float64) bool {
-	return b.busy*float64(workers) <= fullest*(float64(workers)-lost)
+// hasCapacity reports whether utilization stays within maxUtilization when the group loses the
+// capacity of lostCapacity healthy workers.
+func (b *Board) hasCapacity(workers int, lostCapacity, maxUtilization float64) bool {
+	return b.utilization*float64(workers) <= maxUtilization*(float64(workers)-lostCapacity)
 }
 
-// ejectedOf is how many workers are ejected, and as how many sound ones they would serve.
-func ejectedOf(workers []*worker) (count int, served float64) {
-	for _, known := range workers {
-		if known.ejection != nil {
+// countEjected returns the number of ejected workers, and the capacity lost by it in healthy
+// workers.
+func countEjected(workers []*worker) (count int, lostCapacity float64) {
+	for _, w := range workers {
+		if w.ejection != nil {
 			count++
-			served += 1 - known.ejection.share
+			lostCapacity += 1 - w.ejection.failureRate
 		}
 	}
-	return count, served
+	return count, lostCapacity
 }
 
-// releaseNeeded readmits the best of the ejected workers while the others cannot bear the load.
-func (b *Board) releaseNeeded(workers []*worker, now time.Time) {
+// readmitNeeded readmits ejected workers, the lowest failure rate first, while the group exceeds
+// its ejection limit or the others lack capacity.
+func (b *Board) readmitNeeded(workers []*worker, now time.Time) {
 	for {
-		out, lost := ejectedOf(workers)
-		if out <= mostOf(len(workers)) && b.bears(len(workers), lost, neededFrom) {
+		out, lostCapacity := countEjected(workers)
+		if out <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity, readmitUtilization) {
 			return
 		}
 		best := bestEjected(workers)
-		if best == nil || best.ejection.share >= useless && out <= mostOf(len(workers)) {
+		if best == nil || best.ejection.failureRate >= uselessFailureRate && out <= maxEjected(len(workers)) {
 			return
 		}
 		b.readmit(best, Needed, now)
 	}
 }
 
-// bestEjected is the ejected worker that failed the fewest requests; nil: none is ejected.
+// bestEjected returns the ejected worker with the lowest failure rate, or nil.
 func bestEjected(workers []*worker) *worker {
 	var best *worker
-	for _, known := range workers {
-		if known.ejection == nil {
+	for _, w := range workers {
+		if w.ejection == nil {
 			continue
 		}
-		if best == nil || known.ejection.share < best.ejection.share {
-			best = known
+		if best == nil || w.ejection.failureRate < best.ejection.failureRate {
+			best = w
 		}
 	}
 	return best
--- a/internal/experience/load_test.go
+++ b/internal/experience/load_test.go
@@ -11,37 +11,37 @@
 )
 
 const (
-	tick      = 10 * time.Millisecond
-	told      = 100 * time.Millisecond // between two reports of a node
-	takes     = 150 * time.Millisecond // a request
-	wellPaced = 3 * time.Millisecond   // a token
+	tick             = 10 * time.Millisecond
+	reportInterval   = 100 * time.Millisecond // between two reports of a node
+	requestDuration  = 150 * time.Millisecond
+	healthyTokenTime = 3 * time.Millisecond // per token
 )
 
-// fleet is nodes that send requests to workers and go by a board's verdicts alone.
+// fleet simulates nodes that choose workers by a board's verdicts alone.
 type fleet struct {
 	nodes, workers int
 	perSecond      float64 // requests of all nodes
-	busy           float64 // share of places taken, told to the board
+	busy           float64 // utilization passed to the board
 	fails          func(worker int, at time.Duration) float64
-	slow           func(worker int, at time.Duration) float64 // 0: not slow
-	link           func(node int) float64                     // share of requests that a node's own links break
-	down           bool                                       // what fails takes no connection, which shows at once
-	without        bool                                       // nodes hear no verdicts
-	begins         time.Duration                              // of the trouble: requests are counted from then on
-	lasts          time.Duration                              // the whole run
+	slow           func(worker int, at time.Duration) float64 // slowdown factor; 0: not slow
+	linkLoss       func(node int) float64                     // share of requests that fail because of a node's own links
+	failsFast      bool                                       // failures show at once, as refused connections do
+	noVerdicts     bool                                       // nodes receive no verdicts
+	troubleStart   time.Duration                              // when faults begin; requests are counted from then on
+	runFor         time.Duration                              // duration of the whole run
 }
 
-// result is what came of it.
+// result is the outcome of a run.
 type result struct {
 	sent, lost, slowed int
-	ejected            map[int]time.Duration // by worker: when first
-	back               map[int]time.Duration // by worker: when last
+	ejected            map[int]time.Duration // by worker: time of the first ejection
+	back               map[int]time.Duration // by worker: time of the last readmission
 	trialsFailed       int
-	mostOut            int
-	slowKnown          map[int]time.Duration // by worker: when first told
+	maxOut             int
+	slowReported       map[int]time.Duration // by worker: when it was first reported slow
 }
 
-// outcome is a request that is under way.
+// outcome is a request in flight.
 type outcome struct {
 	due          time.Duration
 	node, worker int
@@ -49,8 +49,8 @@
 	slow         float64
 }
 
-// names are the keys of workers.
-var names = func() (all [2 * mostWorkers]string) {
+// names are worker keys.
+var names = func() (all [2 * maxWorkers]string) {
 	for worker := range all {
 		all[worker] = fmt.Sprint("w", worker)
 	}
@@ -61,7 +61,7 @@
 
 func (f fleet) run(seed uint64) result {
 	random := rand.New(rand.NewPCG(seed, 1))
-	got := result{ejected: map[int]time.Duration{}, back: map[int]time.Duration{}, slowKnown: map[int]time.Duration{}}
+	got := result{ejected: map[int]time.Duration{}, back: map[int]time.Duration{}, slowReported: map[int]time.Duration{}}
 	start := time.Unix(1000, 0)
 	now := time.Duration(0)
 	out := map[string]bool{}
@@ -79,15 +79,15 @@
 		} else {
 			out[change.Worker] = true
 		}
-		got.mostOut = max(got.mostOut, len(out))
+		got.maxOut = max(got.maxOut, len(out))
 	})
 	board.SetBusy(f.busy)
 	keys := names[:f.workers]
 	seen := make([]map[int]*Sample, f.nodes)
 	verdicts := make([]map[string]Verdict, f.nodes)
-	var underWay []outcome
-	for ; now < f.lasts; now += tick {
-		underWay = slices.DeleteFunc(underWay, func(o outcome) bool {
+	var inFlight []outcome
+	for ; now < f.runFor; now += tick {
+		inFlight = slices.DeleteFunc(inFlight, func(o outcome) bool {
 			if o.due > now {
 				return false
 			}
@@ -103,7 +103,7 @@
 			if o.failed {
 				sample.Failures++
 			} else {
-				sample.Pace, sample.Paced = time.Duration(max(1, o.slow)*float64(wellPaced)), sample.Paced+3
+				sample.Pace, sample.Paced = time.Duration(max(1, o.slow)*float64(healthyTokenTime)), sample.Paced+3
 			}
 			return true
 		})
@@ -111,14 +111,14 @@
 			node := random.IntN(f.nodes)
 			worker, trial := f.choose(random, verdicts[node])
 			failed := random.Float64() < f.fails(worker, now)
-			if f.link != nil && random.Float64() < f.link(node) {
+			if f.linkLoss != nil && random.Float64() < f.linkLoss(node) {
 				failed = true
 			}
 			slow := 0.0
 			if f.slow != nil {
 				slow = f.slow(worker, now)
 			}
-			if now >= f.begins {
+			if now >= f.troubleStart {
 				got.sent++
 				if failed {
 					got.lost++
@@ -130,14 +130,14 @@
 					got.trialsFailed++
 				}
 			}
-			took := time.Duration(max(1, slow) * float64(takes))
-			if failed && f.down {
+			took := time.Duration(max(1, slow) * float64(requestDuration))
+			if failed && f.failsFast {
 				took = tick
 			}
-			underWay = append(underWay, outcome{due: now + took, node: node, worker: worker, failed: failed, slow: slow})
+			inFlight = append(inFlight, outcome{due: now + took, node: node, worker: worker, failed: failed, slow: slow})
 		}
 		for node := range f.nodes {
-			if (now/tick+time.Duration(node))%(told/tick) != 0 {
+			if (now/tick+time.Duration(node))%(reportInterval/tick) != 0 {
 				continue
 			}
 			var samples []Sample
@@ -147,7 +147,7 @@
 				}
 			}
 			seen[node] = nil
-			if f.without {
+			if f.noVerdicts {
 				continue
 			}
 			at := start.Add(now)
@@ -160,8 +160,8 @@
 				if verdict.Slow > 0 {
 					var worker int
 					_, _ = fmt.Sscanf(verdict.Worker, "w%d", &worker)
-					if _, ok := got.slowKnown[worker]; !ok {
-						got.slowKnown[worker] = now
+					if _, ok := got.slowReported[worker]; !ok {
+						got.slowReported[worker] = now
 					}
 				}
 			}
@@ -179,9 +179,9 @@
 	return count
 }
 
-// choose takes a trial if the node may make one, and else any worker that nothing speaks against.
+// choose takes a trial if the node was offered one, and otherwise a random unrestricted worker.
 func (f fleet) choose(random *rand.Rand, verdicts map[string]Verdict) (worker int, trial bool) {
-	if f.without {
+	if f.noVerdicts {
 		return random.IntN(f.workers), false
 	}
 	var free []int
@@ -202,122 +202,123 @@
 	return free[random.IntN(len(free))], false
 }
 
-func (r result) lossShare() float64 { return share(float64(r.lost), float64(r.sent)) }
+func (r result) lossRate() float64 { return ratio(float64(r.lost), float64(r.sent)) }
 
-// background is the share of requests that sound workers fail.
-const background = 0.01
+// baselineFailureRate is the failure rate of healthy workers.
+const baselineFailureRate = 0.01
 
-// broadcast is the load of a customer's 45 workers before 77 nodes.
-func broadcast() fleet {
+// largeFleet is 77 nodes with 45 workers at 60% utilization.
+func largeFleet() fleet {
 	return fleet{
-		nodes: 77, workers: 45, perSecond: 1200, busy: 0.6, begins: 3 * time.Second, lasts: 9500 * time.Millisecond,
-		fails: func(int, time.Duration) float64 { return background },
+		nodes: 77, workers: 45, perSecond: 1200, busy: 0.6, troubleStart: 3 * time.Second, runFor: 9500 * time.Millisecond,
+		fails: func(int, time.Duration) float64 { return baselineFailureRate },
 	}
 }
 
-func (f fleet) troubled(at time.Duration) bool {
-	return at >= f.begins && at < f.begins+6500*time.Millisecond
+func (f fleet) inTrouble(at time.Duration) bool {
+	return at >= f.troubleStart && at < f.troubleStart+6500*time.Millisecond
 }
 
-// forSeeds runs a load several times, with verdicts and without.
+// forSeeds runs a load for several seeds, with verdicts and without.
 func forSeeds(t *testing.T, load fleet, check func(t *testing.T, with, without result)) {
 	t.Helper()
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			alone := load
-			alone.without = true
+			alone.noVerdicts = true
 			check(t, load.run(seed), alone.run(seed))
 		})
 	}
 }
 
-// TestWorkersThatFailAPartOfTheirRequests: 14% of the workers fail 45%, behind a good health check.
-// Callers give a program 3 s: half of that must do to find such a worker.
-func TestWorkersThatFailAPartOfTheirRequests(t *testing.T) {
+// Guards against slow or missed detection of workers that fail 45% of their requests while their
+// health checks succeed. Callers time out after 3 s; detection may take half of that.
+func TestPartiallyFailingWorkersAreEjected(t *testing.T) {
 	const bad = 6
-	load := broadcast()
+	load := largeFleet()
 	load.fails = func(worker int, at time.Duration) float64 {
-		if worker < bad && load.troubled(at) {
+		if worker < bad && load.inTrouble(at) {
 			return 0.45
 		}
-		return background
+		return baselineFailureRate
 	}
 	forSeeds(t, load, func(t *testing.T, with, without result) {
 		require.Len(t, with.ejected, bad)
 		for worker, at := range with.ejected {
-			require.Less(t, worker, bad, "a sound worker was ejected")
-			require.Less(t, at-load.begins, 1500*time.Millisecond)
+			require.Less(t, worker, bad, "a healthy worker was ejected")
+			require.Less(t, at-load.troubleStart, 1500*time.Millisecond)
 		}
-		t.Logf("lost %.4f (without verdicts %.4f), ejected after %v, trials that failed %d", with.lossShare(), without.lossShare(), with.ejected, with.trialsFailed)
-		require.Less(t, with.lossShare()-background, (without.lossShare()-background)/3)
-		require.LessOrEqual(t, with.mostOut, 13)
+		t.Logf("lost %.4f (without verdicts %.4f), ejected after %v, trials that failed %d", with.lossRate(), without.lossRate(), with.ejected, with.trialsFailed)
+		require.Less(t, with.lossRate()-baselineFailureRate, (without.lossRate()-baselineFailureRate)/3)
+		require.LessOrEqual(t, with.maxOut, 13)
 	})
 }
 
-// TestWorkersThatGoUpAndDown: 10% of the workers are down and up by turns.
-func TestWorkersThatGoUpAndDown(t *testing.T) {
+// Guards against missing workers that are down and up in turns, and against keeping them ejected
+// long after they recover.
+func TestFlappingWorkersAreEjectedAndReadmitted(t *testing.T) {
 	for _, gap := range []time.Duration{900 * time.Millisecond, 1400 * time.Millisecond} {
 		t.Run(gap.String(), func(t *testing.T) {
 			const bad = 5
-			load := broadcast()
-			load.lasts, load.down = 16*time.Second, true
+			load := largeFleet()
+			load.runFor, load.failsFast = 16*time.Second, true
 			load.fails = func(worker int, at time.Duration) float64 {
-				if worker < bad && load.troubled(at) && (at-load.begins)/gap%2 == 0 {
+				if worker < bad && load.inTrouble(at) && (at-load.troubleStart)/gap%2 == 0 {
 					return 1
 				}
-				return background
+				return baselineFailureRate
 			}
 			forSeeds(t, load, func(t *testing.T, with, without result) {
 				require.Len(t, with.ejected, bad)
 				for worker, at := range with.ejected {
-					require.Less(t, worker, bad, "a sound worker was ejected")
-					require.Less(t, at-load.begins, gap)
+					require.Less(t, worker, bad, "a healthy worker was ejected")
+					require.Less(t, at-load.troubleStart, gap)
 				}
-				t.Logf("lost %.4f (without verdicts %.4f), back %v, trials that failed %d", with.lossShare(), without.lossShare(), with.back, with.trialsFailed)
-				require.Less(t, with.lossShare()-background, (without.lossShare()-background)/2)
+				t.Logf("lost %.4f (without verdicts %.4f), back %v, trials that failed %d", with.lossRate(), without.lossRate(), with.back, with.trialsFailed)
+				require.Less(t, with.lossRate()-baselineFailureRate, (without.lossRate()-baselineFailureRate)/2)
 				for worker := range bad {
 					require.Contains(t, with.back, worker)
-					require.Less(t, with.back[worker]-load.begins-6500*time.Millisecond, 5*time.Second, "soon back when it is sound")
+					require.Less(t, with.back[worker]-load.troubleStart-6500*time.Millisecond, 5*time.Second, "readmitted soon after recovery")
 				}
 			})
 		})
 	}
 }
 
-// TestSlowWorkersAreToldNotEjected: 16% of the workers are five times slower.
-func TestSlowWorkersAreToldNotEjected(t *testing.T) {
+// Guards against ejecting slow workers, or not reporting them, when 16% are five times slower.
+func TestSlowWorkersAreReportedNotEjected(t *testing.T) {
 	const bad = 7
-	load := broadcast()
+	load := largeFleet()
 	load.slow = func(worker int, at time.Duration) float64 {
-		if worker < bad && load.troubled(at) {
+		if worker < bad && load.inTrouble(at) {
 			return 5
 		}
 		return 1
 	}
 	forSeeds(t, load, func(t *testing.T, with, without result) {
 		require.Empty(t, with.ejected)
-		require.Len(t, with.slowKnown, bad)
-		for worker, at := range with.slowKnown {
-			require.Less(t, worker, bad, "a sound worker was told as slow")
-			require.Less(t, at-load.begins, 1500*time.Millisecond)
+		require.Len(t, with.slowReported, bad)
+		for worker, at := range with.slowReported {
+			require.Less(t, worker, bad, "a healthy worker was reported as slow")
+			require.Less(t, at-load.troubleStart, 1500*time.Millisecond)
 		}
 		t.Logf("to slow workers %d of %d (without verdicts %d)", with.slowed, with.sent, without.slowed)
 		require.Less(t, with.slowed, without.slowed/2)
 	})
 }
 
-// TestNodesWithBadLinksEjectNobody: what they send is lost wherever it goes.
-func TestNodesWithBadLinksEjectNobody(t *testing.T) {
-	for name, link := range map[string]func(node int) float64{
-		"one node loses all":         func(node int) float64 { return oneIn(node < 1, 1) },
-		"one node loses a third":     func(node int) float64 { return oneIn(node < 1, 0.33) },
-		"a zone's nodes lose all":    func(node int) float64 { return oneIn(node < 19, 1) },
-		"all nodes lose a tenth":     func(int) float64 { return 0.1 },
-		"all nodes lose all at once": func(int) float64 { return 1 },
+// Guards against ejecting workers because of nodes with lossy links.
+func TestLossyNodesEjectNoWorker(t *testing.T) {
+	for name, linkLoss := range map[string]func(node int) float64{
+		"one node loses everything":           func(node int) float64 { return shareIf(node < 1, 1) },
+		"one node loses a third":              func(node int) float64 { return shareIf(node < 1, 0.33) },
+		"all nodes of a zone lose everything": func(node int) float64 { return shareIf(node < 19, 1) },
+		"all nodes lose a tenth":              func(int) float64 { return 0.1 },
+		"all nodes lose everything":           func(int) float64 { return 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			load := broadcast()
-			load.link = link
+			load := largeFleet()
+			load.linkLoss = linkLoss
 			for seed := range uint64(2) {
 				require.Empty(t, load.run(seed).ejected)
 			}
@@ -325,19 +326,19 @@
 	}
 }
 
-func oneIn(is bool, share float64) float64 {
+func shareIf(is bool, share float64) float64 {
 	if is {
 		return share
 	}
 	return 0
 }
 
-// TestCalmDayEjectsNobody: a minute of requests, 2% of which fail anywhere.
-func TestCalmDayEjectsNobody(t *testing.T) {
-	load := broadcast()
-	load.lasts = time.Minute
+// Guards against ejections at a uniform failure rate of 2%.
+func TestBaselineFailuresEjectNoWorker(t *testing.T) {
+	load := largeFleet()
+	load.runFor = time.Minute
 	load.fails = func(int, time.Duration) float64 { return 0.02 }
 	got := load.run(1)
 	require.Empty(t, got.ejected)
-	require.Empty(t, got.slowKnown)
+	require.Empty(t, got.slowReported)
 }
--- a/internal/experience/slow.go
+++ b/internal/experience/slow.go
@@ -3,99 +3,100 @@
 import "time"
 
 const (
-	// slowFrom is how many times as long as the median a token must take to count as slow.
-	slowFrom = 1.3
-	// enoughPaced is the weight of measurements that tell a worker's pace.
-	enoughPaced = 2.0
-	// slowTrialEvery is the time between two trials of a slow worker that gets few requests, and
-	// slowUntried after how long without a measurement it is taken to be like others.
-	slowTrialEvery = 500 * time.Millisecond
-	slowUntried    = 5 * time.Second
-	// fewestPaced is how many workers must have shown their pace for one to be slow.
-	fewestPaced = 3
-	// costOfFailure is what a sure failure is taken to cost: the time until another worker is asked.
-	costOfFailure = 200 * time.Millisecond
-	// costOfSilence is how long a request without a first event waits before it is looked after.
-	costOfSilence = 200 * time.Millisecond
+	// minSlowdown is the ratio to the group's median time per token from which a worker is slow.
+	minSlowdown = 1.3
+	// minPaceWeight is the weight of measurements from which a worker's time per token is known.
+	minPaceWeight = 2.0
+	// slowTrialInterval is the time between two trials of a slow worker, and slowTTL how long it
+	// stays slow without measurements.
+	slowTrialInterval = 500 * time.Millisecond
+	slowTTL           = 5 * time.Second
+	// minWorkersWithPace is how many workers need a known time per token before any counts as
+	// slow.
+	minWorkersWithPace = 3
+	// failureCost is the cost of a certain failure: the delay before the retry at another worker.
+	failureCost = 200 * time.Millisecond
+	// silenceCost is how long a request waits for a late first event before the node acts on it.
+	silenceCost = 200 * time.Millisecond
 )
 
-// pace is the median over nodes of what a token takes at a worker; a node that is slow itself sees
-// all workers slow. known is false if too little was seen.
-func (w *worker) pace(now time.Time) (step float64, known bool) {
-	paces := make([]weighed, 0, len(w.cells))
+// medianPace returns the median time per token over nodes, in nanoseconds, so that a node that is
+// slow itself doesn't make workers look slow. known is false if there are too few measurements.
+func (w *worker) medianPace(now time.Time) (tokenTime float64, known bool) {
+	values := make([]weightedValue, 0, len(w.byNode))
 	total := 0.0
-	for _, told := range w.cells {
-		told.pace.age(now)
-		if told.pace.weight > 0 {
-			paces = append(paces, weighed{float64(told.pace.mean), told.pace.weight})
-			total += told.pace.weight
+	for _, stats := range w.byNode {
+		stats.pace.decay(now)
+		if stats.pace.weight > 0 {
+			values = append(values, weightedValue{float64(stats.pace.mean), stats.pace.weight})
+			total += stats.pace.weight
 		}
 	}
-	return median(paces), total >= enoughPaced
+	return median(values), total >= minPaceWeight
 }
 
-// judgePaces finds the slow workers of a group, and what sending a request to each costs.
-func (b *Board) judgePaces(workers []*worker, now time.Time) {
-	steps := make([]weighed, 0, len(workers))
-	for _, known := range workers {
-		known.step = 0
-		if step, ok := known.pace(now); ok {
-			known.step = step
-			steps = append(steps, weighed{step, 1})
+// evaluateTokenTimes updates the slowdown and the cost of a group's workers.
+func (b *Board) evaluateTokenTimes(workers []*worker, now time.Time) {
+	tokenTimes := make([]weightedValue, 0, len(workers))
+	for _, w := range workers {
+		w.tokenTime = 0
+		if tokenTime, ok := w.medianPace(now); ok {
+			w.tokenTime = tokenTime
+			tokenTimes = append(tokenTimes, weightedValue{tokenTime, 1})
 		}
 	}
-	usual := median(steps)
-	fellows := fellowShare(workers, now)
-	silent := fellowSilence(workers)
-	for _, known := range workers {
-		known.judgePace(usual, len(steps), now)
-		known.cost = known.costBeside(fellows, silent)
+	typical := median(tokenTimes)
+	typicalFailures := medianFailureRate(workers, now)
+	typicalSilences := medianSilenceRate(workers)
+	for _, w := range workers {
+		w.updateSlowdown(typical, len(tokenTimes), now)
+		w.cost = w.extraCost(typicalFailures, typicalSilences)
 	}
 }
 
-// judgePace decides whether a worker is slow beside what is usual for so many. One that gets no
-// requests because it was slow stays so until a trial shows otherwise.
-func (w *worker) judgePace(usual float64, shown int, now time.Time) {
+// updateSlowdown compares a worker's time per token with the median of the reporting workers. A
+// slow worker receives few requests, so without measurements it stays slow until slowTTL.
+func (w *worker) updateSlowdown(typical float64, reporting int, now time.Time) {
 	switch {
-	case w.step == 0 && now.Sub(w.pacedAt) < slowUntried:
+	case w.tokenTime == 0 && now.Sub(w.tokenTimeAt) < slowTTL:
 		return
-	case w.step == 0 || shown < fewestPaced || w.step < slowFrom*usual:
-		w.slow = 0
+	case w.tokenTime == 0 || reporting < minWorkersWithPace || w.tokenTime < minSlowdown*typical:
+		w.slowdown = 0
 	default:
-		w.slow = w.step / usual
+		w.slowdown = w.tokenTime / typical
 	}
-	w.pacedAt = now
+	w.tokenTimeAt = now
 }
 
-// tryPace reports whether the asker may send a slow worker one request.
-func (w *worker) tryPace(now time.Time) bool {
-	if w.slow == 0 || now.Before(w.nextPaced) {
+// offerSlowTrial reports whether the calling node may send a slow worker one request.
+func (w *worker) offerSlowTrial(now time.Time) bool {
+	if w.slowdown == 0 || now.Before(w.nextSlowTrial) {
 		return false
 	}
-	w.nextPaced = now.Add(slowTrialEvery)
+	w.nextSlowTrial = now.Add(slowTrialInterval)
 	return true
 }
 
-// fellowSilence is the median share of silences of workers.
-func fellowSilence(workers []*worker) float64 {
-	shares := make([]weighed, 0, len(workers))
-	for _, known := range workers {
-		if known.recent.requests+known.recent.silences >= leastUse {
-			shares = append(shares, weighed{known.recent.silenceShare(), 1})
+// medianSilenceRate returns the median share of requests with late first events.
+func medianSilenceRate(workers []*worker) float64 {
+	rates := make([]weightedValue, 0, len(workers))
+	for _, w := range workers {
+		if w.recent.requests+w.recent.silences >= minRequestWeight {
+			rates = append(rates, weightedValue{w.recent.silenceRate(), 1})
 		}
 	}
-	return median(shares)
+	return median(rates)
 }
 
-// costBeside is what a worker's failures and silences cost beyond those of its fellows; 0 unless
-// they are clearly more.
-func (w *worker) costBeside(failures, silences float64) time.Duration {
+// extraCost returns the expected extra latency per request because of failures and late first
+// events beyond the group's medians; 0 unless they are clearly more.
+func (w *worker) extraCost(failures, silences float64) time.Duration {
 	cost := time.Duration(0)
-	if more := w.charged.share - aboveFellows*failures; w.charged.against > enoughAgainst/2 && more > 0 {
-		cost += time.Duration(more * float64(costOfFailure))
+	if more := w.evidence.failureRate - healthyRateFactor*failures; w.evidence.corroborated > ejectionThreshold/2 && more > 0 {
+		cost += time.Duration(more * float64(failureCost))
 	}
-	if more := w.recent.silenceShare() - silences; w.recent.silences >= 1 && more >= clearlyWorse {
-		cost += time.Duration(more * float64(costOfSilence))
+	if more := w.recent.silenceRate() - silences; w.recent.silences >= 1 && more >= minExcessRate {
+		cost += time.Duration(more * float64(silenceCost))
 	}
 	return cost
 }
--- a/internal/experience/trust.go
+++ b/internal/experience/trust.go
@@ -5,59 +5,61 @@
 	"time"
 )
 
-// A node that sees failures at most of the workers that it uses has bad links, or is itself at
-// fault: its word counts for less, and for nothing if they are half of them.
+// A node that sees failures at many of the workers it uses probably has faulty links or is faulty
+// itself. Its reports are weighted by a trust that falls from 1 to 0 with the share of workers
+// that it sees failing (its spread).
 const (
-	// trustedSpread is up to which share of its workers a node may see failing and is believed. It is
-	// also the largest share of workers that is ejected.
-	trustedSpread = mostEjected
-	// distrustedSpread is the share from which on it is not believed at all.
-	distrustedSpread = 0.5
-	// fewestUsed is how many workers a node must use for that to tell anything.
-	fewestUsed = 4
-	// failingShare is the share of its requests from which on a worker counts as failing at a node.
-	failingShare = 0.3
-	// leastUse is the weight of a request that is still remembered.
-	leastUse = 0.25
-	// believed is the least trust in a node whose trial of a worker counts.
-	believed = 0.5
+	// fullTrustSpread is the spread up to which a node is fully trusted. It equals the maximum
+	// share of ejected workers.
+	fullTrustSpread = maxEjectedShare
+	// zeroTrustSpread is the spread from which a node's reports are ignored.
+	zeroTrustSpread = 0.5
+	// minWorkersUsed is the number of workers that a node must use before its trust is reduced.
+	minWorkersUsed = 4
+	// failingRate is the failure rate from which a worker counts as failing for a node.
+	failingRate = 0.3
+	// minRequestWeight is the decayed request count below which reports are ignored.
+	minRequestWeight = 0.25
+	// minTrialTrust is the trust from which a node's trial outcomes count.
+	minTrialTrust = 0.5
 )
 
-// judgeNodes finds how much the word of each node counts, from 0 to 1.
-func (b *Board) judgeNodes(workers []*worker, now time.Time) {
+// updateTrust recomputes the trust in each node. While no worker is suspected, all are trusted.
+func (b *Board) updateTrust(workers []*worker, now time.Time) {
 	clear(b.trust)
-	if !slices.ContainsFunc(workers, func(w *worker) bool { return w.doubted }) {
+	if !slices.ContainsFunc(workers, func(w *worker) bool { return w.suspected }) {
 		return
 	}
 	used, failing := map[string]int{}, map[string]int{}
-	for _, known := range workers {
-		for node, told := range known.cells {
-			told.spread.age(now, spreadHalfLife)
-			if told.spread.requests < leastUse {
+	for _, w := range workers {
+		for node, stats := range w.byNode {
+			stats.spread.decay(now, spreadHalfLife)
+			if stats.spread.requests < minRequestWeight {
 				continue
 			}
 			used[node]++
-			if told.spread.failureShare() >= failingShare {
+			if stats.spread.failureRate() >= failingRate {
 				failing[node]++
 			}
 		}
 	}
-	for node, workers := range used {
-		if trust := trustOf(workers, failing[node]); trust < 1 {
+	for node, count := range used {
+		if trust := trustFor(count, failing[node]); trust < 1 {
 			b.trust[node] = trust
 		}
 	}
 }
 
-func trustOf(used, failing int) float64 {
-	if used < fewestUsed {
+// trustFor returns the trust in a node that uses some workers, of which some are failing.
+func trustFor(used, failing int) float64 {
+	if used < minWorkersUsed {
 		return 1
 	}
 	spread := float64(failing) / float64(used)
-	return min(1, max(0, (distrustedSpread-spread)/(distrustedSpread-trustedSpread)))
+	return min(1, max(0, (zeroTrustSpread-spread)/(zeroTrustSpread-fullTrustSpread)))
 }
 
-// trustIn is how much a node's word counts.
+// trustIn returns the trust in a node, from 0 to 1.
 func (b *Board) trustIn(node string) float64 {
 	if trust, ok := b.trust[node]; ok {
 		return trust
