--- a/internal/silence/arrival.go
+++ b/internal/silence/arrival.go
@@ -8,70 +8,70 @@
 )
 
 const (
-	// delayedAcknowledgement is for how long a peer's kernel may keep an acknowledgement back, waiting
-	// for bytes to send it with, and longestDelay how late that may be where its timers are late.
-	delayedAcknowledgement = 40 * time.Millisecond
-	longestDelay           = 2 * delayedAcknowledgement
-	// variations of the round trip are allowed for beyond it, as TCP does before it sends again.
-	variations = 4
+	// delayedAckTimeout is how long the peer's kernel may delay an acknowledgement, and
+	// maxAckDelay the allowance for it, which covers late timers.
+	delayedAckTimeout = 40 * time.Millisecond
+	maxAckDelay       = 2 * delayedAckTimeout
+	// variationFactor is the number of round-trip variations allowed for beyond the round trip, as
+	// in TCP's retransmission timeout.
+	variationFactor = 4
 )
 
-// Arrival is what the kernel knows of the bytes written to a connection.
-type Arrival struct {
-	Waiting      bool          // some are not acknowledged by the peer's kernel
-	Acknowledged uint64        // how many are, since the connection was opened
-	SinceSent    time.Duration // since bytes were last sent
-	// RoundTrip is how long acknowledgements were lately seen to take, and Variation by how much
-	// that differs from one to the next.
-	RoundTrip, Variation time.Duration
+// SendState is the kernel's state of the bytes written to a connection.
+type SendState struct {
+	Unacknowledged    bool          // bytes are not yet acknowledged by the peer's kernel
+	BytesAcknowledged uint64        // since the connection was opened
+	SinceLastSend     time.Duration // since the kernel last sent data
+	// RoundTrip and RoundTripVariation are the kernel's smoothed estimates.
+	RoundTrip, RoundTripVariation time.Duration
 }
 
-// usual is how long an acknowledgement may be expected to take.
-func (a Arrival) usual() time.Duration {
-	return a.RoundTrip + variations*a.Variation + longestDelay
+// expectedAckTime returns how long an acknowledgement may take before it is overdue.
+func (s SendState) expectedAckTime() time.Duration {
+	return s.RoundTrip + variationFactor*s.RoundTripVariation + maxAckDelay
 }
 
-// ArrivalOf asks the kernel. known is false where it does not tell.
-func ArrivalOf(connection net.Conn) (arrival Arrival, known bool) {
+// SendStateOf reads a connection's state from the kernel. known is false if it is unavailable.
+func SendStateOf(connection net.Conn) (state SendState, known bool) {
 	raw, ok := connection.(syscall.Conn)
 	if !ok {
-		return Arrival{}, false
+		return SendState{}, false
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
-		return Arrival{}, false
+		return SendState{}, false
 	}
-	var failure error
-	err = control.Control(func(descriptor uintptr) { arrival, failure = arrivalOf(descriptor) })
-	return arrival, err == nil && failure == nil
+	var sockErr error
+	err = control.Control(func(descriptor uintptr) { state, sockErr = sendStateOf(descriptor) })
+	return state, err == nil && sockErr == nil
 }
 
-// Acknowledgements follows what a connection's peer acknowledges, from one look to the next. Its
-// zero value is ready; it is safe for concurrent use.
+// Acknowledgements tracks a connection's acknowledgements across checks. Its zero value is ready
+// for use; it is safe for concurrent use.
 type Acknowledgements struct {
-	mutex   sync.Mutex
-	count   uint64    // of bytes acknowledged at the last look
-	waiting time.Time // when a look first found bytes waiting beyond these; zero: none did
+	mutex        sync.Mutex
+	acknowledged uint64    // bytes acknowledged at the last check
+	waitingSince time.Time // first check that saw bytes beyond these unacknowledged; zero: none did
 }
 
-// Overdue reports whether bytes written to a connection wait for its peer's acknowledgement for longer
-// than its acknowledgements were seen to take. Bytes that were written a moment ago are not
-// overdue. It is false where the kernel does not tell.
+// Overdue reports whether written bytes have gone unacknowledged for longer than the connection's
+// round trips account for. It reports false for bytes written a moment ago, and where the kernel's
+// state is unavailable.
 func (a *Acknowledgements) Overdue(connection net.Conn) bool {
-	seen, known := ArrivalOf(connection)
+	seen, known := SendStateOf(connection)
 	return known && a.overdue(seen, time.Now())
 }
 
-func (a *Acknowledgements) overdue(seen Arrival, now time.Time) bool {
+func (a *Acknowledgements) overdue(seen SendState, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if !seen.Waiting {
-		a.waiting = time.Time{}
+	if !seen.Unacknowledged {
+		a.waitingSince = time.Time{}
 		return false
 	}
-	if a.waiting.IsZero() || seen.Acknowledged != a.count {
-		a.count, a.waiting = seen.Acknowledged, now
+	if a.waitingSince.IsZero() || seen.BytesAcknowledged != a.acknowledged {
+		a.acknowledged, a.waitingSince = seen.BytesAcknowledged, now
 	}
-	waited := max(now.Sub(a.waiting), seen.SinceSent)
-	return waited > seen.usual()
+	waited := max(now.Sub(a.waitingSince), seen.SinceLastSend)
+	return waited > seen.expectedAckTime()
 }
--- a/internal/silence/guard.go
+++ b/internal/silence/guard.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// Guard holds connections of one kind to their limits. Its zero value does nothing.
+// Guard applies limits to connections of one kind. Its zero value does nothing.
 type Guard struct {
 	Limits
-	// GivenUp counts connections that were given up as silent; may be nil.
+	// GivenUp is called for each connection that is abandoned as dead; may be nil.
 	GivenUp func()
-	// Unguarded is told when the kernel does not take a limit; may be nil.
+	// Unguarded is called with the error if the kernel rejects a socket option; may be nil.
 	Unguarded func(error)
 }
 
-// Protect puts a new connection under the limits. way is how long it took to open, which is
-// once there and back; 0: not known. Connections other than TCP's stay as they are.
-func (g Guard) Protect(connection net.Conn, way time.Duration) {
+// Protect applies the limits to a new connection. roundTrip is how long it took to open; 0 means
+// unknown. Connections other than TCP are left unchanged.
+func (g Guard) Protect(connection net.Conn, roundTrip time.Duration) {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
 		return
 	}
-	if bound := g.Unacknowledged(way); bound > 0 {
-		g.report(setUnacknowledged(tcp, bound))
+	if timeout := g.UserTimeout(roundTrip); timeout > 0 {
+		g.report(setUserTimeout(tcp, timeout))
 	}
 	if g.Idle > 0 {
-		g.report(tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: g.Idle, Interval: g.Every, Count: g.Probes}))
+		g.report(tcp.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: g.Idle, Interval: g.Interval, Count: g.Probes}))
 	}
 }
 
-// Stretch gives the peer of a protected connection the time to read a long message.
+// Stretch raises the limit of a protected connection to MaxUnread, so that its peer has time to
+// read a long message.
 func (g Guard) Stretch(connection net.Conn) {
 	tcp, ok := connection.(*net.TCPConn)
-	if !ok || g.Unread <= g.Unacknowledged(0) {
+	if !ok || g.MaxUnread <= g.UserTimeout(0) {
 		return
 	}
-	g.report(setUnacknowledged(tcp, g.Unread))
+	g.report(setUserTimeout(tcp, g.MaxUnread))
 }
 
 func (g Guard) report(err error) {
@@ -46,17 +47,17 @@
 	}
 }
 
-// Count counts a connection that was given up as silent.
+// Count calls GivenUp, if set.
 func (g Guard) Count() {
 	if g.GivenUp != nil {
 		g.GivenUp()
 	}
 }
 
-// Broken reports whether an error is the kernel's word that a connection has fallen silent.
+// Broken reports whether err is the kernel's timeout of a dead connection (ETIMEDOUT).
 func Broken(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
 
-// Listener puts the connections that it accepts under a guard's limits.
+// Listener applies a guard to each connection that it accepts.
 type Listener struct {
 	net.Listener
 	Guard Guard
--- a/internal/silence/limits.go
+++ b/internal/silence/limits.go
@@ -1,108 +1,108 @@
-// Package silence finds connections that have fallen silent for good though nobody has
-// closed them: it has the kernel break one whose bytes stay unacknowledged, and probe one
-// that is idle. A peer that merely takes long is not silent, for its kernel acknowledges.
+// Package silence detects dead TCP connections, whose peer or network path is gone without a
+// close. It makes the kernel break connections whose bytes stay unacknowledged (TCP_USER_TIMEOUT)
+// and probe idle ones (keep-alive). A slow peer isn't affected, since its kernel acknowledges.
 package silence
 
 import "time"
 
-// Limits is what connections of one kind are held to. The zero value leaves all to the
-// kernel, which waits for many minutes.
+// Limits are the timeouts for connections of one kind. The zero value keeps the kernel's defaults,
+// which take many minutes.
 type Limits struct {
-	// Sendings is how often bytes are sent, at most, before a connection on which none
-	// of these is acknowledged is given up; 0: Most alone bounds that.
-	Sendings int
-	// Most is how long bytes may stay unacknowledged at all; 0: not bounded.
-	Most time.Duration
-	// Unread is how long a peer may take no more of a long message; 0: Most. The kernel
-	// counts a full window of a peer that acknowledges as unacknowledged, too.
-	Unread time.Duration
-	// Idle is after how long without a byte a probe is sent, and Every the time between
-	// probes, Probes the number of those that may stay unanswered. The kernel takes whole
-	// seconds. Idle 0: no probes.
-	Idle, Every time.Duration
-	Probes      int
+	// Transmissions is how often bytes are sent without an acknowledgement before the connection
+	// is broken; 0: only MaxUnacknowledged applies.
+	Transmissions int
+	// MaxUnacknowledged is the maximum time that bytes may stay unacknowledged; 0: no limit.
+	MaxUnacknowledged time.Duration
+	// MaxUnread is how long the peer may stop reading within a long message; 0: MaxUnacknowledged
+	// applies. The kernel also counts bytes that don't fit the peer's receive window as
+	// unacknowledged.
+	MaxUnread time.Duration
+	// Idle is the time without traffic before the first keep-alive probe, Interval the time
+	// between probes, and Probes the number that may stay unanswered. The kernel supports whole
+	// seconds only. Idle 0: no probes.
+	Idle, Interval time.Duration
+	Probes         int
 }
 
 const (
-	// shortestRetransmission is the kernel's wait before it first sends bytes again
-	// where the way is short; it doubles with each time.
-	shortestRetransmission = 200 * time.Millisecond
-	// usualFresh stands for the settings' bound on being in touch again where they give none.
-	usualFresh = 3 * time.Second
-	// probeEvery is the shortest time between probes, and before the first, that the
-	// kernel knows.
-	probeEvery = time.Second
+	// minRetransmissionTimeout is the kernel's timeout before the first retransmission at a short
+	// round trip; it doubles with each one.
+	minRetransmissionTimeout = 200 * time.Millisecond
+	// defaultRecovery applies if the settings give no recovery time.
+	defaultRecovery = 3 * time.Second
+	// minProbeInterval is the shortest keep-alive time that the kernel supports.
+	minProbeInterval = time.Second
 )
 
 const (
-	// shortSendings: calls between nodes and to the table are soon made another way, so
-	// two sendings without an acknowledgement are enough (0.6 s on a short way).
-	shortSendings = 2
-	// longSendings: a request to a worker may be one that cannot be repeated. Four sendings
-	// (3 s on a short way) outlast a link that is cut for some 2 s. The kernel gives an idle
-	// connection up by the same bound, not by the number of probes: with three sendings
-	// (1.4 s) a single lost probe would end a request at which its worker still works.
-	longSendings = 4
-	// mostShare of the time within which a node must be in touch again is the bound on
-	// ways however long: as much is left for the next connection.
-	mostShare = 2
-	// probesUnanswered of an idle connection mean that it is silent.
-	probesUnanswered = 2
+	// shortTransmissions applies to calls between nodes and to the table, which are soon retried
+	// over another connection: two transmissions (0.6 s at a short round trip).
+	shortTransmissions = 2
+	// longTransmissions applies to requests to workers, which may not be repeatable: four
+	// transmissions (3 s at a short round trip) survive a link that is down for 2 s. The kernel
+	// applies this limit to idle connections too, instead of the number of probes: with three
+	// transmissions (1.4 s) one lost probe would break a request that its worker still processes.
+	longTransmissions = 4
+	// recoveryDivisor limits an attempt to a fraction of the recovery time, regardless of the
+	// round trip, which leaves as much for the next connection.
+	recoveryDivisor = 2
+	// maxUnansweredProbes is the number of unanswered probes that break an idle connection.
+	maxUnansweredProbes = 2
 )
 
-// ForNodes are the limits of connections between nodes. fresh is how soon after trouble a
-// node must be in touch again; 0: not said.
-func ForNodes(fresh time.Duration) Limits { return short(fresh) }
+// ForNodes returns the limits of connections between nodes. recovery is how soon a node must be
+// reachable again after a fault; 0 means 3 s.
+func ForNodes(recovery time.Duration) Limits { return shortLimits(recovery) }
 
-// ForTable are the limits of connections to the table.
-func ForTable(fresh time.Duration) Limits { return short(fresh) }
+// ForTable returns the limits of connections to the table. recovery is as in ForNodes.
+func ForTable(recovery time.Duration) Limits { return shortLimits(recovery) }
 
-func short(fresh time.Duration) Limits {
+func shortLimits(recovery time.Duration) Limits {
 	return Limits{
-		Sendings: shortSendings,
-		Most:     orUsual(fresh) / mostShare,
-		Idle:     probeEvery, Every: probeEvery, Probes: probesUnanswered,
+		Transmissions:     shortTransmissions,
+		MaxUnacknowledged: orDefault(recovery) / recoveryDivisor,
+		Idle:              minProbeInterval, Interval: minProbeInterval, Probes: maxUnansweredProbes,
 	}
 }
 
-// ForWorkers are the limits of connections to workers. A worker that is slow to read a long
-// body is given the whole of fresh.
-func ForWorkers(fresh time.Duration) Limits {
+// ForWorkers returns the limits of connections to workers. recovery is as in ForNodes; a worker
+// may take all of it to read a long body.
+func ForWorkers(recovery time.Duration) Limits {
 	return Limits{
-		Sendings: longSendings,
-		Most:     max(orUsual(fresh), shortestRetransmission<<longSendings),
-		Unread:   max(orUsual(fresh), shortestRetransmission<<longSendings),
-		Idle:     probeEvery, Every: probeEvery, Probes: probesUnanswered,
+		Transmissions:     longTransmissions,
+		MaxUnacknowledged: max(orDefault(recovery), minRetransmissionTimeout<<longTransmissions),
+		MaxUnread:         max(orDefault(recovery), minRetransmissionTimeout<<longTransmissions),
+		Idle:              minProbeInterval, Interval: minProbeInterval, Probes: maxUnansweredProbes,
 	}
 }
 
-// ForClients are the limits of clients' connections. A client may be slow to read, so one
-// that takes nothing is given up only after grace, for which a planned stop would wait for
-// it; one that is silent while nothing is sent to it, after fresh and the probes.
-func ForClients(fresh, grace time.Duration) Limits {
+// ForClients returns the limits of client connections. A client that stops reading is disconnected
+// after grace, the time that a planned shutdown would wait for it. An idle one is probed after
+// recovery, which is as in ForNodes.
+func ForClients(recovery, grace time.Duration) Limits {
 	return Limits{
-		Most: grace,
-		Idle: max(orUsual(fresh), probeEvery), Every: probeEvery, Probes: probesUnanswered,
+		MaxUnacknowledged: grace,
+		Idle:              max(orDefault(recovery), minProbeInterval), Interval: minProbeInterval, Probes: maxUnansweredProbes,
 	}
 }
 
-func orUsual(fresh time.Duration) time.Duration {
-	if fresh <= 0 {
-		return usualFresh
+func orDefault(recovery time.Duration) time.Duration {
+	if recovery <= 0 {
+		return defaultRecovery
 	}
-	return fresh
+	return recovery
 }
 
-// Unacknowledged is how long bytes may stay unacknowledged on a way that takes so long there
-// and back; 0: not bounded.
-func (l Limits) Unacknowledged(way time.Duration) time.Duration {
-	if l.Sendings == 0 {
-		return l.Most
+// UserTimeout returns how long bytes may stay unacknowledged on a connection with this round trip;
+// 0: no limit.
+func (l Limits) UserTimeout(roundTrip time.Duration) time.Duration {
+	if l.Transmissions == 0 {
+		return l.MaxUnacknowledged
 	}
-	waits := time.Duration(1<<l.Sendings - 1) // 1, 2, 4, ... retransmission times
-	bound := waits * (shortestRetransmission + way)
-	if l.Most > 0 {
-		return min(bound, l.Most)
+	backoffUnits := time.Duration(1<<l.Transmissions - 1) // 1+2+4+... retransmission timeouts
+	timeout := backoffUnits * (minRetransmissionTimeout + roundTrip)
+	if l.MaxUnacknowledged > 0 {
+		return min(timeout, l.MaxUnacknowledged)
 	}
-	return bound
+	return timeout
 }
--- a/internal/silence/silence_linux_test.go
+++ b/internal/silence/silence_linux_test.go
@@ -9,22 +9,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLimitsFollowTheWayAndTheSettings(t *testing.T) {
-	const fresh, grace = 3 * time.Second, 8 * time.Second
-	near, far := 2*time.Millisecond, 100*time.Millisecond
-	require.Equal(t, 606*time.Millisecond, ForNodes(fresh).Unacknowledged(near))
-	require.Equal(t, 900*time.Millisecond, ForTable(fresh).Unacknowledged(far), "longer for far ways")
-	require.Equal(t, 500*time.Millisecond, ForTable(time.Second).Unacknowledged(far), "within the settings' bound")
-	require.Equal(t, 3030*time.Millisecond, ForWorkers(fresh).Unacknowledged(near))
-	require.GreaterOrEqual(t, ForWorkers(time.Second).Unacknowledged(near), 3000*time.Millisecond, "no short loss breaks what cannot be repeated")
-	require.Equal(t, 3200*time.Millisecond, ForWorkers(fresh).Unread)
-	require.Equal(t, grace, ForClients(fresh, grace).Unacknowledged(near))
-	require.Equal(t, ForNodes(3*time.Second), ForNodes(0), "settings that say nothing")
-	require.Zero(t, Limits{}.Unacknowledged(near))
+// Guards against timeouts that are too short for long round trips, or longer than the settings
+// permit.
+func TestLimitsFollowRoundTripAndSettings(t *testing.T) {
+	const recovery, grace = 3 * time.Second, 8 * time.Second
+	shortRTT, longRTT := 2*time.Millisecond, 100*time.Millisecond
+	require.Equal(t, 606*time.Millisecond, ForNodes(recovery).UserTimeout(shortRTT))
+	require.Equal(t, 900*time.Millisecond, ForTable(recovery).UserTimeout(longRTT), "scales with the round trip")
+	require.Equal(t, 500*time.Millisecond, ForTable(time.Second).UserTimeout(longRTT), "limited by the settings")
+	require.Equal(t, 3030*time.Millisecond, ForWorkers(recovery).UserTimeout(shortRTT))
+	require.GreaterOrEqual(t, ForWorkers(time.Second).UserTimeout(shortRTT), 3000*time.Millisecond, "a short outage must not break requests that cannot be repeated")
+	require.Equal(t, 3200*time.Millisecond, ForWorkers(recovery).MaxUnread)
+	require.Equal(t, grace, ForClients(recovery, grace).UserTimeout(shortRTT))
+	require.Equal(t, ForNodes(3*time.Second), ForNodes(0), "default recovery time")
+	require.Zero(t, Limits{}.UserTimeout(shortRTT))
 }
 
-// pair is both ends of a connection.
-func pair(t *testing.T, guard Guard) (dialed, accepted net.Conn) {
+// connect returns both ends of a connection; the accepted one is guarded.
+func connect(t *testing.T, guard Guard) (dialed, accepted net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -37,99 +39,103 @@
 	return dialed, accepted
 }
 
-func option(t *testing.T, connection net.Conn, name int) int {
+func tcpOption(t *testing.T, connection net.Conn, name int) int {
 	control, err := connection.(syscall.Conn).SyscallConn()
 	require.NoError(t, err)
 	var value int
-	var failure error
+	var sockErr error
 	require.NoError(t, control.Control(func(descriptor uintptr) {
-		value, failure = syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, name)
+		value, sockErr = syscall.GetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, name)
 	}))
-	require.NoError(t, failure)
+	require.NoError(t, sockErr)
 	return value
 }
 
-func TestConnectionsAreHeldToTheirLimits(t *testing.T) {
+// Guards against connections without the timeouts of their kind.
+func TestGuardSetsSocketOptions(t *testing.T) {
 	guard := Guard{Limits: ForWorkers(0)}
-	dialed, accepted := pair(t, guard)
-	require.Equal(t, 3000, option(t, accepted, tcpUserTimeout), "of the listener")
+	dialed, accepted := connect(t, guard)
+	require.Equal(t, 3000, tcpOption(t, accepted, tcpUserTimeout), "set by the listener")
 	guard.Protect(dialed, time.Millisecond)
-	require.Equal(t, 3015, option(t, dialed, tcpUserTimeout))
-	require.Equal(t, 1, option(t, dialed, syscall.TCP_KEEPIDLE))
-	require.Equal(t, 1, option(t, dialed, syscall.TCP_KEEPINTVL))
-	require.Equal(t, probesUnanswered, option(t, dialed, syscall.TCP_KEEPCNT))
+	require.Equal(t, 3015, tcpOption(t, dialed, tcpUserTimeout))
+	require.Equal(t, 1, tcpOption(t, dialed, syscall.TCP_KEEPIDLE))
+	require.Equal(t, 1, tcpOption(t, dialed, syscall.TCP_KEEPINTVL))
+	require.Equal(t, maxUnansweredProbes, tcpOption(t, dialed, syscall.TCP_KEEPCNT))
 	guard.Stretch(dialed)
-	require.Equal(t, 3200, option(t, dialed, tcpUserTimeout))
+	require.Equal(t, 3200, tcpOption(t, dialed, tcpUserTimeout))
 }
 
+// Guards against a zero Guard that modifies connections.
 func TestZeroGuardChangesNothing(t *testing.T) {
-	dialed, _ := pair(t, Guard{})
-	before := option(t, dialed, syscall.TCP_KEEPIDLE)
+	dialed, _ := connect(t, Guard{})
+	before := tcpOption(t, dialed, syscall.TCP_KEEPIDLE)
 	Guard{}.Protect(dialed, time.Millisecond)
 	Guard{}.Stretch(dialed)
 	Guard{}.Count()
-	require.Zero(t, option(t, dialed, tcpUserTimeout))
-	require.Equal(t, before, option(t, dialed, syscall.TCP_KEEPIDLE))
+	require.Zero(t, tcpOption(t, dialed, tcpUserTimeout))
+	require.Equal(t, before, tcpOption(t, dialed, syscall.TCP_KEEPIDLE))
 }
 
-func TestRefusedLimitIsTold(t *testing.T) {
-	dialed, _ := pair(t, Guard{})
-	var told error
-	Guard{Limits: Limits{Idle: time.Second, Every: time.Second, Probes: 1 << 20}, Unguarded: func(err error) { told = err }}.Protect(dialed, 0)
-	require.ErrorIs(t, told, syscall.EINVAL)
+// Guards against ignoring a socket option that the kernel rejects.
+func TestRejectedSocketOptionIsReported(t *testing.T) {
+	dialed, _ := connect(t, Guard{})
+	var reported error
+	Guard{Limits: Limits{Idle: time.Second, Interval: time.Second, Probes: 1 << 20}, Unguarded: func(err error) { reported = err }}.Protect(dialed, 0)
+	require.ErrorIs(t, reported, syscall.EINVAL)
 }
 
-// TestArrivedBytesAreKnown: what the peer's kernel has acknowledged is not waiting, though
-// nobody reads it; what the peer has no room for is.
-func TestArrivedBytesAreKnown(t *testing.T) {
-	dialed, accepted := pair(t, Guard{})
+// Guards against treating unread bytes as unacknowledged although the peer's kernel has
+// acknowledged them, and against missing bytes that exceed its receive window.
+func TestSendStateTracksAcknowledgements(t *testing.T) {
+	dialed, accepted := connect(t, Guard{})
 	_, err := dialed.Write([]byte("x"))
 	require.NoError(t, err)
 	_, err = accepted.Read(make([]byte, 1))
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		arrival, known := ArrivalOf(dialed)
-		return known && !arrival.Waiting && arrival.Acknowledged > 0
+		state, known := SendStateOf(dialed)
+		return known && !state.Unacknowledged && state.BytesAcknowledged > 0
 	}, 10*time.Second, time.Millisecond)
 	go func() { _, _ = dialed.Write(make([]byte, 64<<20)) }()
 	require.Eventually(t, func() bool {
-		arrival, known := ArrivalOf(dialed)
-		return known && arrival.Waiting
+		state, known := SendStateOf(dialed)
+		return known && state.Unacknowledged
 	}, 10*time.Second, time.Millisecond)
-	ours, _ := net.Pipe()
-	_, known := ArrivalOf(ours)
+	pipe, _ := net.Pipe()
+	_, known := SendStateOf(pipe)
 	require.False(t, known)
 }
 
-func TestOnlyTheKernelsTimeOutIsSilence(t *testing.T) {
+// Guards against mistaking other connection errors for a dead connection.
+func TestOnlyKernelTimeoutsCountAsBroken(t *testing.T) {
 	require.True(t, Broken(&net.OpError{Op: "read", Err: syscall.ETIMEDOUT}))
 	require.False(t, Broken(&net.OpError{Op: "read", Err: syscall.ECONNRESET}))
 	require.False(t, Broken(nil))
 }
 
-// TestAcknowledgementsAreGivenTheTimeThatTheyWereSeenToTake: bytes written a moment ago are on
-// their way, also where the kernel of a slow machine acknowledges late.
-func TestAcknowledgementsAreGivenTheTimeThatTheyWereSeenToTake(t *testing.T) {
-	begun := time.Now()
-	at := func(after time.Duration) time.Time { return begun.Add(after) }
-	quick := Arrival{Waiting: true, Acknowledged: 10, RoundTrip: time.Millisecond, Variation: time.Millisecond}
+// Guards against declaring bytes overdue that are still in flight, for example where a slow peer
+// acknowledges late.
+func TestOverdueAllowsForMeasuredRoundTrips(t *testing.T) {
+	start := time.Now()
+	at := func(after time.Duration) time.Time { return start.Add(after) }
+	fast := SendState{Unacknowledged: true, BytesAcknowledged: 10, RoundTrip: time.Millisecond, RoundTripVariation: time.Millisecond}
 	var a Acknowledgements
-	require.False(t, a.overdue(quick, at(0)), "written just now")
-	require.False(t, a.overdue(quick, at(longestDelay)), "the peer's kernel may keep its word back")
-	require.True(t, a.overdue(quick, at(longestDelay+10*time.Millisecond)))
+	require.False(t, a.overdue(fast, at(0)), "first check")
+	require.False(t, a.overdue(fast, at(maxAckDelay)), "delayed acknowledgement")
+	require.True(t, a.overdue(fast, at(maxAckDelay+10*time.Millisecond)))
 
-	progress := quick
-	progress.Acknowledged++
-	require.False(t, a.overdue(progress, at(longestDelay+10*time.Millisecond)), "others are waiting now")
-	require.True(t, a.overdue(progress, at(2*longestDelay+20*time.Millisecond)))
+	progress := fast
+	progress.BytesAcknowledged++
+	require.False(t, a.overdue(progress, at(maxAckDelay+10*time.Millisecond)), "newer bytes restart the wait")
+	require.True(t, a.overdue(progress, at(2*maxAckDelay+20*time.Millisecond)))
 
-	require.False(t, a.overdue(Arrival{Acknowledged: 12}, at(200*time.Millisecond)), "all have arrived")
-	require.False(t, a.overdue(quick, at(300*time.Millisecond)), "what is written later waits anew")
+	require.False(t, a.overdue(SendState{BytesAcknowledged: 12}, at(200*time.Millisecond)), "all bytes acknowledged")
+	require.False(t, a.overdue(fast, at(300*time.Millisecond)), "later bytes start a new wait")
 
-	slow := quick
-	slow.RoundTrip, slow.Variation = 80*time.Millisecond, 50*time.Millisecond
-	slow.SinceSent = 300 * time.Millisecond
-	require.False(t, new(Acknowledgements).overdue(slow, at(0)), "its acknowledgements took as long before")
-	quick.SinceSent = slow.SinceSent
-	require.True(t, new(Acknowledgements).overdue(quick, at(0)), "sent long before the first look")
+	slow := fast
+	slow.RoundTrip, slow.RoundTripVariation = 80*time.Millisecond, 50*time.Millisecond
+	slow.SinceLastSend = 300 * time.Millisecond
+	require.False(t, new(Acknowledgements).overdue(slow, at(0)), "long measured round trips")
+	fast.SinceLastSend = slow.SinceLastSend
+	require.True(t, new(Acknowledgements).overdue(fast, at(0)), "sent long before the first check")
 }
--- a/internal/silence/socket_other.go
+++ b/internal/silence/socket_other.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// setUnacknowledged leaves the bound to the kernel; keep-alive probes are set all the same.
-func setUnacknowledged(*net.TCPConn, time.Duration) error { return nil }
+// setUserTimeout does nothing: the option exists on Linux only. Keep-alive probes still apply.
+func setUserTimeout(*net.TCPConn, time.Duration) error { return nil }
 
-func arrivalOf(uintptr) (Arrival, error) {
-	return Arrival{}, errors.New("this kernel does not tell what is unacknowledged; run on Linux")
+func sendStateOf(uintptr) (SendState, error) {
+	return SendState{}, errors.New("the state of unacknowledged bytes is unavailable on this platform; run on Linux")
 }
