--- a/internal/locality/content.go
+++ b/internal/locality/content.go
@@ -4,9 +4,9 @@
 
 type contentKey struct{}
 
-// WithContent returns a context for calls that carry what was said in a request: it may pass
-// through, and be remembered by, nodes of these regions only. The node that the client itself
-// reached is excepted, the memory of which is not.
+// WithContent returns a context for calls that carry the content of a client's request. Only nodes
+// in these regions may forward or store it. The node that received the request from the client may forward
+// it even from another region, but not store it there. Nil regions leave ctx unrestricted.
 func WithContent(ctx context.Context, regions Regions) context.Context {
 	if regions == nil {
 		return ctx
@@ -14,7 +14,7 @@
 	return context.WithValue(ctx, contentKey{}, regions)
 }
 
-// Content are the regions that WithContent bound a call to; all if it did not.
+// Content returns the regions set by WithContent; nil (all regions) if there are none.
 func Content(ctx context.Context) Regions {
 	regions, _ := ctx.Value(contentKey{}).(Regions)
 	return regions
--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -1,5 +1,5 @@
-// Package locality knows where machines and workers stand: which region each zone lies
-// in, how far two zones are apart, and in which regions something may be.
+// Package locality maps zones to regions, measures the distance between zones, and restricts
+// content to regions.
 package locality
 
 import (
@@ -9,22 +9,21 @@
 	"strings"
 )
 
-// Map tells the region of each zone. It is never changed once made, and its zero value
-// knows no zone.
+// Map is an immutable mapping of zones to regions. A nil or zero Map has no zones.
 type Map struct {
 	regionOf map[string]string
 	regions  []string
 }
 
-// NewMap returns a map of zones, given the region of each.
+// NewMap returns a map with the given region of each zone.
 func NewMap(regionOfZone map[string]string) *Map {
 	regions := slices.Collect(maps.Values(regionOfZone))
 	slices.Sort(regions)
 	return &Map{regionOf: maps.Clone(regionOfZone), regions: slices.Compact(regions)}
 }
 
-// Region is the region of a zone. A zone that the map does not know is a region of its
-// own: nothing that is bound to a region may go there.
+// Region returns the region of a zone. An unknown zone is a region of its own, so that content
+// restricted to regions never goes there.
 func (m *Map) Region(zone string) string {
 	if m == nil {
 		return zone
@@ -35,7 +34,7 @@
 	return zone
 }
 
-// Regions lists all regions in ascending order. The slice must not be changed.
+// Regions returns all regions in ascending order. The caller must not modify the slice.
 func (m *Map) Regions() []string {
 	if m == nil {
 		return nil
@@ -43,7 +42,7 @@
 	return m.regions
 }
 
-// Zones is the number of zones that the map knows.
+// Zones returns the number of zones in the map.
 func (m *Map) Zones() int {
 	if m == nil {
 		return 0
@@ -51,17 +50,17 @@
 	return len(m.regionOf)
 }
 
-// Distance is how far two zones are apart.
+// Distance classifies how far two zones are apart.
 type Distance int
 
-// The distances, the shortest first.
+// Distances in ascending order.
 const (
 	SameZone Distance = iota
 	SameRegion
 	OtherRegion
 )
 
-// String names a distance in metrics and log lines.
+// String returns the name of a distance in metrics and logs.
 func (d Distance) String() string {
 	switch d {
 	case SameZone:
@@ -73,68 +72,68 @@
 	}
 }
 
-// Between is the distance of two zones. Where no regions are known, all zones count as
-// those of one region.
-func (m *Map) Between(one, other string) Distance {
+// Between returns the distance between two zones. Without any regions, all zones count as one
+// region.
+func (m *Map) Between(a, b string) Distance {
 	switch {
-	case one == other:
+	case a == b:
 		return SameZone
-	case m == nil || len(m.regions) == 0 || m.Region(one) == m.Region(other):
+	case m == nil || len(m.regions) == 0 || m.Region(a) == m.Region(b):
 		return SameRegion
 	default:
 		return OtherRegion
 	}
 }
 
-// processMark divides the parts of a process's name.
-const processMark = "/"
+// processSeparator separates the parts of a process name.
+const processSeparator = "/"
 
-// ProcessName names a process so that whoever hears of it knows where it runs. unique tells
-// it from all other processes of the node.
+// ProcessName returns a process name from which ZoneOf can extract the zone. unique distinguishes
+// the process from all others of the node.
 func ProcessName(zone, node, unique string) string {
-	return zone + processMark + node + processMark + unique
+	return zone + processSeparator + node + processSeparator + unique
 }
 
-// ZoneOf is the zone of the process of a name that ProcessName made; empty for others.
+// ZoneOf returns the zone in a name made by ProcessName, or "" for other names.
 func ZoneOf(process string) string {
-	zone, rest, found := strings.Cut(process, processMark)
-	if !found || !strings.Contains(rest, processMark) {
+	zone, rest, found := strings.Cut(process, processSeparator)
+	if !found || !strings.Contains(rest, processSeparator) {
 		return ""
 	}
 	return zone
 }
 
-// Vantage is where something is looked at from. Its zero value knows no regions.
+// Vantage is a zone from which distances are measured. With a nil Places, no regions are known.
 type Vantage struct {
-	Places *Map
+	Places *Map // region of each zone
 	Zone   string
 }
 
-// To is how far a zone is away.
+// To returns the distance to a zone.
 func (v Vantage) To(zone string) Distance { return v.Places.Between(v.Zone, zone) }
 
-// Region is the region of the vantage itself.
+// Region returns the region of the vantage's own zone.
 func (v Vantage) Region() string { return v.Places.Region(v.Zone) }
 
-// NearFirst moves what stands in other regions behind the rest. The order is otherwise
-// kept. zoneOf tells where something stands.
-func NearFirst[T any](v Vantage, list []T, zoneOf func(T) string) {
-	slices.SortStableFunc(list, func(a, b T) int {
-		return cmp.Compare(v.far(zoneOf(a)), v.far(zoneOf(b)))
+// NearFirst stably moves items in other regions behind those in the vantage's own region. zoneOf
+// returns the zone of an item.
+func NearFirst[T any](v Vantage, items []T, zoneOf func(T) string) {
+	slices.SortStableFunc(items, func(a, b T) int {
+		return cmp.Compare(v.regionRank(zoneOf(a)), v.regionRank(zoneOf(b)))
 	})
 }
 
-// Near keeps what stands in the own region, or everything if nothing does.
-func Near[T any](v Vantage, list []T, zoneOf func(T) string) []T {
-	near := slices.DeleteFunc(slices.Clone(list), func(one T) bool { return v.far(zoneOf(one)) > 0 })
-	if len(near) == 0 {
-		return list
+// Near returns the items in the vantage's own region, or all items if there are none.
+func Near[T any](v Vantage, items []T, zoneOf func(T) string) []T {
+	local := slices.DeleteFunc(slices.Clone(items), func(item T) bool { return v.regionRank(zoneOf(item)) > 0 })
+	if len(local) == 0 {
+		return items
 	}
-	return near
+	return local
 }
 
-// far is 1 for zones of other regions, else 0.
-func (v Vantage) far(zone string) int {
+// regionRank is 1 for zones in other regions, else 0.
+func (v Vantage) regionRank(zone string) int {
 	if v.To(zone) == OtherRegion {
 		return 1
 	}
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -6,6 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Guards against wrong distances for unknown zones and for maps without regions.
 func TestDistances(t *testing.T) {
 	places := NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	require.Equal(t, SameZone, places.Between("a1", "a1"))
@@ -16,7 +17,8 @@
 	require.Equal(t, []string{"a", "b"}, places.Regions())
 }
 
-func TestRegionsThatBothAllow(t *testing.T) {
+// Guards against confusing an empty set, which allows no region, with nil, which allows all.
+func TestCommonRegions(t *testing.T) {
 	everywhere := Regions(nil)
 	require.True(t, everywhere.Allow("a"))
 	require.Equal(t, Regions{"a"}, everywhere.Common(Regions{"a"}))
@@ -27,26 +29,29 @@
 	require.False(t, nowhere.Allow("a"))
 }
 
-func TestProcessNamesTellTheZone(t *testing.T) {
+// Guards against extracting a zone from names that contain none.
+func TestProcessNamesContainZone(t *testing.T) {
 	require.Equal(t, "a1", ZoneOf(ProcessName("a1", "node-1", "0123")))
 	require.Empty(t, ZoneOf("node-1/0123"))
 	require.Empty(t, ZoneOf("node-1"))
 }
 
-func TestOwnRegionComesFirst(t *testing.T) {
-	here := Vantage{Places: NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
-	itself := func(zone string) string { return zone }
+// Guards against choosing a remote item while a local one exists, and against an empty choice.
+func TestOwnRegionIsPreferred(t *testing.T) {
+	vantage := Vantage{Places: NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
+	identity := func(zone string) string { return zone }
 	zones := []string{"b1", "a2", "unknown", "a1"}
-	NearFirst(here, zones, itself)
-	require.Equal(t, []string{"a2", "a1", "b1", "unknown"}, zones, "else in the order given")
-	require.Equal(t, []string{"a2", "a1"}, Near(here, zones, itself))
-	require.Equal(t, []string{"b1"}, Near(here, []string{"b1"}, itself), "nothing nearer")
-	require.Equal(t, []string{"x", "y"}, Near(Vantage{Zone: "x"}, []string{"x", "y"}, itself), "no regions known")
+	NearFirst(vantage, zones, identity)
+	require.Equal(t, []string{"a2", "a1", "b1", "unknown"}, zones, "stable within each region")
+	require.Equal(t, []string{"a2", "a1"}, Near(vantage, zones, identity))
+	require.Equal(t, []string{"b1"}, Near(vantage, []string{"b1"}, identity), "no local item")
+	require.Equal(t, []string{"x", "y"}, Near(Vantage{Zone: "x"}, []string{"x", "y"}, identity), "no regions in the map")
 }
 
-func TestContentIsBoundByItsCall(t *testing.T) {
+// Guards against losing the restriction of a call's content, or taking an empty set for none.
+func TestContextCarriesContentRegions(t *testing.T) {
 	require.Nil(t, Content(t.Context()))
-	require.Nil(t, Content(WithContent(t.Context(), nil)), "no list: everywhere")
+	require.Nil(t, Content(WithContent(t.Context(), nil)), "nil: all regions")
 	require.Equal(t, Regions{"a"}, Content(WithContent(t.Context(), Regions{"a"})))
-	require.False(t, Content(WithContent(t.Context(), Regions{})).Allow("a"), "no region in common: nowhere")
+	require.False(t, Content(WithContent(t.Context(), Regions{})).Allow("a"), "empty: no region")
 }
--- a/internal/locality/regions.go
+++ b/internal/locality/regions.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Regions are those in which something may be served, passed through and kept. Nil stands
-// for all regions; a list without entries for none.
+// Regions is the set of regions in which requests may be served, forwarded and stored. Nil allows
+// all regions, an empty list none.
 type Regions []string
 
-// Allow reports whether a region is one of them.
+// Allow reports whether the set contains a region.
 func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// Common are the regions that both allow.
+// Common returns the intersection of two sets.
 func (r Regions) Common(other Regions) Regions {
 	switch {
 	case r == nil:
