--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,5 +1,5 @@
-// Package route holds the configuration that says which service takes a
-// request, and under which limits. A Configuration is never changed once made.
+// Package route holds the routing configuration: which service handles a request, and under which
+// limits. A Configuration is immutable once in use.
 package route
 
 import (
@@ -14,55 +14,57 @@
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
-// Version orders configurations; a higher one is newer.
+// Version numbers configurations; a higher one is newer.
 type Version int64
 
-// Kind says how often a request may run.
+// Kind is whether a request may be repeated, and how it is answered.
 type Kind string
 
-// The kinds of requests.
+// Kinds of requests.
 const (
 	Safe      Kind = "safe"      // may run more than once
 	Unsafe    Kind = "unsafe"    // runs at most once
-	Streaming Kind = "streaming" // answered by a stream of events
+	Streaming Kind = "streaming" // answered by an event stream
 )
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service with its weight among a route's targets.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests for a host and a path prefix go.
+// Route defines how requests for a host and path prefix are handled.
 type Route struct {
 	Name        string
 	Host        string
 	PathPrefix  string // begins and ends with a slash
 	Kind        Kind
-	Timeout     time.Duration // longest time that a request is held; 0: no limit
-	Objective   time.Duration // for an answer, or a stream's first event
-	Priority    int           // 0 is the highest
-	MaxAttempts int           // workers that one request may be run on; at least 1
-	Sticky      bool          // workers are faster with objects they know
-	Resumable   bool          // a stream may go on at another worker
-	Retain      bool          // turns are kept and continued from
-	Retention   time.Duration
-	Open        bool             // anybody may send, without a key
-	Regions     locality.Regions // where requests may be served, passed through and kept
+	Timeout     time.Duration    // maximum time to hold a request; 0: no limit
+	Objective   time.Duration    // target latency of a response, or of a stream's first event
+	Priority    int              // 0 is the highest
+	MaxAttempts int              // maximum number of workers that run a request; at least 1
+	Sticky      bool             // prefer workers that have served the same object before
+	Resumable   bool             // an interrupted stream may continue at another worker
+	Retain      bool             // turns of a conversation are stored and may be continued
+	Retention   time.Duration    // how long turns are stored
+	Open        bool             // no API key required
+	Regions     locality.Regions // where requests may be served, forwarded and stored; nil: everywhere
 	Targets     []Target
 
-	drawn *atomic.Uint64 // how many draws were made; nil outside a Configuration
+	draws *atomic.Uint64 // number of draws so far; nil outside a Configuration
 }
 
-// golden spreads successive draws evenly, however many there are.
-const golden = 0.6180339887498949
+// goldenFraction is the golden ratio's fractional part. Its multiples modulo 1 are evenly spread
+// over [0, 1), whatever their number.
+const goldenFraction = 0.6180339887498949
 
-// Draw returns the next of the route's evenly spread draws from [0, 1).
+// Draw returns the next number of a low-discrepancy sequence in [0, 1), for Service. It returns 0
+// for a route with fewer than two targets or outside a Configuration.
 func (r *Route) Draw() float64 {
-	if r.drawn == nil || len(r.Targets) < 2 {
+	if r.draws == nil || len(r.Targets) < 2 {
 		return 0
 	}
-	position := float64(r.drawn.Add(1)) * golden
+	position := float64(r.draws.Add(1)) * goldenFraction
 	return position - math.Floor(position)
 }
 
@@ -71,16 +73,16 @@
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// Service picks the target for a draw in [0, 1), by weight.
+// Service returns the target service for a draw in [0, 1), by weight; "" without targets.
 func (r *Route) Service(draw float64) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, target := range r.Targets {
-		left -= float64(target.Weight)
-		if left < 0 {
+		remaining -= float64(target.Weight)
+		if remaining < 0 {
 			return target.Service
 		}
 	}
@@ -100,24 +102,24 @@
 	return false
 }
 
-// Service describes the workers behind a name.
+// Service describes the workers of a service.
 type Service struct {
 	Name           string
-	MaxConnections int // that each worker takes from all callers together
-	Model          bool
-	TokensPerEvent int // that one event of a stream stands for
-	Places         int // requests that each worker runs at once; 0: not said
-	Memory         int // tokens that each worker holds, of what runs and what is kept; 0: not said
-	// ColdPerSecond is how many requests a second a cold worker bears, from all nodes
-	// together; 0: cold workers bear as much as others.
+	MaxConnections int  // per worker, from all nodes together
+	Model          bool // workers run a language model
+	TokensPerEvent int  // number of tokens per stream event
+	Places         int  // requests that a worker runs at once; 0: unknown
+	Memory         int  // tokens that a worker holds for running requests and caches; 0: unknown
+	// ColdPerSecond is the maximum rate of requests to a cold worker, from all nodes together; 0:
+	// no special limit.
 	ColdPerSecond float64
 	// ColdStart is how long a worker stays cold after its start.
 	ColdStart time.Duration
-	// HealthPath is where a worker tells how it is; empty: nowhere.
+	// HealthPath is the path of a worker's health check; empty: none.
 	HealthPath string
 }
 
-// Limits bound what clients may send.
+// Limits bound client requests and connections.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -125,26 +127,27 @@
 	IdleTimeout   time.Duration
 }
 
-// Configuration is one version of all routes.
+// Configuration is one version of all routes and services.
 type Configuration struct {
 	Version  Version
 	Services map[string]Service
 	Limits   Limits
-	// Tenants are those who may send requests; nil: nobody needs a key.
+	// Tenants are the clients with API keys; nil: no keys are required.
 	Tenants *tenant.Registry
 	hosts   map[string][]Route
-	routes  int
-	// targeted are the services that routes lead to.
-	targeted []string
-	// priorities are those of the routes that lead to each service, ascending.
+	routes  int // number of routes
+	// targetServices are the services with a positive weight in any route.
+	targetServices []string
+	// priorities are the priorities of the routes to each service, ascending.
 	priorities map[string][]int
 }
 
-// maxFirstDraw bounds where a route's draws begin; far beyond, floating-point
-// numbers would no longer tell draws apart.
-const maxFirstDraw = 1 << 20
+// maxInitialDraw bounds the random start of a route's draws. Larger numbers would lose the
+// precision that keeps draws distinct.
+const maxInitialDraw = 1 << 20
 
-// New indexes the routes of a version.
+// New returns a configuration that indexes the given routes and services. It raises a MaxAttempts
+// below 1 to 1.
 func New(version Version, routes []Route, services []Service, limits Limits) *Configuration {
 	configuration := &Configuration{
 		Version:  version,
@@ -161,57 +164,57 @@
 	for _, route := range routes {
 		host := strings.ToLower(route.Host)
 		route.MaxAttempts = max(route.MaxAttempts, 1)
-		route.drawn = new(atomic.Uint64)
-		route.drawn.Store(rand.Uint64N(maxFirstDraw)) // nodes do not draw in step
+		route.draws = new(atomic.Uint64)
+		route.draws.Store(rand.Uint64N(maxInitialDraw)) // so that nodes don't draw in lockstep
 		configuration.hosts[host] = append(configuration.hosts[host], route)
-		configuration.target(route)
+		configuration.addTargets(route)
 	}
 	return configuration
 }
 
-// target notes the services that a route leads to, and its priority there.
-func (c *Configuration) target(route Route) {
+// addTargets records the route's target services and its priority for each.
+func (c *Configuration) addTargets(route Route) {
 	for _, target := range route.Targets {
 		if target.Weight <= 0 {
 			continue
 		}
-		if !slices.Contains(c.targeted, target.Service) {
-			c.targeted = append(c.targeted, target.Service)
+		if !slices.Contains(c.targetServices, target.Service) {
+			c.targetServices = append(c.targetServices, target.Service)
 		}
-		known := c.priorities[target.Service]
-		if at, found := slices.BinarySearch(known, route.Priority); !found {
-			c.priorities[target.Service] = slices.Insert(known, at, route.Priority)
+		priorities := c.priorities[target.Service]
+		if index, found := slices.BinarySearch(priorities, route.Priority); !found {
+			c.priorities[target.Service] = slices.Insert(priorities, index, route.Priority)
 		}
 	}
 }
 
-// LessUrgent is the next priority after one that routes to a service have; ok is false if none is
-// less urgent.
+// LessUrgent returns the next less urgent priority among the routes to a service; ok is false if
+// there is none.
 func (c *Configuration) LessUrgent(service string, priority int) (next int, ok bool) {
-	known := c.priorities[service]
-	at, found := slices.BinarySearch(known, priority)
+	priorities := c.priorities[service]
+	index, found := slices.BinarySearch(priorities, priority)
 	if found {
-		at++
+		index++
 	}
-	if at >= len(known) {
+	if index >= len(priorities) {
 		return 0, false
 	}
-	return known[at], true
+	return priorities[index], true
 }
 
-// WithTenants sets who may send requests, before the configuration is in force.
+// WithTenants sets the tenants and returns c. It must be called before c is in use.
 func (c *Configuration) WithTenants(tenants *tenant.Registry) *Configuration {
 	c.Tenants = tenants
 	return c
 }
 
-// Len is the number of routes.
+// Len returns the number of routes.
 func (c *Configuration) Len() int { return c.routes }
 
-// Targeted lists the services that routes lead to.
-func (c *Configuration) Targeted() []string { return c.targeted }
+// Targeted returns the services with a positive weight in any route.
+func (c *Configuration) Targeted() []string { return c.targetServices }
 
-// Meters reports whether cold workers of some service get less than others.
+// Meters reports whether any service limits the request rate of cold workers.
 func (c *Configuration) Meters() bool {
 	for _, service := range c.Services {
 		if service.ColdPerSecond > 0 {
@@ -221,8 +224,8 @@
 	return false
 }
 
-// Match finds the route with the longest prefix of path for host, which may
-// carry a port; nil if there is none.
+// Match returns the route with the longest path prefix for a host, which may include a port; nil
+// if there is none.
 func (c *Configuration) Match(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMatchTakesTheLongestPrefix(t *testing.T) {
+// Guards against matching a shorter prefix, another host or a partial path segment.
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	configuration := New(1, []Route{
 		{Name: "short", Host: "h.example", PathPrefix: "/a/"},
 		{Name: "long", Host: "h.example", PathPrefix: "/a/b/"},
@@ -31,6 +32,7 @@
 	}
 }
 
+// Guards against repeating a request that must run at most once.
 func TestRepeatable(t *testing.T) {
 	require.True(t, (&Route{Kind: Safe}).Repeatable())
 	require.False(t, (&Route{Kind: Unsafe, Resumable: true}).Repeatable())
@@ -38,12 +40,13 @@
 	require.True(t, (&Route{Kind: Streaming, Resumable: true}).Repeatable())
 }
 
-func TestSharesFollowWeights(t *testing.T) {
+// Guards against a distribution of requests that deviates from the targets' weights.
+func TestDrawsFollowWeights(t *testing.T) {
 	configuration := New(1, []Route{{Host: "h", PathPrefix: "/", Targets: []Target{{"s", 90}, {"t", 10}}}}, nil, Limits{})
-	split := configuration.Match("h", "/")
+	matched := configuration.Match("h", "/")
 	counts := map[string]int{}
 	for range 1000 {
-		counts[split.Service(split.Draw())]++
+		counts[matched.Service(matched.Draw())]++
 	}
 	require.InDelta(t, 900, counts["s"], 10)
 	require.InDelta(t, 100, counts["t"], 10)
