--- a/internal/experience/board.go
+++ b/internal/experience/board.go
@@ -29,12 +29,12 @@
 	Tried   Reason = "tried"   // ejected for longer: a trial failed
 	Sound   Reason = "sound"   // readmitted: its trials succeeded
 	Needed  Reason = "needed"  // readmitted: the other workers lack capacity for the load
-	Untried Reason = "untried" // readmitted: no node reported a trial
+	Untried Reason = "untried" // readmitted: no trial outcome was reported in time
 )
 
 // Change is a decision about a worker, for logs and metrics.
 type Change struct {
-	Worker string // its key
+	Worker string // key of the worker's incarnation
 	Out    bool   // whether the worker is ejected
 	Reason Reason
 	Share  float64       // the worker's failure rate, from 0 to 1
@@ -45,7 +45,8 @@
 	Busy   float64       // utilization of the group's capacity; above 1 if requests are queued
 }
 
-// Event returns the name of the decision, for log messages and metric labels.
+// Event returns the name of the decision, for log messages and metric labels: "ejected", "tried
+// again" if a failed trial lengthened the ejection, or "back".
 func (c Change) Event() string {
 	switch {
 	case !c.Out:
@@ -96,11 +97,12 @@
 	return &Board{onChange: onChange, workers: map[string]*worker{}, trust: map[string]float64{}}
 }
 
-// SetBusy sets the utilization of the group's capacity; above 1 if requests are queued. It is 0
-// until set, which never prevents an ejection.
+// SetBusy sets the utilization of the group's capacity; above 1 if requests are queued. Until it is
+// called, utilization counts as 0, which never prevents an ejection.
 func (b *Board) SetBusy(share float64) { b.utilization = share }
 
-// Add merges a node's report. Invalid samples are ignored.
+// Add merges the report of the node from. It ignores invalid samples, and workers beyond
+// maxWorkers.
 func (b *Board) Add(from string, samples []Sample, now time.Time) {
 	trust := b.trustIn(from)
 	for _, sample := range samples {
@@ -127,8 +129,10 @@
 	return w
 }
 
+// addSample merges one sample. While the worker is ejected, its requests count as trials, if the
+// node is trusted.
 func (b *Board) addSample(w *worker, from string, sample Sample, trust float64, now time.Time) {
-	requests, failures, silences := float64(sample.Requests), float64(sample.Failures), float64(sample.Silences)
+	requests, failures, late := float64(sample.Requests), float64(sample.Failures), float64(sample.Silences)
 	w.lastReport = now
 	stats, ok := w.byNode[from]
 	if !ok {
@@ -139,15 +143,15 @@
 		w.byNode[from] = stats
 	}
 	stats.lastReport = now
-	stats.spread.add(requests, failures, silences, 1, now, spreadHalfLife)
+	stats.spread.add(requests, failures, late, 1, now, spreadHalfLife)
 	if sample.Paced > 0 && sample.Pace > 0 {
-		stats.pace.add(sample.Pace, float64(sample.Paced), now)
+		stats.tokenTime.add(sample.Pace, float64(sample.Paced), now)
 	}
 	if w.ejection == nil {
-		w.recent.add(requests, failures, silences, trust, now, recentHalfLife)
+		w.recent.add(requests, failures, late, trust, now, recentHalfLife)
 		w.suspected = w.suspected || failures > 0
 		if w.suspected {
-			stats.suspicion.add(requests, failures, silences, 1, now, suspicionHalfLife)
+			stats.suspicion.add(requests, failures, late, 1, now, suspicionHalfLife)
 		}
 		return
 	}
@@ -156,7 +160,8 @@
 	}
 }
 
-// addTrialOutcome processes the outcomes of an ejected worker's trials.
+// addTrialOutcome processes the outcomes of an ejected worker's trials. It reports a failure only
+// if it lengthens the trial delay.
 func (b *Board) addTrialOutcome(w *worker, sample Sample, now time.Time) {
 	before := w.ejection.delay
 	if w.ejection.recordOutcome(sample.Requests, sample.Failures, now) {
--- a/internal/experience/board_test.go
+++ b/internal/experience/board_test.go
@@ -44,6 +44,7 @@
 	g.board.Verdicts(g.workers, g.now)
 }
 
+// ejected returns the keys of the ejected workers.
 func (g *group) ejected() (out []string) {
 	for _, verdict := range g.board.Verdicts(g.workers, g.now) {
 		if verdict.Until > 0 {
@@ -63,8 +64,7 @@
 	}
 }
 
-// Guards against ejecting more workers than the limit or the load
-// permits.
+// Guards against ejecting more workers than the limit or the load permits.
 func TestEjectedWorkersAreBounded(t *testing.T) {
 	for name, test := range map[string]struct {
 		workers, bad, failures int
@@ -151,16 +151,16 @@
 	require.Empty(t, g.board.Verdicts(g.workers, g.now))
 }
 
-// offeredTrials asks for verdicts a number of times and returns those that offer a trial.
-func (g *group) offeredTrials(answers int) (handed []Verdict) {
-	for range answers {
+// offeredTrials calls Verdicts a number of times and returns the verdicts that offer a trial.
+func (g *group) offeredTrials(calls int) (offers []Verdict) {
+	for range calls {
 		for _, verdict := range g.board.Verdicts(g.workers, g.now) {
 			if verdict.Trial {
-				handed = append(handed, verdict)
+				offers = append(offers, verdict)
 			}
 		}
 	}
-	return handed
+	return offers
 }
 
 // outcome adds a report of requests to the first worker.
@@ -240,10 +240,10 @@
 	verdicts := g.board.Verdicts(g.workers, g.now)
 	require.Len(t, verdicts, 1)
 	require.Zero(t, verdicts[0].Until)
-	require.Greater(t, verdicts[0].Cost, silenceCost/2)
+	require.Greater(t, verdicts[0].Cost, lateEventCost/2)
 }
 
-// Guards against blaming workers for nodes that measure all workers as slow.
+// Guards against treating workers as slow because a few slow nodes measure all of them as slow.
 func TestSlowNodesDoNotMarkWorkersSlow(t *testing.T) {
 	g := newGroup(10)
 	for node := range 20 {
@@ -303,7 +303,7 @@
 					out++
 				}
 				require.GreaterOrEqual(t, verdict.Cost, time.Duration(0))
-				require.LessOrEqual(t, verdict.Cost, failureCost+silenceCost)
+				require.LessOrEqual(t, verdict.Cost, failureCost+lateEventCost)
 				require.False(t, verdict.Slow < 0)
 				require.LessOrEqual(t, verdict.Until, maxTrialDelay)
 			}
@@ -326,7 +326,7 @@
 	}
 }
 
-// Guards against readmitting a slow worker only because it no longer receives requests.
+// Guards against treating a slow worker as healthy only because it no longer receives requests.
 func TestSlowWorkerStaysSlowUntilTrialSucceeds(t *testing.T) {
 	g := newGroup(10)
 	g.reportTokenTimes(5, func(worker int) time.Duration { return healthyTokenTime * time.Duration(1+4*shareIf(worker == 0, 1)) })
--- a/internal/experience/boards.go
+++ b/internal/experience/boards.go
@@ -14,7 +14,8 @@
 	Members func(Group) []string
 	// Busy returns the utilization of a group's capacity; nil means 0.
 	Busy func(Group) float64
-	// OnChange is called for each decision, with the mutex of Boards held; nil ignores them.
+	// OnChange is called for each decision; nil ignores them. Boards is locked meanwhile, so
+	// OnChange must not call its methods.
 	OnChange func(Group, Change)
 }
 
@@ -35,7 +36,8 @@
 	return &Boards[Group]{options: options, boards: map[Group]*groupBoard{}}
 }
 
-// Learn merges a node's report about a group's workers.
+// Learn merges the report of the node from about a group's workers. It ignores the report if there
+// are too many groups.
 func (b *Boards[Group]) Learn(group Group, from string, samples []Sample, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/experience/ejection.go
+++ b/internal/experience/ejection.go
@@ -7,7 +7,7 @@
 const (
 	// initialTrialDelay is the time between an ejection and the first trial.
 	initialTrialDelay = 800 * time.Millisecond
-	// maxTrialDelay bounds the delay, which doubles with each failed first trial.
+	// maxTrialDelay bounds the delay, which doubles with each failed first trial and each relapse.
 	maxTrialDelay = 2 * time.Second
 	// finalRoundSize is the number of trials in the last round; the worker is readmitted if all
 	// succeed.
@@ -18,10 +18,10 @@
 	maxOffers = 8
 	// outcomeWeight is the smoothing factor of the failure rate over trial outcomes.
 	outcomeWeight = 0.3
-	// untriedTimeout is how long after the last outcome a worker is readmitted untested.
+	// untriedTimeout is how long an ejection lasts without a trial outcome.
 	untriedTimeout = 10 * time.Second
-	// relapseWindow is how soon after readmission a new ejection continues the backoff of the
-	// last.
+	// relapseWindow is how soon after its readmission a worker must be ejected again for the trial
+	// delay to double.
 	relapseWindow = 10 * time.Second
 )
 
@@ -29,7 +29,7 @@
 type ejection struct {
 	since       time.Time
 	failureRate float64       // at the ejection, then smoothed over trial outcomes
-	delay       time.Duration // before the first trial of the next series
+	delay       time.Duration // before a first trial; doubles when that fails
 	nextTrial   time.Time     // earliest time of the next trial
 	roundSize   int           // number of trials in this round
 	succeeded   int           // successful trials in this round
@@ -45,9 +45,9 @@
 }
 
 // delayAfter returns the trial delay of a new ejection. last is the delay of the previous one (0
-// if none), which ended at back.
-func delayAfter(last time.Duration, back, now time.Time) time.Duration {
-	if last == 0 || now.Sub(back) > relapseWindow {
+// if none), which ended at readmittedAt.
+func delayAfter(last time.Duration, readmittedAt, now time.Time) time.Duration {
+	if last == 0 || now.Sub(readmittedAt) > relapseWindow {
 		return initialTrialDelay
 	}
 	return min(2*last, maxTrialDelay)
@@ -72,7 +72,7 @@
 // recordOutcome processes trial outcomes and reports whether the worker is readmitted. Requests
 // that end while no trial is offered were sent before the ejection or in a failed round; they are
 // ignored.
-func (e *ejection) recordOutcome(requests, failures int, now time.Time) (back bool) {
+func (e *ejection) recordOutcome(requests, failures int, now time.Time) (readmit bool) {
 	if e.offered == 0 || requests == 0 {
 		return false
 	}
@@ -94,8 +94,9 @@
 	return false
 }
 
-// restart begins a new series of trials after a failure. Only the failure of the first trial
-// lengthens the delay: a later one may be chance, since healthy workers fail some requests too.
+// restart begins a new series of trials after a failure. Only the failure of a first trial
+// lengthens the delay. A later one may be chance, since healthy workers fail some requests too;
+// the next series then follows after initialTrialDelay.
 func (e *ejection) restart(now time.Time) {
 	delay := initialTrialDelay
 	if e.roundSize == 1 {
--- a/internal/experience/evidence.go
+++ b/internal/experience/evidence.go
@@ -11,35 +11,35 @@
 	// recentHalfLife applies to the failure rates by which workers are compared. It is short, so
 	// that a failure of the whole group raises the median before single workers are ejected.
 	recentHalfLife = 400 * time.Millisecond
-	// paceHalfLife applies to times per token. It is short, since a slowdown may last less than a
+	// tokenTimeHalfLife applies to times per token. It is short, since a slowdown may last less than a
 	// second.
-	paceHalfLife = 300 * time.Millisecond
-	// suspicionHalfLife applies to the requests of a suspected worker.
+	tokenTimeHalfLife = 300 * time.Millisecond
+	// suspicionHalfLife applies to the requests to a suspected worker.
 	suspicionHalfLife = 3 * time.Second
 	// spreadHalfLife applies to a node's requests, by which its trust is computed.
 	spreadHalfLife = 2 * time.Second
 )
 
-// decayingCounts counts requests with exponential decay.
+// decayingCounts counts requests with exponential decay; late are those with a late first event.
 type decayingCounts struct {
 	requests  float64
 	failures  float64
-	silences  float64
+	late      float64
 	updatedAt time.Time
 }
 
-func (c *decayingCounts) add(requests, failures, silences, weight float64, now time.Time, halfLife time.Duration) {
+func (c *decayingCounts) add(requests, failures, late, weight float64, now time.Time, halfLife time.Duration) {
 	c.decay(now, halfLife)
 	c.requests += weight * requests
 	c.failures += weight * failures
-	c.silences += weight * silences
+	c.late += weight * late
 }
 
 func (c *decayingCounts) decay(now time.Time, halfLife time.Duration) {
 	factor := decayFactor(c.updatedAt, now, halfLife)
 	c.requests *= factor
 	c.failures *= factor
-	c.silences *= factor
+	c.late *= factor
 	c.updatedAt = now
 }
 
@@ -47,16 +47,16 @@
 func (c decayingCounts) scaled(weight float64) decayingCounts {
 	c.requests *= weight
 	c.failures *= weight
-	c.silences *= weight
+	c.late *= weight
 	return c
 }
 
 // failureRate returns the share of requests that failed; 0 without requests.
 func (c *decayingCounts) failureRate() float64 { return ratio(c.failures, c.requests) }
 
-// silenceRate returns the share of requests without a first event within the usual time.
-func (c *decayingCounts) silenceRate() float64 {
-	return min(1, ratio(c.silences, c.requests+c.silences))
+// lateRate returns the late first events as a share of ended and late requests; 0 without any.
+func (c *decayingCounts) lateRate() float64 {
+	return min(1, ratio(c.late, c.requests+c.late))
 }
 
 func ratio(part, whole float64) float64 {
@@ -66,7 +66,8 @@
 	return part / whole
 }
 
-// decayFactor returns the factor by which a weight decays between two times.
+// decayFactor returns the factor by which a weight decays between two times; 1 if since is zero or
+// not before now.
 func decayFactor(since, now time.Time, halfLife time.Duration) float64 {
 	elapsed := now.Sub(since)
 	if since.IsZero() || elapsed <= 0 {
@@ -75,29 +76,29 @@
 	return math.Exp2(-float64(elapsed) / float64(halfLife))
 }
 
-// pace is the mean time per token, with a decaying weight.
-type pace struct {
+// tokenTime is the mean time per token, with a decaying weight.
+type tokenTime struct {
 	mean      time.Duration
 	weight    float64
 	updatedAt time.Time
 }
 
-func (p *pace) add(mean time.Duration, weight float64, now time.Time) {
-	p.decay(now)
-	p.weight += weight
-	p.mean += time.Duration(float64(mean-p.mean) * weight / p.weight)
+func (t *tokenTime) add(mean time.Duration, weight float64, now time.Time) {
+	t.decay(now)
+	t.weight += weight
+	t.mean += time.Duration(float64(mean-t.mean) * weight / t.weight)
 }
 
-func (p *pace) decay(now time.Time) {
-	p.weight *= decayFactor(p.updatedAt, now, paceHalfLife)
-	p.updatedAt = now
+func (t *tokenTime) decay(now time.Time) {
+	t.weight *= decayFactor(t.updatedAt, now, tokenTimeHalfLife)
+	t.updatedAt = now
 }
 
 // nodeStats holds one node's reports about one worker.
 type nodeStats struct {
 	spread     decayingCounts // all reported requests
 	suspicion  decayingCounts // requests reported while the worker is suspected
-	pace       pace
+	tokenTime  tokenTime
 	lastReport time.Time
 }
 
--- a/internal/experience/experience.go
+++ b/internal/experience/experience.go
@@ -9,7 +9,8 @@
 
 import "time"
 
-// Sample is what one node observed of one incarnation of a worker since its previous report.
+// Sample is what one node observed of one incarnation of a worker since its previous report. Nodes
+// send it to each other, so its field names are part of the protocol.
 type Sample struct {
 	Worker string // key of the worker's incarnation
 	// Requests is the number of requests that ended.
@@ -17,16 +18,18 @@
 	// Failures is how many of Requests failed because of the worker: failed, truncated or garbled.
 	Failures int
 	// Silences is the number of requests whose first event did not arrive within the usual time.
+	// Such a request need not have ended.
 	Silences int
 	// Pace is the mean time per token over Paced measurements; 0 if there were none.
 	Pace  time.Duration
 	Paced int
 }
 
-// Verdict is how nodes should treat a worker. The zero value, except for Worker, withdraws earlier
-// verdicts: the worker may receive all requests again.
+// Verdict is how nodes should treat a worker. One that sets only Worker withdraws earlier verdicts:
+// the worker may receive all requests again. Nodes send it to each other, so its field names are
+// part of the protocol.
 type Verdict struct {
-	Worker string
+	Worker string // key of the worker's incarnation
 	// Until is how much longer the worker is ejected and receives trial requests only; 0 if it is
 	// not ejected.
 	Until time.Duration
@@ -41,5 +44,5 @@
 	Cost time.Duration
 }
 
-// Clear reports whether the verdict imposes no restriction on the worker.
+// Clear reports whether the verdict contains no ejection, no slowdown and no cost.
 func (v Verdict) Clear() bool { return v.Until <= 0 && v.Slow == 0 && v.Cost == 0 }
--- a/internal/experience/judge.go
+++ b/internal/experience/judge.go
@@ -8,14 +8,16 @@
 )
 
 const (
-	// maxEjectedShare is the maximum share of a group's workers that are ejected. It is larger
-	// than one of four zones; more widespread failures aren't caused by single workers.
+	// maxEjectedShare is the maximum share of a group's workers that are ejected. It exceeds the
+	// share of a single zone in a usual region. Failures of more workers have a common cause,
+	// which ejections don't remedy.
 	maxEjectedShare = 0.3
-	// Workers are ejected only while the utilization of the remaining ones stays up to
-	// ejectUtilization, and readmitted once it exceeds readmitUtilization.
+	// A worker is ejected only if the utilization of the remaining ones would stay within
+	// ejectUtilization. Ejected workers are readmitted while it exceeds readmitUtilization.
 	ejectUtilization   = 0.8
 	readmitUtilization = 0.95
-	// uselessFailureRate is the failure rate from which a worker is not readmitted for capacity.
+	// uselessFailureRate is the failure rate from which a worker is not readmitted for its
+	// capacity.
 	uselessFailureRate = 0.9
 	// healthyFailureRate is the minimum failure rate expected of a healthy worker.
 	healthyFailureRate = 0.05
@@ -25,7 +27,7 @@
 	minExcessRate = 0.3
 	// maxFailureRate bounds the failure rate expected of a bad worker.
 	maxFailureRate = 0.95
-	// ejectionThreshold is the log-likelihood ratio of a bad to a healthy worker from which a
+	// ejectionThreshold is the log-likelihood ratio of a bad to a healthy worker above which a
 	// worker is ejected. A worker with failure rate healthyFailureRate exceeds it by chance about
 	// once in 1,800 requests, even if no node is discounted.
 	ejectionThreshold = 7.5
@@ -96,7 +98,8 @@
 	return median(failureRates)
 }
 
-// evaluateFailures ejects and readmits workers of a group, the worst first.
+// evaluateFailures readmits untried and needed workers of a group, then ejects workers, beginning
+// with the strongest evidence.
 func (b *Board) evaluateFailures(workers []*worker, now time.Time) {
 	h := hypothesesFor(medianFailureRate(workers, now))
 	var candidates []evidence
@@ -136,11 +139,12 @@
 
 // canEject reports whether the group's limit and capacity permit another ejection.
 func (b *Board) canEject(workers []*worker, candidate evidence) bool {
-	out, lostCapacity := countEjected(workers)
-	return out+1 <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity+1-candidate.failureRate, ejectUtilization)
+	ejected, lostCapacity := countEjected(workers)
+	return ejected+1 <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity+1-candidate.failureRate, ejectUtilization)
 }
 
-// maxEjected returns how many of a group's workers may be ejected.
+// maxEjected returns how many of a group's workers may be ejected: never the only one, and at least
+// one of several.
 func maxEjected(workers int) int {
 	if workers < 2 {
 		return 0
@@ -154,8 +158,8 @@
 	return b.utilization*float64(workers) <= maxUtilization*(float64(workers)-lostCapacity)
 }
 
-// countEjected returns the number of ejected workers, and the capacity lost by it in healthy
-// workers.
+// countEjected returns the number of ejected workers, and how many healthy workers would provide
+// the capacity that the group lacks without them.
 func countEjected(workers []*worker) (count int, lostCapacity float64) {
 	for _, w := range workers {
 		if w.ejection != nil {
@@ -167,15 +171,15 @@
 }
 
 // readmitNeeded readmits ejected workers, the lowest failure rate first, while the group exceeds
-// its ejection limit or the others lack capacity.
+// its ejection limit or the others lack capacity. For capacity, it readmits no useless worker.
 func (b *Board) readmitNeeded(workers []*worker, now time.Time) {
 	for {
-		out, lostCapacity := countEjected(workers)
-		if out <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity, readmitUtilization) {
+		ejected, lostCapacity := countEjected(workers)
+		if ejected <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity, readmitUtilization) {
 			return
 		}
 		best := bestEjected(workers)
-		if best == nil || best.ejection.failureRate >= uselessFailureRate && out <= maxEjected(len(workers)) {
+		if best == nil || best.ejection.failureRate >= uselessFailureRate && ejected <= maxEjected(len(workers)) {
 			return
 		}
 		b.readmit(best, Needed, now)
--- a/internal/experience/load_test.go
+++ b/internal/experience/load_test.go
@@ -20,24 +20,24 @@
 // fleet simulates nodes that choose workers by a board's verdicts alone.
 type fleet struct {
 	nodes, workers int
-	perSecond      float64 // requests of all nodes
-	busy           float64 // utilization passed to the board
-	fails          func(worker int, at time.Duration) float64
-	slow           func(worker int, at time.Duration) float64 // slowdown factor; 0: not slow
+	perSecond      float64                                    // requests of all nodes
+	busy           float64                                    // utilization passed to the board
+	fails          func(worker int, at time.Duration) float64 // failure rate
+	slow           func(worker int, at time.Duration) float64 // slowdown factor; up to 1: not slow
 	linkLoss       func(node int) float64                     // share of requests that fail because of a node's own links
 	failsFast      bool                                       // failures show at once, as refused connections do
 	noVerdicts     bool                                       // nodes receive no verdicts
-	troubleStart   time.Duration                              // when faults begin; requests are counted from then on
+	faultStart     time.Duration                              // when faults begin; requests are counted from then on
 	runFor         time.Duration                              // duration of the whole run
 }
 
 // result is the outcome of a run.
 type result struct {
-	sent, lost, slowed int
+	sent, lost, slowed int                   // requests: all, failed, sent to slow workers
 	ejected            map[int]time.Duration // by worker: time of the first ejection
-	back               map[int]time.Duration // by worker: time of the last readmission
+	readmitted         map[int]time.Duration // by worker: time of the last readmission
 	trialsFailed       int
-	maxOut             int
+	maxEjected         int
 	slowReported       map[int]time.Duration // by worker: when it was first reported slow
 }
 
@@ -61,7 +61,7 @@
 
 func (f fleet) run(seed uint64) result {
 	random := rand.New(rand.NewPCG(seed, 1))
-	got := result{ejected: map[int]time.Duration{}, back: map[int]time.Duration{}, slowReported: map[int]time.Duration{}}
+	got := result{ejected: map[int]time.Duration{}, readmitted: map[int]time.Duration{}, slowReported: map[int]time.Duration{}}
 	start := time.Unix(1000, 0)
 	now := time.Duration(0)
 	out := map[string]bool{}
@@ -74,12 +74,12 @@
 			}
 		}
 		if !change.Out {
-			got.back[worker] = now
+			got.readmitted[worker] = now
 			delete(out, change.Worker)
 		} else {
 			out[change.Worker] = true
 		}
-		got.maxOut = max(got.maxOut, len(out))
+		got.maxEjected = max(got.maxEjected, len(out))
 	})
 	board.SetBusy(f.busy)
 	keys := names[:f.workers]
@@ -118,7 +118,7 @@
 			if f.slow != nil {
 				slow = f.slow(worker, now)
 			}
-			if now >= f.troubleStart {
+			if now >= f.faultStart {
 				got.sent++
 				if failed {
 					got.lost++
@@ -170,6 +170,7 @@
 	return got
 }
 
+// arrivals returns the number of requests in one tick, perSecond on average.
 func (f fleet) arrivals(random *rand.Rand) int {
 	mean := f.perSecond * tick.Seconds()
 	count := int(mean)
@@ -210,13 +211,14 @@
 // largeFleet is 77 nodes with 45 workers at 60% utilization.
 func largeFleet() fleet {
 	return fleet{
-		nodes: 77, workers: 45, perSecond: 1200, busy: 0.6, troubleStart: 3 * time.Second, runFor: 9500 * time.Millisecond,
+		nodes: 77, workers: 45, perSecond: 1200, busy: 0.6, faultStart: 3 * time.Second, runFor: 9500 * time.Millisecond,
 		fails: func(int, time.Duration) float64 { return baselineFailureRate },
 	}
 }
 
-func (f fleet) inTrouble(at time.Duration) bool {
-	return at >= f.troubleStart && at < f.troubleStart+6500*time.Millisecond
+// faultActive reports whether the faults are active at a time: for 6.5 s from faultStart.
+func (f fleet) faultActive(at time.Duration) bool {
+	return at >= f.faultStart && at < f.faultStart+6500*time.Millisecond
 }
 
 // forSeeds runs a load for several seeds, with verdicts and without.
@@ -224,9 +226,9 @@
 	t.Helper()
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			alone := load
-			alone.noVerdicts = true
-			check(t, load.run(seed), alone.run(seed))
+			baseline := load
+			baseline.noVerdicts = true
+			check(t, load.run(seed), baseline.run(seed))
 		})
 	}
 }
@@ -237,7 +239,7 @@
 	const bad = 6
 	load := largeFleet()
 	load.fails = func(worker int, at time.Duration) float64 {
-		if worker < bad && load.inTrouble(at) {
+		if worker < bad && load.faultActive(at) {
 			return 0.45
 		}
 		return baselineFailureRate
@@ -246,16 +248,16 @@
 		require.Len(t, with.ejected, bad)
 		for worker, at := range with.ejected {
 			require.Less(t, worker, bad, "a healthy worker was ejected")
-			require.Less(t, at-load.troubleStart, 1500*time.Millisecond)
+			require.Less(t, at-load.faultStart, 1500*time.Millisecond)
 		}
 		t.Logf("lost %.4f (without verdicts %.4f), ejected after %v, trials that failed %d", with.lossRate(), without.lossRate(), with.ejected, with.trialsFailed)
 		require.Less(t, with.lossRate()-baselineFailureRate, (without.lossRate()-baselineFailureRate)/3)
-		require.LessOrEqual(t, with.maxOut, 13)
+		require.LessOrEqual(t, with.maxEjected, 13)
 	})
 }
 
-// Guards against missing workers that are down and up in turns, and against keeping them ejected
-// long after they recover.
+// Guards against missing workers that alternate between failing all and no requests, and against
+// keeping them ejected long after they recover.
 func TestFlappingWorkersAreEjectedAndReadmitted(t *testing.T) {
 	for _, gap := range []time.Duration{900 * time.Millisecond, 1400 * time.Millisecond} {
 		t.Run(gap.String(), func(t *testing.T) {
@@ -263,7 +265,7 @@
 			load := largeFleet()
 			load.runFor, load.failsFast = 16*time.Second, true
 			load.fails = func(worker int, at time.Duration) float64 {
-				if worker < bad && load.inTrouble(at) && (at-load.troubleStart)/gap%2 == 0 {
+				if worker < bad && load.faultActive(at) && (at-load.faultStart)/gap%2 == 0 {
 					return 1
 				}
 				return baselineFailureRate
@@ -272,13 +274,13 @@
 				require.Len(t, with.ejected, bad)
 				for worker, at := range with.ejected {
 					require.Less(t, worker, bad, "a healthy worker was ejected")
-					require.Less(t, at-load.troubleStart, gap)
+					require.Less(t, at-load.faultStart, gap)
 				}
-				t.Logf("lost %.4f (without verdicts %.4f), back %v, trials that failed %d", with.lossRate(), without.lossRate(), with.back, with.trialsFailed)
+				t.Logf("lost %.4f (without verdicts %.4f), readmitted %v, trials that failed %d", with.lossRate(), without.lossRate(), with.readmitted, with.trialsFailed)
 				require.Less(t, with.lossRate()-baselineFailureRate, (without.lossRate()-baselineFailureRate)/2)
 				for worker := range bad {
-					require.Contains(t, with.back, worker)
-					require.Less(t, with.back[worker]-load.troubleStart-6500*time.Millisecond, 5*time.Second, "readmitted soon after recovery")
+					require.Contains(t, with.readmitted, worker)
+					require.Less(t, with.readmitted[worker]-load.faultStart-6500*time.Millisecond, 5*time.Second, "readmitted soon after recovery")
 				}
 			})
 		})
@@ -290,7 +292,7 @@
 	const bad = 7
 	load := largeFleet()
 	load.slow = func(worker int, at time.Duration) float64 {
-		if worker < bad && load.inTrouble(at) {
+		if worker < bad && load.faultActive(at) {
 			return 5
 		}
 		return 1
@@ -300,7 +302,7 @@
 		require.Len(t, with.slowReported, bad)
 		for worker, at := range with.slowReported {
 			require.Less(t, worker, bad, "a healthy worker was reported as slow")
-			require.Less(t, at-load.troubleStart, 1500*time.Millisecond)
+			require.Less(t, at-load.faultStart, 1500*time.Millisecond)
 		}
 		t.Logf("to slow workers %d of %d (without verdicts %d)", with.slowed, with.sent, without.slowed)
 		require.Less(t, with.slowed, without.slowed/2)
@@ -326,8 +328,9 @@
 	}
 }
 
-func shareIf(is bool, share float64) float64 {
-	if is {
+// shareIf returns share if the condition holds, else 0.
+func shareIf(condition bool, share float64) float64 {
+	if condition {
 		return share
 	}
 	return 0
--- a/internal/experience/trust.go
+++ b/internal/experience/trust.go
@@ -18,7 +18,8 @@
 	minWorkersUsed = 4
 	// failingRate is the failure rate from which a worker counts as failing for a node.
 	failingRate = 0.3
-	// minRequestWeight is the decayed request count below which reports are ignored.
+	// minRequestWeight is the decayed request count below which a failure rate or a rate of late
+	// first events is ignored.
 	minRequestWeight = 0.25
 	// minTrialTrust is the trust from which a node's trial outcomes count.
 	minTrialTrust = 0.5
@@ -50,7 +51,8 @@
 	}
 }
 
-// trustFor returns the trust in a node that uses some workers, of which some are failing.
+// trustFor returns the trust in a node, given how many workers it uses and how many of them it sees
+// failing.
 func trustFor(used, failing int) float64 {
 	if used < minWorkersUsed {
 		return 1
