--- a/internal/silence/arrival.go
+++ b/internal/silence/arrival.go
@@ -54,9 +54,9 @@
 	waitingSince time.Time // first check that saw bytes beyond these unacknowledged; zero: none did
 }
 
-// Overdue reports whether written bytes have gone unacknowledged for longer than the connection's
-// round trips account for. It reports false for bytes written a moment ago, and where the kernel's
-// state is unavailable.
+// Overdue reports whether written bytes have stayed unacknowledged for longer than the connection's
+// measured round trips explain. It returns false for bytes written a moment ago, and where the
+// kernel's state is unavailable.
 func (a *Acknowledgements) Overdue(connection net.Conn) bool {
 	seen, known := SendStateOf(connection)
 	return known && a.overdue(seen, time.Now())
--- a/internal/silence/guard.go
+++ b/internal/silence/guard.go
@@ -16,8 +16,8 @@
 	Unguarded func(error)
 }
 
-// Protect applies the limits to a new connection. roundTrip is how long it took to open; 0 means
-// unknown. Connections other than TCP are left unchanged.
+// Protect applies the limits to a new connection. roundTrip is how long the connection took
+// to open; 0 means unknown. Connections other than TCP are left unchanged.
 func (g Guard) Protect(connection net.Conn, roundTrip time.Duration) {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
@@ -31,8 +31,8 @@
 	}
 }
 
-// Stretch raises the limit of a protected connection to MaxUnread, so that its peer has time to
-// read a long message.
+// Stretch raises the user timeout of a protected connection to MaxUnread, so that its peer has time
+// to read a long message. It does nothing if MaxUnread isn't longer.
 func (g Guard) Stretch(connection net.Conn) {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok || g.MaxUnread <= g.UserTimeout(0) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Count calls GivenUp, if set.
+// Count reports a connection that is abandoned as dead to GivenUp, if set.
 func (g Guard) Count() {
 	if g.GivenUp != nil {
 		g.GivenUp()
--- a/internal/silence/limits.go
+++ b/internal/silence/limits.go
@@ -13,9 +13,9 @@
 	Transmissions int
 	// MaxUnacknowledged is the maximum time that bytes may stay unacknowledged; 0: no limit.
 	MaxUnacknowledged time.Duration
-	// MaxUnread is how long the peer may stop reading within a long message; 0: MaxUnacknowledged
-	// applies. The kernel also counts bytes that don't fit the peer's receive window as
-	// unacknowledged.
+	// MaxUnread is how long the peer may stop reading within a long message, for Guard.Stretch; 0:
+	// no longer than usual. The kernel also counts bytes that don't fit the peer's receive window
+	// as unacknowledged.
 	MaxUnread time.Duration
 	// Idle is the time without traffic before the first keep-alive probe, Interval the time
 	// between probes, and Probes the number that may stay unanswered. The kernel supports whole
@@ -43,8 +43,8 @@
 	// applies this limit to idle connections too, instead of the number of probes: with three
 	// transmissions (1.4 s) one lost probe would break a request that its worker still processes.
 	longTransmissions = 4
-	// recoveryDivisor limits an attempt to a fraction of the recovery time, regardless of the
-	// round trip, which leaves as much for the next connection.
+	// recoveryDivisor limits the timeout to half of the recovery time, however long the round
+	// trip, so that the other half is left for the next connection.
 	recoveryDivisor = 2
 	// maxUnansweredProbes is the number of unanswered probes that break an idle connection.
 	maxUnansweredProbes = 2
@@ -54,7 +54,8 @@
 // reachable again after a fault; 0 means 3 s.
 func ForNodes(recovery time.Duration) Limits { return shortLimits(recovery) }
 
-// ForTable returns the limits of connections to the table. recovery is as in ForNodes.
+// ForTable returns the limits of connections to the table, the store that all nodes share. recovery
+// is as in ForNodes.
 func ForTable(recovery time.Duration) Limits { return shortLimits(recovery) }
 
 func shortLimits(recovery time.Duration) Limits {
@@ -86,6 +87,7 @@
 	}
 }
 
+// orDefault returns recovery, or defaultRecovery if it isn't set.
 func orDefault(recovery time.Duration) time.Duration {
 	if recovery <= 0 {
 		return defaultRecovery
