--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -1,5 +1,5 @@
-// Package locality maps zones to regions, measures the distance between zones, and restricts
-// content to regions.
+// Package locality maps zones to regions, classifies the distance between zones, and restricts the
+// content of requests to regions.
 package locality
 
 import (
@@ -15,7 +15,7 @@
 	regions  []string
 }
 
-// NewMap returns a map with the given region of each zone.
+// NewMap returns a Map, given the region of each zone.
 func NewMap(regionOfZone map[string]string) *Map {
 	regions := slices.Collect(maps.Values(regionOfZone))
 	slices.Sort(regions)
@@ -72,7 +72,7 @@
 	}
 }
 
-// Between returns the distance between two zones. Without any regions, all zones count as one
+// Between returns the distance between two zones. A map without zones puts all zones into one
 // region.
 func (m *Map) Between(a, b string) Distance {
 	switch {
