--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -17,7 +17,7 @@
 // Version numbers configurations; a higher one is newer.
 type Version int64
 
-// Kind is whether a request may be repeated, and how it is answered.
+// Kind classifies requests by whether they may be repeated and how they are answered.
 type Kind string
 
 // Kinds of requests.
@@ -30,7 +30,7 @@
 // Target is a service with its weight among a route's targets.
 type Target struct {
 	Service string
-	Weight  int
+	Weight  int // its share is the weight divided by the sum of all weights
 }
 
 // Route defines how requests for a host and path prefix are handled.
@@ -58,8 +58,9 @@
 // over [0, 1), whatever their number.
 const goldenFraction = 0.6180339887498949
 
-// Draw returns the next number of a low-discrepancy sequence in [0, 1), for Service. It returns 0
-// for a route with fewer than two targets or outside a Configuration.
+// Draw returns the next number of an evenly spread (low-discrepancy) sequence in [0, 1), to be
+// passed to Service. It returns 0 for a route with fewer than two targets or outside a
+// Configuration.
 func (r *Route) Draw() float64 {
 	if r.draws == nil || len(r.Targets) < 2 {
 		return 0
@@ -119,7 +120,7 @@
 	HealthPath string
 }
 
-// Limits bound client requests and connections.
+// Limits bound client requests and connections. Sizes of 0 keep the node's defaults.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -142,8 +143,8 @@
 	priorities map[string][]int
 }
 
-// maxInitialDraw bounds the random start of a route's draws. Larger numbers would lose the
-// precision that keeps draws distinct.
+// maxInitialDraw bounds the random start of a route's draws. At much larger numbers, successive
+// draws would no longer differ in floating point.
 const maxInitialDraw = 1 << 20
 
 // New returns a configuration that indexes the given routes and services. It raises a MaxAttempts
@@ -188,8 +189,8 @@
 	}
 }
 
-// LessUrgent returns the next less urgent priority among the routes to a service; ok is false if
-// there is none.
+// LessUrgent returns the next higher number, and so the next less urgent priority, among the routes
+// to a service; ok is false if there is none.
 func (c *Configuration) LessUrgent(service string, priority int) (next int, ok bool) {
 	priorities := c.priorities[service]
 	index, found := slices.BinarySearch(priorities, priority)
