--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -12,24 +12,25 @@
 	"github.com/cloverwheel/cloverwheel/internal/httpconn"
 )
 
-// attempts are the workers that may have run a request. Its route bounds how many count.
+// attempts tracks the workers that may have run a request. The route's MaxAttempts limits how
+// many of them count at the same time.
 //
-// A worker leaves the count by the word of its machine, or by that of the process that started
-// under its ID after it, which no later event takes back: its process has ended. That it is silent, and that no connection to it comes up for a while, is
-// no such word. A paused worker whose queue of connections is full looks like that, and so does
-// a path that loses first packets; both work on the request afterwards (42 and 26 of 350
-// requests ran at two workers where one was allowed, four to six nodes and workers as processes).
+// A worker stops counting only when its process is known to have ended: its host reports the
+// connection closed and the port unused, or another process has registered under its ID. Neither
+// can be reversed by a later event. Silence and failed dials are not enough: a paused worker with
+// a full accept queue and a path that drops the first packets look the same, and both may still
+// run the request.
 type attempts struct {
-	all     []string // that may ever have run it
-	counted []string // of them, those that are not known to have ended
-	dropped []string // of them, the others, each with what was observed, for the log
-	broken  []string // that closed or reset the connection before their answer's end
+	all     []string // every worker that may have run the request
+	counted []string // those of all that are not known to have ended
+	dropped []string // the rest of all, each as worker:observation, for the log
+	broken  []string // workers that closed or reset the connection before the answer was complete
 }
 
 // any reports whether some worker may have run the request.
 func (a *attempts) any() bool { return len(a.all) > 0 }
 
-// add notes that a worker may have run the request.
+// add records that a worker may have run the request.
 func (a *attempts) add(worker string) {
 	if !slices.Contains(a.all, worker) {
 		a.all = append(a.all, worker)
@@ -39,40 +40,42 @@
 	}
 }
 
-// noteBreak notes that the connection to a worker broke before its answer's end.
-func (a *attempts) noteBreak(worker string, err error) {
+// recordBreak records that the connection to a worker broke before the answer was complete, if
+// the worker closed it.
+func (a *attempts) recordBreak(worker string, err error) {
 	if httpconn.ClosedByPeer(err) {
 		a.broken = append(a.broken, worker)
 	}
 }
 
-// hasEnded reports whether a worker that may have run the request is known to have ended, now
-// that a connection to it failed by err: it had closed the request's own connection, and nobody
-// listens at its address any more. Either alone is not enough: a worker that answers badly
-// closes connections, and one that stops as planned may close its door before it is done.
-func (a *attempts) hasEnded(worker string, err error) bool {
+// processEnded reports whether a worker that may have run the request is known to have ended,
+// given the error of a later connection to it. The worker must have closed the request's own
+// connection, and its address must now refuse connections. Either alone is not enough: a worker
+// that sends a malformed answer also closes connections, and one that shuts down gracefully stops
+// listening before it is done.
+func (a *attempts) processEnded(worker string, err error) bool {
 	return httpconn.Refused(err) && slices.Contains(a.broken, worker) && slices.Contains(a.counted, worker)
 }
 
-// drop takes a worker out of the count.
+// drop stops counting a worker.
 func (a *attempts) drop(worker, observed string) {
 	a.counted = slices.DeleteFunc(a.counted, func(counted string) bool { return counted == worker })
 	a.dropped = append(a.dropped, worker+":"+observed)
 }
 
-// mayHaveRun notes that a worker may have run the request.
-func (x *exchange) mayHaveRun(worker *backend.Worker) {
+// recordAttempt records that a worker may have run the request.
+func (x *exchange) recordAttempt(worker *backend.Worker) {
 	x.attempts.add(worker.Key())
-	x.asked = append(x.asked, worker)
+	x.attempted = append(x.attempted, worker)
 }
 
-// dropSucceeded takes the workers out of the count under whose IDs other processes have started
-// since: they have ended. What a new process says is no word of the one before, so a request that
-// this one may have run stays one that may have run.
-func (x *exchange) dropSucceeded() {
-	for _, worker := range x.asked {
+// dropRestarted stops counting the workers whose process has been replaced by a new one under the
+// same ID: the old process has ended. An answer of the new process says nothing about the old
+// one, so the request may still have run there.
+func (x *exchange) dropRestarted() {
+	for _, worker := range x.attempted {
 		if slices.Contains(x.attempts.counted, worker.Key()) && worker.Succeeded() {
-			x.drop(worker, observedSucceeded)
+			x.dropAttempt(worker, observedRestarted)
 		}
 	}
 }
@@ -80,8 +83,9 @@
 // mayRunElsewhere reports whether the route allows another worker.
 func (x *exchange) mayRunElsewhere() bool { return len(x.attempts.counted) < x.route.MaxAttempts }
 
-// movable reports whether another worker may take the request over from one that it is sent to.
-func (x *exchange) movable(from string) bool {
+// mayMove reports whether another worker may take the request over from the given one; empty:
+// from a worker not yet chosen.
+func (x *exchange) mayMove(from string) bool {
 	count := len(x.attempts.counted)
 	if !slices.Contains(x.attempts.counted, from) {
 		count++
@@ -89,8 +93,8 @@
 	return x.route.Repeatable() && count < x.route.MaxAttempts
 }
 
-// drop takes a worker out of the count of those asked, by what has just been observed.
-func (x *exchange) drop(worker *backend.Worker, observed string) {
+// dropAttempt stops counting a worker, and logs the observation that proved its end.
+func (x *exchange) dropAttempt(worker *backend.Worker, observed string) {
 	id := worker.Key()
 	x.attempts.drop(id, observed)
 	x.options.Metrics.AttemptsDropped.WithLabelValues(observed).Inc()
@@ -105,9 +109,9 @@
 	}).Warn("worker no longer counts as one that may have run the request")
 }
 
-// noteResend logs that a request is sent once more that may have run, and by what count that is
-// allowed. Sends after a worker's word that it did not run are in the request's own line.
-func (x *exchange) noteResend(worker *backend.Worker, left time.Duration) {
+// logResend logs that a request that may have run is sent again, with the attempts that allow it.
+// A send after a worker declined appears only in the request's own log line.
+func (x *exchange) logResend(worker *backend.Worker, left time.Duration) {
 	if !x.attempts.any() {
 		return
 	}
@@ -115,27 +119,27 @@
 		"request":      x.request.ID,
 		"worker":       worker.Key(),
 		"send":         x.sends,
-		"after_ms":     time.Since(x.begun).Milliseconds(),
+		"after_ms":     time.Since(x.startTime).Milliseconds(),
 		"left_ms":      left.Milliseconds(),
 		"counted":      strings.Join(x.attempts.counted, ","),
 		"dropped":      strings.Join(x.attempts.dropped, ","),
 		"max_attempts": x.route.MaxAttempts,
-	}).Info("request is sent again")
+	}).Info("sending the request again")
 }
 
-// noteAttempts adds to a request's line how many workers may have run it, where these are
-// several, and counts it if they are more than its route allows.
-func (x *exchange) noteAttempts(fields log.Fields) {
+// addAttemptFields adds to the request's log line how many workers may have run it, if more than
+// one, and counts the request if they exceed the route's limit.
+func (x *exchange) addAttemptFields(fields log.Fields) {
 	if len(x.attempts.all) > 1 {
 		fields["may_have_run"] = fmt.Sprintf("%d of %d", len(x.attempts.all), x.route.MaxAttempts)
 	}
 	if x.route != nil && len(x.attempts.all) > max(1, x.route.MaxAttempts) {
-		x.options.Metrics.BeyondAttempts.Inc()
+		x.options.Metrics.ExcessAttempts.Inc()
 	}
 }
 
-// What is observed of a worker that no longer counts.
+// Values of the "observed" log field and metric label: why a worker no longer counts.
 const (
-	observedEnded     = "ended"     // it closed the connection, and nobody listens at its address
-	observedSucceeded = "succeeded" // another process has started under its ID
+	observedEnded     = "ended"     // it closed the connection, and its address refuses new ones
+	observedRestarted = "succeeded" // another process has registered under its ID
 )
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -21,9 +21,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// workersAsAsked adds as many workers as there are scripts: the first that is asked does the
-// first of them, and so on.
-func (f *fixture) workersAsAsked(does ...script) {
+// workersInOrder adds as many workers as there are scripts. The worker asked first runs the first
+// script, and so on.
+func (f *fixture) workersInOrder(does ...script) {
 	asked := map[string]int{}
 	for index := range does {
 		id := fmt.Sprint("w", index)
@@ -36,7 +36,7 @@
 	}
 }
 
-// askedWorkers are the workers that were sent something, each once, in order.
+// askedWorkers returns the workers that were sent a call, each once, in order.
 func (f *fixture) askedWorkers() (asked []string) {
 	for _, call := range f.sent() {
 		if len(asked) == 0 || asked[len(asked)-1] != call.worker {
@@ -46,8 +46,8 @@
 	return asked
 }
 
-// sendsEventsThen is a worker that sends two events and then does something else.
-func sendsEventsThen(then func() error) script {
+// twoEventsThen is a worker that sends two events and then runs a function.
+func twoEventsThen(then func() error) script {
 	return func(ctx context.Context, _ Call) (*Answer, error) {
 		rest := readerFunc(func([]byte) (int, error) {
 			if err := then(); err != nil {
@@ -64,14 +64,12 @@
 
 func (f readerFunc) Read(buffer []byte) (int, error) { return f(buffer) }
 
-// silently does nothing more.
-func silently() error { return nil }
+// staysSilent sends nothing more and keeps the connection open.
+func staysSilent() error { return nil }
 
-// TestSilentWorkerToWhichNoConnectionComesUpStillCounts: it may be paused, with a queue of
-// connections that is full, or behind a path that loses first packets; then it works on the
-// request afterwards. Where another worker is allowed that one is asked, and else a request whose
-// answer has not begun has its final answer at once: its client is better off elsewhere.
-func TestSilentWorkerToWhichNoConnectionComesUpStillCounts(t *testing.T) {
+// Guards against dropping a silent worker from the attempts because connections to it fail: it
+// may be paused and still run the request. Another worker is asked only if the route allows two.
+func TestUnreachableSilentWorkerStillCounts(t *testing.T) {
 	for name, test := range map[string]struct {
 		route   route.Route
 		silent  script
@@ -79,23 +77,23 @@
 		workers int
 		served  bool
 	}{
-		"safe, one worker is allowed":    {plainRoute(route.Safe, 1), hangs, answers(http.StatusOK, "ok"), 1, false},
-		"safe, two are allowed":          {plainRoute(route.Safe, 2), hangs, answers(http.StatusOK, "ok"), 2, true},
-		"safe, two are, and both silent": {plainRoute(route.Safe, 2), hangs, hangs, 2, false},
-		"a stream before its head":       {turnRoute(resumable), hangs, streams(3, 0), 1, false},
-		"a stream, two are allowed": {turnRoute(func(r *route.Route) { r.Resumable, r.MaxAttempts = true, 2 }),
-			sendsEventsThen(silently), streams(3, 0), 2, true},
+		"safe, one worker allowed":               {plainRoute(route.Safe, 1), hangs, answers(http.StatusOK, "ok"), 1, false},
+		"safe, two workers allowed":              {plainRoute(route.Safe, 2), hangs, answers(http.StatusOK, "ok"), 2, true},
+		"safe, two workers allowed, both silent": {plainRoute(route.Safe, 2), hangs, hangs, 2, false},
+		"a stream before its head":               {turnRoute(resumable), hangs, streams(3, 0), 1, false},
+		"a stream, two workers allowed": {turnRoute(func(r *route.Route) { r.Resumable, r.MaxAttempts = true, 2 }),
+			twoEventsThen(staysSilent), streams(3, 0), 2, true},
 	} {
-		for why, dialError := range map[string]error{"nothing is heard": nil, "nobody listens": syscall.ECONNREFUSED} {
+		for why, dialError := range map[string]error{"dials time out": nil, "dials are refused": syscall.ECONNREFUSED} {
 			t.Run(name+", "+why, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFixture(t, test.route)
 					f.dialError = dialError
-					f.workersAsAsked(test.silent, test.other, test.other)
+					f.workersInOrder(test.silent, test.other, test.other)
 					got := f.serve(t.Context(), nil)
 					require.Len(t, f.askedWorkers(), test.workers)
 					require.Equal(t, test.served, got.ended)
-					require.Equal(t, 1, got.finals)
+					require.Equal(t, 1, got.finalAnswers)
 					if !test.served && !got.aborted {
 						require.Equal(t, fault.RanUnknown, got.refusal.Ran)
 					}
@@ -106,16 +104,16 @@
 	}
 }
 
-// TestBegunAnswerIsNotEndedForSilence: where no other worker may go on with it, it waits for its
-// own, to which no connection comes up meanwhile, until the time limit.
-func TestBegunAnswerIsNotEndedForSilence(t *testing.T) {
-	const limit = 3*time.Second - afterLimit
+// Guards against canceling a started answer because its worker is silent, when no other worker
+// may continue it.
+func TestStartedAnswerWaitsForSilentWorker(t *testing.T) {
+	const limit = 3*time.Second - deadlineMargin
 	for name, change := range map[string]func(*route.Route){"resumable": resumable, "not resumable": nil} {
 		for pause, whole := range map[time.Duration]bool{time.Second: true, time.Hour: false} {
 			t.Run(fmt.Sprintf("%s, silent for %v", name, pause), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFixture(t, turnRoute(change))
-					f.workersAsAsked(func(ctx context.Context, _ Call) (*Answer, error) {
+					f.workersInOrder(func(ctx context.Context, _ Call) (*Answer, error) {
 						pauses := readerFunc(func([]byte) (int, error) {
 							return 0, cmp.Or(wait.For(ctx, pause), io.EOF)
 						})
@@ -132,36 +130,36 @@
 	}
 }
 
-// TestWorkerThatHasEndedNoLongerCounts, once both are known: it closed the request's own
-// connection, and nobody listens at its address.
-func TestWorkerThatHasEndedNoLongerCounts(t *testing.T) {
+// Guards against resending a stream before its worker is known to have ended: it must have closed
+// the connection, and its address must refuse new ones.
+func TestEndedWorkerNoLongerCounts(t *testing.T) {
 	closes := func() error { return io.ErrUnexpectedEOF }
-	// then is what becomes of connections to the first worker after its first answer broke.
+	// then is the error of connections to the first worker after its answer broke.
 	for name, test := range map[string]struct {
 		breaks func() error
 		then   error
 		moves  bool
 	}{
-		"it closed, and nobody listens":         {closes, syscall.ECONNREFUSED, true},
-		"it reset, and nobody listens":          {func() error { return syscall.ECONNRESET }, syscall.ECONNREFUSED, true},
-		"it closed, and no connection comes up": {closes, context.DeadlineExceeded, false},
-		"its answer is not believed":            {func() error { return ErrForeign }, syscall.ECONNREFUSED, false},
-		"its connection fell silent":            {func() error { return syscall.ETIMEDOUT }, syscall.ECONNREFUSED, false},
+		"closed, then refused":        {closes, syscall.ECONNREFUSED, true},
+		"reset, then refused":         {func() error { return syscall.ECONNRESET }, syscall.ECONNREFUSED, true},
+		"closed, then dials time out": {closes, context.DeadlineExceeded, false},
+		"answer to another request":   {func() error { return ErrForeign }, syscall.ECONNREFUSED, false},
+		"connection timed out":        {func() error { return syscall.ETIMEDOUT }, syscall.ECONNREFUSED, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t, turnRoute(resumable))
 				calls := 0
-				f.workersAsAsked(func(ctx context.Context, call Call) (*Answer, error) {
+				f.workersInOrder(func(ctx context.Context, call Call) (*Answer, error) {
 					if calls++; calls > 1 {
 						return nil, errors.Join(httpconn.ErrNotWritten, test.then)
 					}
-					return sendsEventsThen(test.breaks)(ctx, call)
+					return twoEventsThen(test.breaks)(ctx, call)
 				}, streams(5, 0))
 				got := f.serve(t.Context(), nil)
 				require.Equal(t, test.moves, got.ended)
 				if test.moves {
-					require.Equal(t, events(5), got.body.String(), "taken up within the same answer")
+					require.Equal(t, events(5), got.body.String(), "resumed within the same answer")
 				} else {
 					require.Len(t, f.askedWorkers(), 1)
 				}
@@ -170,13 +168,13 @@
 	}
 }
 
-// TestLooksThatMissCountInARowOnly: a look fails when a packet is lost, and the worker is there.
-func TestLooksThatMissCountInARowOnly(t *testing.T) {
+// Guards against giving up a worker after a single failed check, as when a packet is lost.
+func TestOnlyConsecutiveFailedChecksCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, plainRoute(route.Safe, 1))
 		f.reachable, f.missEvery = true, 2
 		f.worker("w", func(ctx context.Context, _ Call) (*Answer, error) {
-			if err := wait.For(ctx, 7*safeStall/2); err != nil {
+			if err := wait.For(ctx, 7*safeSilence/2); err != nil {
 				return nil, err
 			}
 			return answer(http.StatusOK, false, strings.NewReader("ok")), nil
@@ -184,6 +182,6 @@
 		got := f.serve(t.Context(), nil)
 		require.Equal(t, http.StatusOK, got.status)
 		require.Len(t, f.sent(), 1)
-		require.Equal(t, 5, f.looks(), "two of them missed, and were made anew at once")
+		require.Equal(t, 5, f.dialCount(), "two checks failed and were repeated at once")
 	})
 }
--- a/internal/forward/identity_test.go
+++ b/internal/forward/auth_test.go
@@ -17,7 +17,7 @@
 	streamRoute = plainRoute(route.Streaming, 2)
 )
 
-// fakeFreshness says what a test sets.
+// fakeFreshness returns what the test sets.
 type fakeFreshness struct {
 	age   time.Duration
 	stale bool
@@ -25,15 +25,15 @@
 
 func (f *fakeFreshness) Age() (time.Duration, bool) { return f.age, !f.stale }
 
-// fakeLimits counts what is admitted.
+// fakeLimits counts what is admitted and returned.
 type fakeLimits struct {
 	admitted, returned int
-	failure            error
+	err                error
 }
 
 func (l *fakeLimits) Admit(context.Context, LimitRequest) error {
-	if l.failure != nil {
-		return l.failure
+	if l.err != nil {
+		return l.err
 	}
 	l.admitted++
 	return nil
@@ -41,8 +41,8 @@
 
 func (l *fakeLimits) Return(string) { l.returned++ }
 
-// keyed puts a configuration in force in which tenants hold keys of their own names.
-func (f *fixture) keyed(version route.Version, names []string, routes ...route.Route) {
+// setTenants sets a configuration in which tenants hold keys derived from their names.
+func (f *fixture) setTenants(version route.Version, names []string, routes ...route.Route) {
 	var entries []tenant.Entry
 	for _, name := range names {
 		entries = append(entries, tenant.Entry{
@@ -58,12 +58,14 @@
 	return func(r *Request) { r.Key = tenant.KeyOf("key of " + name) }
 }
 
-func TestRequestsNeedTheKeyOfATenant(t *testing.T) {
+// Guards against serving requests without a valid key, and against asking for one on an open
+// route.
+func TestRequestsNeedATenantKey(t *testing.T) {
 	f := newFixture(t)
 	f.worker("w", answers(200, "done"))
 	open := safeRoute
 	open.PathPrefix, open.Open = "/open/", true
-	f.keyed(1, []string{"stalls"}, safeRoute, open)
+	f.setTenants(1, []string{"stalls"}, safeRoute, open)
 	for name, change := range map[string]func(*Request){
 		"no key":        nil,
 		"wrong key":     withKey("somebody"),
@@ -81,28 +83,32 @@
 	require.Empty(t, f.sent()[1].tenant)
 }
 
-func TestKeyThatWasTakenAwayIsToldSo(t *testing.T) {
+// Guards against reporting a revoked key as merely unknown.
+func TestRevokedKeyIsReportedAsRevoked(t *testing.T) {
 	f := newFixture(t)
-	f.keyed(1, []string{"stalls"}, safeRoute)
+	f.setTenants(1, []string{"stalls"}, safeRoute)
 	before := f.forwarder.Configuration().Tenants
-	f.keyed(4, []string{"cellars"}, safeRoute)
+	f.setTenants(4, []string{"cellars"}, safeRoute)
 	f.forwarder.Configuration().Tenants.Follow(before, 4)
 	got := f.serve(t.Context(), withKey("stalls"))
-	require.ErrorContains(t, got.refusal, `this key of tenant "stalls" was taken away in version 4`)
+	require.ErrorContains(t, got.refusal, `this key of tenant "stalls" was revoked in configuration version 4`)
 }
 
-func TestMissingRouteComesBeforeAMissingKey(t *testing.T) {
+// Guards against an authentication error for a path that does not exist.
+func TestMissingRouteIsReportedBeforeAMissingKey(t *testing.T) {
 	f := newFixture(t)
-	f.keyed(1, []string{"stalls"}, safeRoute)
+	f.setTenants(1, []string{"stalls"}, safeRoute)
 	got := f.serve(t.Context(), func(r *Request) { r.Path = "/none" })
 	require.True(t, fault.Is(got.refusal, fault.NotFound))
 }
 
-func TestStaleNodeLetsNoKeyInAndSaysNothingOfIt(t *testing.T) {
+// Guards against accepting keys by an outdated configuration, and against revealing which keys it
+// holds.
+func TestStaleConfigurationRefusesAllKeysAlike(t *testing.T) {
 	f := newFixture(t)
 	f.worker("w", answers(200, "done"))
 	f.forwarder.options.Freshness = &fakeFreshness{age: 6 * time.Second, stale: true}
-	f.keyed(1, []string{"stalls"}, safeRoute)
+	f.setTenants(1, []string{"stalls"}, safeRoute)
 	for _, name := range []string{"stalls", "somebody"} {
 		got := f.serve(t.Context(), withKey(name))
 		require.True(t, fault.Is(got.refusal, fault.StaleConfiguration), name)
@@ -112,24 +118,24 @@
 	require.Empty(t, f.sent())
 }
 
-// TestKeyIsCheckedBeforeEverySend: a key that is taken away, or a proof that grows too old,
-// while a request waits or after a worker has failed ends the request.
+// Guards against resending a request after its key was revoked, or after the configuration became
+// too old to tell.
 func TestKeyIsCheckedBeforeEverySend(t *testing.T) {
 	for name, happen := range map[string]func(*fixture, *fakeFreshness){
-		"the key is taken away":   func(f *fixture, _ *fakeFreshness) { f.keyed(2, []string{"cellars"}, safeRoute) },
-		"the key goes to another": func(f *fixture, _ *fakeFreshness) { f.rekeyed(2, "cellars", "stalls") },
-		"the proof grows old":     func(_ *fixture, fresh *fakeFreshness) { fresh.stale = true },
-		"nobody needs a key": func(f *fixture, _ *fakeFreshness) {
+		"the key is revoked":              func(f *fixture, _ *fakeFreshness) { f.setTenants(2, []string{"cellars"}, safeRoute) },
+		"the key is reassigned":           func(f *fixture, _ *fakeFreshness) { f.reassignKey(2, "cellars", "stalls") },
+		"the configuration becomes stale": func(_ *fixture, fresh *fakeFreshness) { fresh.stale = true },
+		"no keys are needed": func(f *fixture, _ *fakeFreshness) {
 			f.forwarder.SetConfiguration(route.New(2, []route.Route{safeRoute}, nil, route.Limits{}))
 		},
-		"the tenants lose all keys":    func(f *fixture, _ *fakeFreshness) { f.keyed(2, nil, safeRoute) },
-		"both, the key and its tenant": func(f *fixture, fresh *fakeFreshness) { f.keyed(2, nil, safeRoute); fresh.stale = true },
+		"the tenants lose all keys":                        func(f *fixture, _ *fakeFreshness) { f.setTenants(2, nil, safeRoute) },
+		"all keys are lost and the configuration is stale": func(f *fixture, fresh *fakeFreshness) { f.setTenants(2, nil, safeRoute); fresh.stale = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			fresh := &fakeFreshness{}
 			f.forwarder.options.Freshness = fresh
-			f.keyed(1, []string{"stalls"}, safeRoute)
+			f.setTenants(1, []string{"stalls"}, safeRoute)
 			breaks := func(ctx context.Context, call Call) (*Answer, error) {
 				happen(f, fresh)
 				return resets(ctx, call)
@@ -144,19 +150,20 @@
 	}
 }
 
-// rekeyed gives the key of one tenant to another.
-func (f *fixture) rekeyed(version route.Version, to, keyOf string) {
+// reassignKey gives the key of one tenant to another.
+func (f *fixture) reassignKey(version route.Version, to, keyOf string) {
 	entries := []tenant.Entry{{Tenant: tenant.Tenant{Name: to}, Keys: []tenant.Key{tenant.KeyOf("key of " + keyOf)}}}
 	services := []route.Service{{Name: "s", TokensPerEvent: 10}}
 	f.forwarder.SetConfiguration(route.New(version, []route.Route{safeRoute}, services, route.Limits{}).WithTenants(tenant.NewRegistry(entries)))
 }
 
-func TestTenantsTurnsAreTheirOwn(t *testing.T) {
+// Guards against reading another tenant's turns or using its budgets.
+func TestTenantsDoNotShareTurns(t *testing.T) {
 	retained := streamRoute
 	retained.Retain, retained.Retention = true, time.Minute
 	f := newFixture(t)
 	f.worker("w", streams(2, 0))
-	f.keyed(1, []string{"stalls", "cellars"}, retained)
+	f.setTenants(1, []string{"stalls", "cellars"}, retained)
 	turn := func(name, id, previous string) *client {
 		return f.serve(t.Context(), func(r *Request) {
 			withKey(name)(r)
@@ -166,18 +173,19 @@
 	require.True(t, turn("stalls", "t1", "").ended)
 	require.True(t, turn("stalls", "t2", "t1").ended)
 	got := turn("cellars", "t3", "t1")
-	require.True(t, fault.Is(got.refusal, fault.NotFound), "another tenant's turn is none")
-	// Both call their program "p"; neither's tokens count against the other's budget.
+	require.True(t, fault.Is(got.refusal, fault.NotFound), "another tenant's turn is not found")
+	// Both tenants use the program ID "p"; their budgets are separate.
 	for number := range 4 {
 		require.True(t, turn("cellars", "c"+string(rune('0'+number)), "").ended, number)
 	}
 }
 
-func TestLimitsCountWhatWorkersMayRun(t *testing.T) {
+// Guards against counting requests that did not run against the rate limit.
+func TestLimitCountsOnlyRequestsThatMayHaveRun(t *testing.T) {
 	f := newFixture(t)
 	limits := &fakeLimits{}
 	f.forwarder.options.Limits = limits
-	f.keyed(1, []string{"stalls"}, safeRoute)
+	f.setTenants(1, []string{"stalls"}, safeRoute)
 	f.worker("w", answers(200, "done"))
 	f.serve(t.Context(), withKey("stalls"))
 	require.Equal(t, []int{1, 0}, []int{limits.admitted, limits.returned})
@@ -186,12 +194,13 @@
 	require.Equal(t, []int{2, 1}, []int{limits.admitted, limits.returned}, "no worker ran the second one")
 }
 
-func TestRequestBeyondTheLimitIsRefusedUnrun(t *testing.T) {
+// Guards against running requests over the rate limit, and against losing its retry delay.
+func TestRequestOverTheLimitIsRefused(t *testing.T) {
 	for _, kind := range []route.Route{safeRoute, streamRoute} {
 		f := newFixture(t)
-		limited := fault.New(fault.RateLimited, "enough", "come back").WithRetryAfter(time.Second)
-		f.forwarder.options.Limits = &fakeLimits{failure: limited}
-		f.keyed(1, []string{"stalls"}, kind)
+		limited := fault.New(fault.RateLimited, "rate limit reached", "retry later").WithRetryAfter(time.Second)
+		f.forwarder.options.Limits = &fakeLimits{err: limited}
+		f.setTenants(1, []string{"stalls"}, kind)
 		f.worker("w", answers(200, "done"))
 		got := f.serve(t.Context(), withKey("stalls"))
 		require.True(t, fault.Is(got.refusal, fault.RateLimited))
--- a/internal/forward/closed_test.go
+++ b/internal/forward/availability_test.go
@@ -25,6 +25,7 @@
 	}
 }
 
+// Guards against sending to an evacuated zone, and against avoiding it after the evacuation.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, plainRoute(route.Safe, 1))
@@ -33,13 +34,13 @@
 		f.evacuate(1, "z")
 		require.Equal(t, "away", f.serve(t.Context(), nil).body.String())
 		f.board.Hear(evacuation.Word{Zone: "z", Revision: 2}, evacuation.FromTable)
-		require.Equal(t, "near", f.serve(t.Context(), nil).body.String(), "taken back")
+		require.Equal(t, "near", f.serve(t.Context(), nil).body.String(), "the evacuation has ended")
 	})
 }
 
-// TestAllZonesEvacuatedIsRefusedAtOnce: unrun, with the zones and the remedy, and before it
-// costs tokens.
-func TestAllZonesEvacuatedIsRefusedAtOnce(t *testing.T) {
+// Guards against holding a request that can get no worker, against an error without the zones and
+// the remedy, and against charging tokens for it.
+func TestRequestIsRefusedAtOnceWhenAllZonesAreEvacuated(t *testing.T) {
 	for name, kind := range map[string]route.Route{"plain": plainRoute(route.Unsafe, 1), "turn": turnRoute(retained)} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -51,7 +52,7 @@
 				require.Equal(t, fault.ZoneEvacuated, got.refusal.Code)
 				require.Equal(t, fault.RanNo, got.refusal.Ran)
 				require.GreaterOrEqual(t, got.refusal.RetryAfter, time.Second)
-				require.Contains(t, got.refusal.Message, "(y, z); come back once the operator")
+				require.Contains(t, got.refusal.Message, "(y, z); retry once the operator")
 				require.Zero(t, got.took)
 				require.Empty(t, f.sent())
 			})
@@ -59,9 +60,8 @@
 	}
 }
 
-// TestEvacuationIsObeyedBeforeEverySend: one that comes while a worker has the request keeps
-// it from the zone's other workers, and from the same one.
-func TestEvacuationIsObeyedBeforeEverySend(t *testing.T) {
+// Guards against sending to a zone that was evacuated while another worker had the request.
+func TestEvacuationIsCheckedBeforeEverySend(t *testing.T) {
 	for name, c := range map[string]struct {
 		route route.Route
 		first script
@@ -84,7 +84,7 @@
 				got := f.serve(t.Context(), nil)
 				require.Len(t, f.sent(), 1)
 				if got.aborted {
-					return // what has begun is broken off
+					return // the started answer is aborted
 				}
 				require.Equal(t, fault.ZoneEvacuated, got.refusal.Code)
 				require.Equal(t, c.ran, got.refusal.Ran)
@@ -93,11 +93,11 @@
 	}
 }
 
-// TestEvacuationBetweenChoiceAndSend: the last look is just before the send.
+// Guards against sending to a zone that was evacuated after the worker was chosen.
 func TestEvacuationBetweenChoiceAndSend(t *testing.T) {
 	f := newFixture(t, plainRoute(route.Safe, 1))
 	f.worker("w1", answers(http.StatusOK, "in"))
-	x := &exchange{Forwarder: f.forwarder, client: t.Context(), route: &route.Route{}, request: &Request{}}
+	x := &exchange{Forwarder: f.forwarder, clientCtx: t.Context(), route: &route.Route{}, request: &Request{}}
 	worker := f.workers.Of("s")[0]
 	cleared, refusal := x.clear(t.Context(), worker)
 	require.Nil(t, refusal)
@@ -106,9 +106,10 @@
 	cleared, refusal = x.clear(t.Context(), worker)
 	require.Nil(t, refusal)
 	require.False(t, cleared)
-	require.Contains(t, x.tried, "w1:evacuated")
+	require.Contains(t, x.sendFailures, "w1:evacuated")
 }
 
+// Guards against sending a request outside its route's regions.
 func TestRequestStaysWithinItsRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bound := plainRoute(route.Safe, 1)
@@ -118,24 +119,24 @@
 		got := f.serve(t.Context(), nil)
 		require.Equal(t, fault.OutsideRegions, got.refusal.Code)
 		require.Equal(t, fault.RanNo, got.refusal.Ran)
-		require.Zero(t, got.refusal.RetryAfter, "waiting does not help")
-		require.Contains(t, got.refusal.Message, "(other); ask the operator for workers there")
+		require.Zero(t, got.refusal.RetryAfter, "retrying does not help")
+		require.Contains(t, got.refusal.Message, "(other); ask the operator to add workers there")
 		require.Zero(t, got.took)
 		f.workerAt("away", "x", answers(http.StatusOK, "away"))
 		require.Equal(t, "away", f.serve(t.Context(), nil).body.String())
 	})
 }
 
-// TestBothRegionsBind: those of the route and those of the tenant.
-func TestBothRegionsBind(t *testing.T) {
+// Guards against applying only the route's or only the tenant's regions.
+func TestRouteAndTenantRegionsBothApply(t *testing.T) {
 	for name, c := range map[string]struct {
 		route, tenant locality.Regions
 		served        bool
 	}{
-		"both allow it":       {locality.Regions{"one", "other"}, locality.Regions{"other"}, true},
-		"the route does not":  {locality.Regions{"one"}, nil, false},
-		"the tenant does not": {nil, locality.Regions{"one"}, false},
-		"nothing in common":   {locality.Regions{"other"}, locality.Regions{"one"}, false},
+		"both allow it":                {locality.Regions{"one", "other"}, locality.Regions{"other"}, true},
+		"the route does not allow it":  {locality.Regions{"one"}, nil, false},
+		"the tenant does not allow it": {nil, locality.Regions{"one"}, false},
+		"nothing in common":            {locality.Regions{"other"}, locality.Regions{"one"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -154,52 +155,53 @@
 	}
 }
 
-// contentStore notes by which regions the calls for turns are bound.
-type contentStore struct {
+// regionStore records the regions in the context of each call.
+type regionStore struct {
 	store.Store
 	bound []locality.Regions
 }
 
 // Commit implements store.Store.
-func (s *contentStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+func (s *regionStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	s.bound = append(s.bound, locality.Content(ctx))
 	return s.Store.Commit(ctx, transaction)
 }
 
 // Range implements store.Store.
-func (s *contentStore) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
+func (s *regionStore) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	s.bound = append(s.bound, locality.Content(ctx))
 	return s.Store.Range(ctx, table, part, from, to, limit)
 }
 
-// TestCallsForTurnsAreBoundToTheirRegions: when a turn is kept, and when its history is read
-// or asked for at other nodes.
-func TestCallsForTurnsAreBoundToTheirRegions(t *testing.T) {
+// Guards against storing, reading or fetching turns without the regions to which their content is
+// restricted.
+func TestCallsForTurnsCarryTheirRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bound := turnRoute(retained)
 		bound.Regions = locality.Regions{"one"}
 		f := newFixture(t, bound)
 		f.worker("w", streams(2, 0))
-		table := &contentStore{Store: f.table}
+		table := &regionStore{Store: f.table}
 		f.forwarder.options.History = newHistory(table)
 		f.serve(t.Context(), func(r *Request) { r.ID = "t1" })
-		f.forwarder.options.History = newHistory(table) // another node, which has to read
-		asked := &bindings{}
+		f.forwarder.options.History = newHistory(table) // a node without a cache
+		asked := &regionPeer{}
 		f.forwarder.options.Neighbours = asked
 		f.serve(t.Context(), func(r *Request) { r.ID, r.Continue, r.Program, r.Budget, r.Output = "t2", "t1", "p", 1000, 10 })
 		require.Len(t, f.sent(), 2)
-		require.GreaterOrEqual(t, len(table.bound), 3, "kept, read, kept")
+		require.GreaterOrEqual(t, len(table.bound), 3, "one read and two writes")
 		for _, regions := range append(table.bound, asked.bound...) {
 			require.Equal(t, bound.Regions, regions)
 		}
 	})
 }
 
-// bindings is a neighbour that knows nothing and notes what it is asked under.
-type bindings struct{ bound []locality.Regions }
+// regionPeer is a node without cached history that records the regions in the context of each
+// call.
+type regionPeer struct{ bound []locality.Regions }
 
 // Chain implements Neighbours.
-func (b *bindings) Chain(ctx context.Context, _ budget.Holder, _ string) ([]*history.Turn, error) {
+func (b *regionPeer) Chain(ctx context.Context, _ budget.Holder, _ string) ([]*history.Turn, error) {
 	b.bound = append(b.bound, locality.Content(ctx))
 	return nil, nil
 }
--- /dev/null
+++ b/internal/forward/capacity.go
@@ -0,0 +1,129 @@
+package forward
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/cloverwheel/cloverwheel/internal/backend"
+	"github.com/cloverwheel/cloverwheel/internal/room"
+	"github.com/cloverwheel/cloverwheel/internal/standing"
+)
+
+// Room finds workers with free capacity.
+type Room interface {
+	// Find reserves a slot at a worker, and waits for one if capacity is short. If the result has
+	// no Place, the caller chooses a worker by local knowledge.
+	Find(ctx context.Context, wanted room.Wanted) room.Found
+	// Begin counts a request at a worker; nil if the worker's capacity is not tracked.
+	Begin(service, worker string, tokens int) *room.Place
+}
+
+const (
+	// A request waits for a slot for a share of its remaining time, at most maxCapacityWait.
+	// After that it queues at a worker.
+	capacityWaitShare = 0.35
+	maxCapacityWait   = 900 * time.Millisecond
+)
+
+// findCapacity reserves a slot for the request and returns its worker; nil: a worker must be
+// chosen by local knowledge. A request that is restricted to the workers in only goes to them
+// whatever their load.
+func (x *exchange) findCapacity(ctx context.Context, only []string) *backend.Worker {
+	if x.options.Room == nil || len(only) > 0 || x.homeAccepts() {
+		return nil
+	}
+	longest := shareOfDeadline(ctx, capacityWaitShare, maxCapacityWait) - x.capacityWait
+	begun := time.Now()
+	x.placement = x.options.Room.Find(ctx, x.capacityRequest(longest))
+	x.capacityWait += time.Since(begun)
+	place := x.placement.Place
+	if place == nil {
+		return nil
+	}
+	worker, ok := x.options.Workers.WorkerOf(place.Worker())
+	if !ok || x.options.Workers.Check(worker, x.allowedRegions()).Refused() {
+		place.End()
+		return nil
+	}
+	x.releaseSlot()
+	x.slot = place
+	return worker
+}
+
+// homeAccepts reports whether the request goes to the worker that holds its context, whatever
+// that worker's load. Loading the context at another worker would evict other programs' contexts
+// there, which then have to be loaded elsewhere in turn.
+func (x *exchange) homeAccepts() bool {
+	if x.home == "" || slices.Contains(x.excluded, x.home) {
+		return false
+	}
+	worker, ok := x.options.Workers.WorkerOf(x.home)
+	return ok && !worker.Shunned(time.Now()) && !x.options.Workers.Check(worker, x.allowedRegions()).Refused()
+}
+
+// capacityRequest describes the request for the capacity search, which may take as long as
+// longest.
+func (x *exchange) capacityRequest(longest time.Duration) room.Wanted {
+	return room.Wanted{
+		Service: x.service,
+		Key:     x.affinityKey(),
+		Home:    x.home,
+		Fresh:   x.request.Prompt - x.request.Shared,
+		Tokens:  x.request.Prompt + x.request.Output,
+		Exclude: x.excluded,
+		Program: x.currentProgram(),
+		Longest: longest,
+		Allows:  x.options.Workers.Opens(x.allowedRegions()),
+	}
+}
+
+// currentProgram describes the state of the request's program.
+func (x *exchange) currentProgram() standing.Program {
+	program := standing.Program{
+		Key:     x.request.Program,
+		Urgency: x.route.Priority,
+		Begins:  x.home == "",
+		Timed:   x.request.Timed,
+		Finish:  x.request.Finish - time.Since(x.startTime),
+	}
+	if x.tenant != nil {
+		program.Key, program.Tenant = x.tenant.Scope(x.request.Program), x.tenant.Name
+	}
+	return program
+}
+
+// takeSlot counts the request at a worker that this node has chosen.
+func (x *exchange) takeSlot(worker *backend.Worker) {
+	if x.options.Room == nil {
+		return
+	}
+	x.releaseSlot()
+	x.slot = x.options.Room.Begin(x.service, worker.Key(), x.request.Prompt+x.request.Output)
+}
+
+// releaseSlot releases the request's slot, if it holds one.
+func (x *exchange) releaseSlot() {
+	x.slot.End()
+	x.slot = nil
+}
+
+// addCapacityFields adds to the request's log line how its worker was found.
+func (x *exchange) addCapacityFields(fields log.Fields) {
+	found := x.placement
+	if found.Source == "" || found.Source == room.SourceNone {
+		return
+	}
+	fields["room"] = string(found.Source)
+	fields["room_group"] = found.Group.String()
+	fields["room_busy"] = float64(int(100*found.Busy)) / 100
+	if found.Source == room.SourceCalm {
+		fields["room_age_ms"] = found.Age.Milliseconds()
+		return
+	}
+	fields["room_ms"] = x.capacityWait.Milliseconds()
+	fields["room_keeper"] = found.Keeper
+	fields["room_reason"] = string(found.Reason)
+}
--- a/internal/forward/room_test.go
+++ b/internal/forward/capacity_test.go
@@ -20,17 +20,17 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// ownRoom keeps the room of service s in the node's own process.
-type ownRoom struct {
+// localCapacity tracks the capacity of service s within the node's own process.
+type localCapacity struct {
 	reporter *room.Reporter
 	f        *fixture
 }
 
-var ownGroup = room.Group{Service: "s", Zone: "z"}
+var localGroup = room.Group{Service: "s", Zone: "z"}
 
-// withRoom lets a fixture's workers, of two places each, be found by a keeper.
-func withRoom(f *fixture) *ownRoom {
-	o := &ownRoom{f: f}
+// withCapacity adds capacity tracking to a fixture, with two slots per worker.
+func withCapacity(f *fixture) *localCapacity {
+	o := &localCapacity{f: f}
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	slots := &room.Slots{Owners: o}
 	keeper := room.NewKeeper(room.KeeperOptions{Process: "z/n/1", Slots: slots, Members: o.members, Count: func(room.Outcome, room.Reason) {}, Logger: logger})
@@ -42,24 +42,26 @@
 	return o
 }
 
-func (o *ownRoom) Owner(int) (budget.Holder, bool) { return budget.Holder{Process: "z/n/1"}, true }
-func (o *ownRoom) Doubt()                          {}
+func (o *localCapacity) Owner(int) (budget.Holder, bool) {
+	return budget.Holder{Process: "z/n/1"}, true
+}
+func (o *localCapacity) Doubt() {}
 
-func (o *ownRoom) members(room.Group) (members []room.Member, ok bool) {
+func (o *localCapacity) members(room.Group) (members []room.Member, ok bool) {
 	for _, worker := range o.f.workers.OfZone("s", "z") {
 		members = append(members, room.Member{Worker: worker.Key(), Places: 2})
 	}
 	return members, true
 }
 
-func (o *ownRoom) GroupOf(_, worker string) (room.Group, bool) { return ownGroup, worker != "" }
-func (o *ownRoom) GroupIn(_, _, _ string) (room.Group, bool)   { return ownGroup, true }
-func (o *ownRoom) Others(_, _ string) []room.Distant           { return nil }
-func (o *ownRoom) Near(string) bool                            { return true }
-func (o *ownRoom) Shunned(room.Group) []string                 { return nil }
+func (o *localCapacity) GroupOf(_, worker string) (room.Group, bool) { return localGroup, worker != "" }
+func (o *localCapacity) GroupIn(_, _, _ string) (room.Group, bool)   { return localGroup, true }
+func (o *localCapacity) Others(_, _ string) []room.Distant           { return nil }
+func (o *localCapacity) Near(string) bool                            { return true }
+func (o *localCapacity) Shunned(room.Group) []string                 { return nil }
 
-// fill gives a worker requests, and lets the keeper hear of it.
-func (o *ownRoom) fill(t *testing.T, requests map[string]int) {
+// fill occupies slots of workers and waits until the keeper has the report.
+func (o *localCapacity) fill(t *testing.T, requests map[string]int) {
 	for worker, count := range requests {
 		for range count {
 			require.NotNil(t, o.reporter.Begin("s", worker, 0))
@@ -71,28 +73,28 @@
 	synctest.Wait()
 }
 
-// TestAPlaceIsGivenBackHoweverARequestEnds.
-func TestAPlaceIsGivenBackHoweverARequestEnds(t *testing.T) {
+// Guards against leaking a worker's slot, for each way in which a request can end.
+func TestSlotIsReleasedHoweverARequestEnds(t *testing.T) {
 	breaks := func(context.Context, Call) (*Answer, error) {
 		return answer(http.StatusOK, true, io.MultiReader(strings.NewReader(events(2)), readerFunc(func([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }))), nil
 	}
 	for name, does := range map[string]script{
-		"served": streams(5, 0), "breaks": breaks, "resets": resets, "takes no connection": refuses, "declines": declines,
-		"crowded": crowded, "hangs": hangs, "fails": answers(http.StatusInternalServerError, "no"),
+		"served": streams(5, 0), "breaks mid-stream": breaks, "resets": resets, "refuses connections": refusesConnections, "declines": declines,
+		"at its connection limit": atConnectionLimit, "hangs": hangs, "fails": answers(http.StatusInternalServerError, "no"),
 	} {
 		for kind, turn := range map[string]route.Route{"turn": turnRoute(nil), "resumable": turnRoute(resumable), "plain": plainRoute(route.Safe, 2)} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFixture(t, turn)
-					rooms := withRoom(f)
+					capacity := withCapacity(f)
 					during := 0
 					f.worker("w", func(ctx context.Context, call Call) (*Answer, error) {
-						during = rooms.reporter.Holds()
+						during = capacity.reporter.Holds()
 						return does(ctx, call)
 					})
 					f.serve(t.Context(), nil)
 					require.Equal(t, 1, during)
-					require.Zero(t, rooms.reporter.Holds())
+					require.Zero(t, capacity.reporter.Holds())
 				})
 			})
 		}
@@ -100,22 +102,22 @@
 	t.Run("client leaves", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, turnRoute(nil))
-			rooms := withRoom(f)
+			capacity := withCapacity(f)
 			f.worker("w", hangs)
 			ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 			defer cancel()
 			got := f.serve(ctx, nil)
 			require.LessOrEqual(t, got.took, 60*time.Millisecond)
-			require.Zero(t, rooms.reporter.Holds())
+			require.Zero(t, capacity.reporter.Holds())
 		})
 	})
 }
 
-// TestAPlaceIsGivenBackBeforeItsTurnIsDurable: the worker is done with it.
-func TestAPlaceIsGivenBackBeforeItsTurnIsDurable(t *testing.T) {
+// Guards against holding a worker's slot while the turn is written to the store.
+func TestSlotIsReleasedBeforeTheTurnIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
-		rooms := withRoom(f)
+		capacity := withCapacity(f)
 		f.worker("w", streams(3, 0))
 		f.table.SetFault(func(_ string, write bool) storetest.Fault {
 			if write {
@@ -124,38 +126,39 @@
 			return storetest.None
 		})
 		held := make(chan int, 1)
-		time.AfterFunc(100*time.Millisecond, func() { held <- rooms.reporter.Holds() })
+		time.AfterFunc(100*time.Millisecond, func() { held <- capacity.reporter.Holds() })
 		got := f.serve(t.Context(), nil)
 		require.Greater(t, got.took, 100*time.Millisecond)
 		require.Zero(t, <-held)
 	})
 }
 
-// TestRequestsGoWhereTheKeeperSaysThereIsRoom, and after a decline to another that has some.
-func TestRequestsGoWhereTheKeeperSaysThereIsRoom(t *testing.T) {
+// Guards against sending to a full worker, and against failing after a decline while another
+// worker has a free slot.
+func TestRequestsGoToWorkersWithCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
-		rooms := withRoom(f)
+		capacity := withCapacity(f)
 		f.worker("a", streams(1, 0))
 		f.worker("b", declines)
 		f.worker("c", streams(1, 0))
-		rooms.fill(t, map[string]int{"a": 2, "c": 1})
+		capacity.fill(t, map[string]int{"a": 2, "c": 1})
 		got := f.serve(t.Context(), nil)
 		require.True(t, got.ended)
 		require.Equal(t, []string{"b", "c"}, workersOf(f.sent()))
-		require.Equal(t, 3, rooms.reporter.Holds())
+		require.Equal(t, 3, capacity.reporter.Holds())
 	})
 }
 
-// TestAKeeperDoesNotOverruleWhatARequestMay: a worker that the keeper names, and that the request may
-// not be sent to, does not get it.
-func TestAKeeperDoesNotOverruleWhatARequestMay(t *testing.T) {
+// Guards against sending a request to a worker with capacity in a zone that the request may not
+// use.
+func TestCapacityDoesNotOverrideEvacuation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
-		rooms := withRoom(f)
+		capacity := withCapacity(f)
 		f.worker("a", streams(1, 0))
 		f.workerAt("y", "y", streams(1, 0))
-		rooms.fill(t, map[string]int{"a": 1})
+		capacity.fill(t, map[string]int{"a": 1})
 		f.board.Hear(evacuation.Word{Zone: "z", Evacuated: true, Revision: 2}, evacuation.FromTable)
 		got := f.serve(t.Context(), nil)
 		require.True(t, got.ended)
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -30,13 +30,13 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// errReset is a connection that breaks after the request was written.
+// errReset is the error of a connection that breaks after the request was written.
 var errReset = errors.New("connection reset")
 
 // script is what a worker does with a call.
 type script func(ctx context.Context, call Call) (*Answer, error)
 
-// sent is a call as a worker got it.
+// sent is a call as a worker received it.
 type sent struct {
 	worker string
 	resume string
@@ -45,7 +45,7 @@
 	left   time.Duration
 }
 
-// fixture is a forwarder before scripted workers and a table in memory.
+// fixture is a forwarder with scripted workers and a store in memory.
 type fixture struct {
 	t         *testing.T
 	forwarder *Forwarder
@@ -56,10 +56,10 @@
 	mutex     sync.Mutex
 	scripts   map[string]script
 	calls     []sent
-	reachable bool  // workers take connections
-	missEvery int   // but for every so many-th; 0: all of them
-	dialError error // why others do not come up; nil: for no reason that tells anything
-	dials     int   // connections opened to see whether a worker is there
+	reachable bool  // workers accept connections
+	missEvery int   // every n-th connection fails all the same; 0: none
+	dialError error // error of failed connections; nil: an unspecific one
+	dials     int   // test connections opened by the watchdog
 }
 
 func newFixture(t *testing.T, routes ...route.Route) *fixture {
@@ -94,17 +94,17 @@
 	return ours, nil
 }
 
-// looks is how many connections were opened to see whether a worker is there.
-func (f *fixture) looks() int {
+// dialCount returns the number of test connections opened by the watchdog.
+func (f *fixture) dialCount() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.dials
 }
 
-// testPlaces has two zones in one region, and one in another.
+// testPlaces has two zones in one region and one in another.
 var testPlaces = locality.NewMap(map[string]string{"z": "one", "y": "one", "x": "other"})
 
-// worker adds a worker of service s.
+// worker adds a worker of service s in zone z.
 func (f *fixture) worker(id string, does script) { f.workerAt(id, "z", does) }
 
 func (f *fixture) workerAt(id, zone string, does script) {
@@ -128,7 +128,7 @@
 	return append([]sent(nil), f.calls...)
 }
 
-// serve serves a request for /p/x and returns what the client got.
+// serve serves a request for /p/x and returns what the client received.
 func (f *fixture) serve(ctx context.Context, change func(*Request)) *client {
 	request := &Request{ID: "r1", Method: http.MethodPost, Target: "/p/x", Host: "h", Path: "/p/x", Header: http.Header{}, Body: []byte("in"), Deadline: 3 * time.Second}
 	if change != nil {
@@ -140,23 +140,23 @@
 	return got
 }
 
-// client records what it is told.
+// client is a Responder that records the answer.
 type client struct {
-	begun    time.Time
-	took     time.Duration
-	status   int
-	body     bytes.Buffer
-	ended    bool
-	aborted  bool
-	refusal  *fault.Error
-	finals   int
-	onEvent  func()
-	failNext bool
+	begun        time.Time
+	took         time.Duration
+	status       int
+	body         bytes.Buffer
+	ended        bool
+	aborted      bool
+	refusal      *fault.Error
+	finalAnswers int
+	onEvent      func()
+	failWrites   bool
 }
 
 func (c *client) Answer(status int, _ http.Header, body []byte) error {
-	c.finals++
-	if c.failNext {
+	c.finalAnswers++
+	if c.failWrites {
 		return errReset
 	}
 	c.status, c.ended = status, true
@@ -173,7 +173,7 @@
 	if c.onEvent != nil {
 		c.onEvent()
 	}
-	if c.failNext {
+	if c.failWrites {
 		return errReset
 	}
 	c.body.Write(raw)
@@ -181,17 +181,17 @@
 }
 
 func (c *client) End() {
-	c.finals++
+	c.finalAnswers++
 	c.ended = true
 }
 
 func (c *client) Abort() {
-	c.finals++
+	c.finalAnswers++
 	c.aborted = true
 }
 
 func (c *client) Refuse(refusal *fault.Error) {
-	c.finals++
+	c.finalAnswers++
 	c.refusal = refusal
 }
 
@@ -206,7 +206,7 @@
 	return &Answer{Status: status, Header: http.Header{}, Length: -1, Stream: stream, Body: body, Close: func(bool) {}}
 }
 
-// declines is a worker that says that it did not run the call.
+// declines is a worker that answers that it did not run the call.
 func declines(context.Context, Call) (*Answer, error) {
 	declined := answer(http.StatusServiceUnavailable, false, strings.NewReader(""))
 	declined.Declined = true
@@ -216,13 +216,13 @@
 // resets is a worker whose connection breaks after the call was written.
 func resets(context.Context, Call) (*Answer, error) { return nil, errReset }
 
-// refuses is a worker that takes no connections.
-func refuses(context.Context, Call) (*Answer, error) {
+// refusesConnections is a worker that accepts no connections.
+func refusesConnections(context.Context, Call) (*Answer, error) {
 	return nil, errors.Join(httpconn.ErrNotWritten, errReset)
 }
 
-// crowded is a worker that takes no further connections.
-func crowded(context.Context, Call) (*Answer, error) {
+// atConnectionLimit is a worker to which no further connections may be opened.
+func atConnectionLimit(context.Context, Call) (*Answer, error) {
 	return nil, errors.Join(httpconn.ErrNotWritten, httpconn.ErrCrowded)
 }
 
@@ -232,8 +232,8 @@
 	return nil, ctx.Err()
 }
 
-// streams is a worker that sends events first..last after the one that the
-// client has, and then breaks after breakAt unless that is zero.
+// streams is a worker that sends the events up to last that follow the call's Resume. Unless
+// breakAt is zero, the stream breaks after that event.
 func streams(last, breakAt int) script {
 	return func(_ context.Context, call Call) (*Answer, error) {
 		first := 1
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -21,175 +21,180 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// Options of a Forwarder.
+// Options configures a Forwarder. Workers, Transport, Budgets, History, Metrics and Logger are
+// required.
 type Options struct {
 	Workers   *backend.Registry
 	Transport Transport
 	Budgets   *budget.Book
 	History   *history.Keeper
-	// Neighbours asks other nodes for what was said; nil: only the table is asked.
+	// Neighbours fetches conversation history from other nodes; nil: it is read from the store.
 	Neighbours Neighbours
-	// Turns tells which node ran a turn, where that is remembered; nil: nobody does.
-	Turns Turns
-	// Patience is how long other nodes' answers are seen to take; nil: not known.
+	// Turns is the directory of which node ran which turn; nil: there is none.
+	Turns TurnDirectory
+	// Patience returns how long other nodes usually take to respond; nil: the lower bounds apply.
 	Patience wait.Patience
-	// Freshness tells whether keys may be believed; nil: always.
+	// Freshness reports whether the configuration is recent enough to accept keys; nil: always.
 	Freshness Freshness
-	// Limits lends what tenants may ask for; nil: nobody has a limit.
+	// Limits enforces the tenants' rate limits; nil: there are none.
 	Limits Limits
-	// Allowance lends requests to cold workers; nil: they get none.
+	// Allowance grants requests to cold workers; nil: they get none.
 	Allowance Allowance
-	// Admit counts bytes that are held against the node's memory, until they are released; nil:
-	// they are not counted.
+	// Admit reserves memory of the node for buffered bytes until release is called; ok is false
+	// if there is none left. nil: buffers are not counted.
 	Admit func(bytes int64) (release func(), ok bool)
-	// Finder finds workers that this node does not keep; nil: it keeps all.
+	// Finder looks up workers that this node has not loaded; nil: it has loaded all.
 	Finder Finder
-	// Room finds workers that have room; nil: nobody keeps account of it.
+	// Room finds workers with free capacity; nil: workers are chosen by local knowledge only.
 	Room Room
-	// Prober asks workers whether they are warm where nothing else tells; nil: nobody does.
+	// Prober queries workers' health when there is no other information on whether they are warm;
+	// nil: they are not queried.
 	Prober Prober
-	// Isolated reports whether this node reaches neither the table nor nodes elsewhere;
-	// nil: it always does.
+	// Isolated reports whether this node reaches neither the store nor nodes in other zones; nil:
+	// never.
 	Isolated func() bool
-	// Standing learns how long programs take; nil: nothing is known of it.
+	// Standing estimates how long programs take; nil: there are no estimates.
 	Standing *standing.Learner
-	// Admission decides which programs begin; nil: all do.
+	// Admission decides which programs may start; nil: all may.
 	Admission *admission.Gate
 	Metrics   *Metrics
 	Logger    log.Interface
 }
 
-// Forwarder serves requests by the configuration in force.
+// Forwarder serves requests according to the current configuration.
 type Forwarder struct {
 	options       Options
 	configuration atomic.Pointer[route.Configuration]
 }
 
-// New returns a forwarder that knows no configuration yet.
+// New returns a forwarder without a configuration. It refuses requests until SetConfiguration is
+// called.
 func New(options Options) *Forwarder { return &Forwarder{options: options} }
 
-// Configuration returns the configuration in force; nil if none is known.
+// Configuration returns the current configuration; nil if there is none yet.
 func (f *Forwarder) Configuration() *route.Configuration { return f.configuration.Load() }
 
-// SetConfiguration puts a configuration in force, unless it is older than the
-// one that is.
+// SetConfiguration replaces the configuration if next has a higher version, and reports whether
+// it did.
 func (f *Forwarder) SetConfiguration(next *route.Configuration) bool {
 	for {
-		present := f.configuration.Load()
-		if present != nil && next.Version <= present.Version {
+		current := f.configuration.Load()
+		if current != nil && next.Version <= current.Version {
 			return false
 		}
-		if f.configuration.CompareAndSwap(present, next) {
+		if f.configuration.CompareAndSwap(current, next) {
 			return true
 		}
 	}
 }
 
-// Tuning of retries.
+// Retry and wait times.
 const (
-	// retryAfter is when a client should come back if no worker can take its request.
+	// retryAfter is the least retry delay for clients when no worker can take the request; up to
+	// as much is added at random.
 	retryAfter = 120 * time.Millisecond
-	// startRetryAfter is when it should come back to a node that knows no configuration.
-	startRetryAfter = 250 * time.Millisecond
-	// holdShare of the objective is how long a request waits for a worker to
-	// have room before it is refused.
-	holdShare   = 4
-	longestHold = 60 * time.Millisecond
-	holdPause   = 12 * time.Millisecond
-	// maxSends bounds how often one request is sent, whatever its route allows.
+	// noConfigRetryAfter is the retry delay for clients of a node without a configuration.
+	noConfigRetryAfter = 250 * time.Millisecond
+	// A request waits for a worker to become available for Objective/selectWaitDivisor, at most
+	// maxSelectWait, and checks every selectPollInterval. Then it is refused.
+	selectWaitDivisor  = 4
+	maxSelectWait      = 60 * time.Millisecond
+	selectPollInterval = 12 * time.Millisecond
+	// maxSends limits how often one request is sent, whatever its route allows.
 	maxSends = 8
-	// afterLimit is how long an answer may take on its way at the time limit.
-	afterLimit = 10 * time.Millisecond
+	// deadlineMargin is reserved for the final answer to reach the client before its deadline.
+	deadlineMargin = 10 * time.Millisecond
 )
 
 // exchange is the state of one request.
 type exchange struct {
 	*Forwarder
-	request   *Request
-	route     *route.Route
-	tenant    *tenant.Tenant // whose request it is; nil: nobody's
-	proofAge  time.Duration  // of the configuration by which its key was checked last
-	admitted  bool           // it counts against the tenant's limit
-	service   string
-	home      string
-	body      []byte
-	out       Responder
-	begun     time.Time
-	clock     stepClock
-	client    context.Context   // ends when the client leaves
-	excluded  []string          // workers that are not asked (again)
-	attempts  attempts          // workers that may have run the request
-	asked     []*backend.Worker // the same
-	keepers   []string          // IDs of workers that keep what its prompt shares with others
-	sends     int
-	tried     []string // what became of each send, for the log
-	declines  int
-	place     *room.Place    // that the request has at a worker
-	found     room.Found     // where there was room, for the log
-	roomWait  time.Duration  // how long the request has waited for room
-	coldAsks  int            // cold workers asked for since all were last considered
-	coldWait  time.Duration  // until a cold worker may take a request; 0: none was denied
-	worker    string         // the last one asked
-	crossed   backend.Reason // why that is of another region; empty: it is not
-	events    int
-	drawn     bool // this node lacked tokens for the turn
-	handed    bool // and got some from another node
-	located   bool // the directory named the nodes to ask
-	granted   bool // the owner of a directory slot granted tokens
-	told      bool // another node told what was said before
-	started   bool // the head of a stream was sent
-	answered  bool // the client has its final answer
-	lastEvent string
-	output    []byte
-	standing  program // whose request it is, and how it stands
+	request          *Request
+	route            *route.Route
+	tenant           *tenant.Tenant // nil: the request needs no key
+	configAge        time.Duration  // age of the configuration at the last check of the key
+	limitTaken       bool           // the request was counted against the tenant's rate limit
+	service          string         // service that the request is sent to
+	home             string         // key of the worker that holds the program's context; empty: none
+	body             []byte         // as sent to workers: the history and the request body
+	out              Responder
+	startTime        time.Time
+	clock            stepClock
+	clientCtx        context.Context   // ends when the client disconnects
+	excluded         []string          // keys of workers that must not be chosen
+	attempts         attempts          // workers that may have run the request
+	attempted        []*backend.Worker // those workers, for restart checks
+	prefixWorkers    []string          // keys of workers that cache the prompt's shared prefix
+	sends            int               // number of sends so far
+	sendFailures     []string          // outcome of each send that brought no answer, for the log
+	declines         int               // number of sends that workers declined
+	slot             *room.Place       // capacity held at a worker; nil: none
+	placement        room.Found        // result of the last capacity request
+	capacityWait     time.Duration     // total time spent in capacity requests
+	coldAttempts     int               // cold workers asked for since the exclusions were last reset
+	coldRetryAfter   time.Duration     // until a cold worker may take a request; 0: none was refused
+	lastWorker       string            // key of the worker last sent to
+	crossRegion      backend.Reason    // why that worker is in another region; empty: it is not
+	events           int               // number of events relayed
+	budgetDrawn      bool              // this node had to draw tokens for the turn
+	budgetHandedOver bool              // another node handed tokens over
+	budgetLocated    bool              // the directory named the nodes to ask for tokens
+	budgetGranted    bool              // the owner of a directory slot granted tokens
+	historyFromPeer  bool              // another node returned the conversation history
+	headSent         bool              // the head of a stream or long answer was sent
+	answered         bool              // the client has its final answer
+	lastEventID      string            // ID of the last event that the client has
+	output           []byte            // the turn's output so far, to be stored
+	program          programState      // state of the program that the turn belongs to
 }
 
-// Serve answers a request. ctx ends when the client leaves.
+// Serve answers a request through out, exactly once. ctx must end when the client disconnects.
 func (f *Forwarder) Serve(ctx context.Context, request *Request, out Responder) {
-	x := &exchange{Forwarder: f, request: request, out: out, begun: time.Now(), client: ctx, lastEvent: request.Resume}
+	x := &exchange{Forwarder: f, request: request, out: out, startTime: time.Now(), clientCtx: ctx, lastEventID: request.Resume}
 	refusal := x.serve(ctx)
-	x.leavePlace()
-	x.releaseUnused()
+	x.releaseSlot()
+	x.returnToLimit()
 	switch {
 	case refusal == nil || x.answered:
-	case x.started:
+	case x.headSent:
 		out.Abort()
 	default:
 		out.Refuse(refusal)
 	}
-	x.note(refusal)
+	x.logOutcome(refusal)
 }
 
 func (x *exchange) serve(ctx context.Context) *fault.Error {
 	configuration := x.Configuration()
 	if configuration == nil {
-		return fault.New(fault.Unavailable, "this node has no configuration yet", "come back after the time given").WithRetryAfter(startRetryAfter)
+		return fault.New(fault.Unavailable, "this node has not loaded a configuration yet", "retry after the given delay").WithRetryAfter(noConfigRetryAfter)
 	}
 	x.route = configuration.Match(x.request.Host, x.request.Path)
 	if x.route == nil {
-		return fault.Newf(fault.NotFound, "ask the operator for a route", "no route for this host and path in version %d", configuration.Version)
+		return fault.Newf(fault.NotFound, "check the host and path, or ask the operator to add a route", "configuration version %d has no route for this host and path", configuration.Version)
 	}
-	limit := x.limit()
+	limit := x.timeLimit()
 	if limit <= 0 {
-		return fault.New(fault.DeadlinePassed, "no time is left for the request", "allow more time")
+		return fault.New(fault.DeadlinePassed, "the request's deadline has passed", "send a longer deadline")
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	x.clock.enter(stepAdmit, x.begun)
-	if refusal := x.identify(); refusal != nil {
+	x.clock.enter(stepAdmit, x.startTime)
+	if refusal := x.authenticate(); refusal != nil {
 		return refusal
 	}
-	if refusal := x.nowhere(); refusal != nil {
+	if refusal := x.checkRouteOpen(); refusal != nil {
 		return refusal
 	}
 	if x.route.Kind != route.Streaming {
-		return x.plain(ctx)
+		return x.servePlain(ctx)
 	}
-	return x.turn(ctx, configuration)
+	return x.serveTurn(ctx, configuration)
 }
 
-// limit is how long the request may take; the client's word and the route's.
-func (x *exchange) limit() time.Duration {
+// timeLimit returns how long the request may take: the shorter of the client's deadline and the
+// route's timeout, less deadlineMargin; an hour if neither is set.
+func (x *exchange) timeLimit() time.Duration {
 	limit := x.route.Timeout
 	if limit <= 0 || x.request.Deadline > 0 && x.request.Deadline < limit {
 		limit = x.request.Deadline
@@ -197,91 +202,93 @@
 	if limit == 0 {
 		return time.Hour
 	}
-	return limit - afterLimit
+	return limit - deadlineMargin
 }
 
-// choose picks a worker, waiting a moment for one to have room.
-func (x *exchange) choose(ctx context.Context) (*backend.Worker, *fault.Error) {
-	hold := min(x.route.Objective/holdShare, longestHold)
+// chooseWorker selects a worker, and waits a short time for one to become available.
+func (x *exchange) chooseWorker(ctx context.Context) (*backend.Worker, *fault.Error) {
+	maxWait := min(x.route.Objective/selectWaitDivisor, maxSelectWait)
 	for {
-		x.dropSucceeded()
+		x.dropRestarted()
 		var only []string
 		if !x.mayRunElsewhere() {
 			only = x.attempts.counted
 		}
-		if worker, ok := x.options.Workers.Trial(x.query(only)); ok {
-			x.takePlace(worker)
+		if worker, ok := x.options.Workers.Trial(x.placementQuery(only)); ok {
+			x.takeSlot(worker)
 			return worker, nil
 		}
-		if worker := x.findRoom(ctx, only); worker != nil {
+		if worker := x.findCapacity(ctx, only); worker != nil {
 			return worker, nil
 		}
-		worker, err := x.options.Workers.Choose(x.query(only))
+		worker, err := x.options.Workers.Choose(x.placementQuery(only))
 		if err == nil {
-			x.takePlace(worker)
+			x.takeSlot(worker)
 			return worker, nil
 		}
-		if refusal := x.closed(x.service, only); refusal != nil {
+		if refusal := x.checkServiceOpen(x.service, only); refusal != nil {
 			return nil, refusal
 		}
-		left := hold - time.Since(x.begun)
-		hopeless := x.declines == 0 && x.coldWait > left // no warm worker may come to have room
+		left := maxWait - time.Since(x.startTime)
+		hopeless := x.declines == 0 && x.coldRetryAfter > left // no warm worker can become available, and cold ones not in time
 		if ctx.Err() != nil || left <= 0 || hopeless {
-			return nil, x.noWorker(err)
+			return nil, x.noWorkerError(err)
 		}
-		x.excluded, x.coldAsks, x.coldWait = nil, 0, 0
-		_ = wait.For(ctx, holdPause)
+		x.excluded, x.coldAttempts, x.coldRetryAfter = nil, 0, 0
+		_ = wait.For(ctx, selectPollInterval)
 	}
 }
 
-// query describes the request to place; no worker but those in only may get it.
-func (x *exchange) query(only []string) backend.Query {
+// placementQuery describes the request for worker selection. If only is not empty, no other
+// worker may be chosen.
+func (x *exchange) placementQuery(only []string) backend.Query {
 	return backend.Query{
 		Only:       only,
 		Service:    x.service,
 		Home:       x.home,
-		Key:        x.key(),
+		Key:        x.affinityKey(),
 		SameObject: x.request.Object != "",
 		Prompt:     x.request.Prompt,
 		Shared:     x.request.Shared,
-		Keepers:    x.keepers,
+		Keepers:    x.prefixWorkers,
 		Output:     x.request.Output,
-		Regions:    x.regions(),
-		Spare:      x.movable(""),
-		Begins:     x.begins(),
-		Warm:       x.coldAsks >= maxColdAsks,
+		Regions:    x.allowedRegions(),
+		Spare:      x.mayMove(""),
+		Begins:     x.isFirstTurn(),
+		Warm:       x.coldAttempts >= maxColdAttempts,
 		Exclude:    x.excluded,
 	}
 }
 
-// begins reports whether the request is a program's first turn, and nobody may have run it.
-func (x *exchange) begins() bool {
+// isFirstTurn reports whether the request starts a program and cannot have run anywhere.
+func (x *exchange) isFirstTurn() bool {
 	return x.route.Kind == route.Streaming && x.home == "" && x.request.Continue == "" && !x.attempts.any()
 }
 
-func (x *exchange) noWorker(err error) *fault.Error {
+func (x *exchange) noWorkerError(err error) *fault.Error {
 	if x.options.Finder != nil {
 		x.options.Finder.NoteShort()
 	}
 	refusal := fault.From(err)
 	if x.declines > 0 {
-		refusal = fault.Newf(fault.Overloaded, "come back after the time given", "all workers of service %q are full", x.service)
+		refusal = fault.Newf(fault.Overloaded, "retry after the given delay", "all workers of service %q are at capacity", x.service)
 	}
-	if x.coldWait > 0 {
-		refusal = fault.Newf(fault.Overloaded, "come back after the time given",
-			"workers of service %q are cold and get as much as they bear, no warm one has room", x.service)
+	if x.coldRetryAfter > 0 {
+		refusal = fault.Newf(fault.Overloaded, "retry after the given delay",
+			"service %q has only cold workers available, and they are at their warm-up limit", x.service)
 	}
 	if x.attempts.any() {
 		return refusal.WithRan(fault.RanUnknown)
 	}
-	if x.coldWait > 0 {
-		return refusal.WithRetryAfter(x.coldWait + rand.N(retryAfter))
+	if x.coldRetryAfter > 0 {
+		return refusal.WithRetryAfter(x.coldRetryAfter + rand.N(retryAfter))
 	}
 	return refusal.WithRetryAfter(retryAfter + rand.N(retryAfter))
 }
 
-// key keeps requests for the same thing at the same worker.
-func (x *exchange) key() string {
+// affinityKey returns the key by which related requests are sent to the same worker: of the
+// object, else the program, else the request.
+func (x *exchange) affinityKey() string {
 	switch {
 	case x.request.Object != "":
 		return x.request.Object
@@ -292,43 +299,44 @@
 	}
 }
 
-// send sends the call to a worker under a context that the watchdog may end.
+// send sends the call to a worker. The watchdog may cancel ctx.
 func (x *exchange) send(ctx context.Context, worker *backend.Worker) (*Answer, error) {
 	x.sends++
-	x.worker = worker.Key()
+	x.lastWorker = worker.Key()
 	x.options.Metrics.Sends.Inc()
-	x.noteWay(worker)
+	x.countSend(worker)
 	call := Call{
 		Request:  x.request,
 		Body:     x.body,
-		Resume:   x.lastEvent,
+		Resume:   x.lastEventID,
 		Priority: x.priority(),
 	}
-	x.noteSent()
+	x.reportSent()
 	if x.tenant != nil {
 		call.Tenant = x.tenant.Name
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		call.Left = time.Until(deadline)
 	}
-	x.noteResend(worker, call.Left)
+	x.logResend(worker, call.Left)
 	return x.options.Transport.Send(ctx, worker, call)
 }
 
 func (x *exchange) exclude(worker string) { x.excluded = append(x.excluded, worker) }
 
-// ended tells the final answer when the request's time is over or its client gone.
-func (x *exchange) ended(ctx context.Context) *fault.Error {
+// endedError returns the final answer when the time limit has passed or the client has
+// disconnected.
+func (x *exchange) endedError(ctx context.Context) *fault.Error {
 	ran := fault.RanUnknown
 	if !x.attempts.any() {
 		ran = fault.RanNo
 	}
-	if x.client.Err() != nil {
-		return fault.New(fault.DeadlinePassed, "the client left", "nothing is to be done").WithRan(ran)
+	if x.clientCtx.Err() != nil {
+		return fault.New(fault.DeadlinePassed, "the client disconnected before the answer was complete", "no action is needed").WithRan(ran)
 	}
 	code := fault.DeadlinePassed
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		code = fault.Unavailable
 	}
-	return fault.New(code, "the request's time is over", "allow more time, or send less at once").WithRan(ran).WithRetryAfter(retryAfter)
+	return fault.New(code, "the request reached its time limit", "send a longer deadline or a smaller request").WithRan(ran).WithRetryAfter(retryAfter)
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,11 +19,12 @@
 		Timeout: 2 * time.Second, Objective: 100 * time.Millisecond, Targets: []route.Target{{Service: "s", Weight: 1}}}
 }
 
+// Guards against a wrong code or a missing retry delay when a request is refused without running.
 func TestRefusalsBeforeAnyWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		got := f.serve(t.Context(), nil)
-		require.Equal(t, fault.Unavailable, got.refusal.Code, "no configuration is no word on the route")
+		require.Equal(t, fault.Unavailable, got.refusal.Code, "without a configuration the route is unknown")
 		require.Positive(t, got.refusal.RetryAfter)
 		require.Equal(t, fault.RanNo, got.refusal.Ran)
 
@@ -44,6 +45,7 @@
 	})
 }
 
+// Guards against resending requests that may not run twice, and against failing those that may.
 func TestPlainRequests(t *testing.T) {
 	type expectation struct {
 		status int
@@ -54,19 +56,19 @@
 	for name, test := range map[string]struct {
 		kind     route.Kind
 		attempts int
-		first    script // of whichever worker is asked first
+		first    script // of the worker that is asked first
 		second   script
 		want     expectation
 	}{
-		"a declined one goes elsewhere":              {route.Unsafe, 1, declines, answers(200, "ok"), expectation{status: 200, sends: 2}},
-		"one that was not written goes elsewhere":    {route.Unsafe, 1, refuses, answers(200, "ok"), expectation{status: 200, sends: 2}},
-		"one that found no place goes elsewhere":     {route.Unsafe, 1, crowded, answers(200, "ok"), expectation{status: 200, sends: 2}},
-		"unsafe is never sent twice":                 {route.Unsafe, 3, resets, answers(200, "ok"), expectation{code: fault.EngineFailed, ran: fault.RanUnknown, sends: 1}},
-		"an unsafe failure is passed on":             {route.Unsafe, 3, answers(500, "no"), answers(200, "ok"), expectation{status: 500, sends: 1}},
-		"safe is sent again":                         {route.Safe, 2, resets, answers(200, "ok"), expectation{status: 200, sends: 2}},
-		"safe is sent again after a failure":         {route.Safe, 2, answers(500, "no"), answers(200, "ok"), expectation{status: 200, sends: 2}},
-		"safe stays within its workers":              {route.Safe, 1, answers(500, "no"), answers(200, "ok"), expectation{status: 500, sends: 1}},
-		"a safe one bound to a worker is sent there": {route.Safe, 1, resetsOnce(), answers(200, "other"), expectation{status: 200, sends: 2}},
+		"a declined request goes to another worker":                        {route.Unsafe, 1, declines, answers(200, "ok"), expectation{status: 200, sends: 2}},
+		"an unwritten request goes to another worker":                      {route.Unsafe, 1, refusesConnections, answers(200, "ok"), expectation{status: 200, sends: 2}},
+		"a request over the connection limit goes to another worker":       {route.Unsafe, 1, atConnectionLimit, answers(200, "ok"), expectation{status: 200, sends: 2}},
+		"an unsafe request is never sent twice":                            {route.Unsafe, 3, resets, answers(200, "ok"), expectation{code: fault.EngineFailed, ran: fault.RanUnknown, sends: 1}},
+		"a worker's error to an unsafe request is passed on":               {route.Unsafe, 3, answers(500, "no"), answers(200, "ok"), expectation{status: 500, sends: 1}},
+		"a safe request is sent again after a reset":                       {route.Safe, 2, resets, answers(200, "ok"), expectation{status: 200, sends: 2}},
+		"a safe request is sent again after an error":                      {route.Safe, 2, answers(500, "no"), answers(200, "ok"), expectation{status: 200, sends: 2}},
+		"a safe request stays within its attempts":                         {route.Safe, 1, answers(500, "no"), answers(200, "ok"), expectation{status: 500, sends: 1}},
+		"a safe request at its attempt limit is resent to the same worker": {route.Safe, 1, resetsOnce(), answers(200, "other"), expectation{status: 200, sends: 2}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -86,7 +88,7 @@
 				f.worker("w1", either("w1"))
 				f.worker("w2", either("w2"))
 				got := f.serve(t.Context(), nil)
-				require.Equal(t, 1, got.finals, "exactly one final answer")
+				require.Equal(t, 1, got.finalAnswers, "exactly one final answer")
 				require.Equal(t, test.want.status, got.status)
 				require.Len(t, f.sent(), test.want.sends)
 				if test.want.code != "" {
@@ -98,15 +100,15 @@
 	}
 }
 
-// TestAnswerThatCannotBeWrittenIsNotServed: the request's line says that the client left.
-func TestAnswerThatCannotBeWrittenIsNotServed(t *testing.T) {
-	left := &client{failNext: true}
+// Guards against logging a request as served when its answer could not be written.
+func TestFailedAnswerWriteIsNotReportedAsServed(t *testing.T) {
+	left := &client{failWrites: true}
 	x := &exchange{out: left}
-	refusal := x.whole(answer(http.StatusOK, false, nil), []byte("ok"))
+	refusal := x.writeAnswer(answer(http.StatusOK, false, nil), []byte("ok"))
 	require.Equal(t, fault.DeadlinePassed, refusal.Code)
 	require.Equal(t, fault.RanYes, refusal.Ran)
 	require.True(t, x.answered, "nothing more is written")
-	require.Equal(t, 1, left.finals)
+	require.Equal(t, 1, left.finalAnswers)
 }
 
 // resetsOnce breaks the first call and answers the next.
@@ -120,7 +122,8 @@
 	}
 }
 
-func TestTimeLimitEndsWithAFinalAnswerAtOnce(t *testing.T) {
+// Guards against a request without a final answer at its time limit.
+func TestTimeLimitGivesAFinalAnswer(t *testing.T) {
 	for name, test := range map[string]struct {
 		deadline time.Duration
 		limit    time.Duration
@@ -134,43 +137,44 @@
 				f.worker("w", hangs)
 				got := f.serve(t.Context(), func(r *Request) { r.Deadline = test.deadline })
 				require.Equal(t, fault.DeadlinePassed, got.refusal.Code)
-				require.Equal(t, fault.RanUnknown, got.refusal.Ran, "no promise")
+				require.Equal(t, fault.RanUnknown, got.refusal.Ran, "the worker may have run it")
 				require.InDelta(t, test.limit, got.took, float64(50*time.Millisecond))
-				require.LessOrEqual(t, f.sent()[0].left, test.limit, "the worker is told what is left")
+				require.LessOrEqual(t, f.sent()[0].left, test.limit, "the worker receives the remaining time")
 			})
 		})
 	}
 }
 
-func TestWorkerIsLeftWhenTheClientLeaves(t *testing.T) {
+// Guards against work for a client that has disconnected.
+func TestClientDisconnectCancelsTheWorkerCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, plainRoute(route.Safe, 3))
-		var left time.Time
+		var canceledAt time.Time
 		f.worker("w", func(ctx context.Context, _ Call) (*Answer, error) {
 			<-ctx.Done()
-			left = time.Now()
+			canceledAt = time.Now()
 			return nil, ctx.Err()
 		})
 		ctx, cancel := context.WithCancel(t.Context())
-		leaves := time.Now().Add(30 * time.Millisecond)
+		disconnectAt := time.Now().Add(30 * time.Millisecond)
 		time.AfterFunc(30*time.Millisecond, cancel)
 		f.serve(ctx, nil)
-		require.Equal(t, leaves, left)
+		require.Equal(t, disconnectAt, canceledAt)
 		require.Len(t, f.sent(), 1)
 	})
 }
 
-// TestNothingIsSentForAClientThatLeft: whatever was waited for when it did.
-func TestNothingIsSentForAClientThatLeft(t *testing.T) {
+// Guards against sending a request after its client disconnected, in any phase before the send.
+func TestNothingIsSentAfterTheClientDisconnects(t *testing.T) {
 	for name, leaves := range map[string]struct {
 		route route.Route
 		does  script
 		sends int
 		after time.Duration
 	}{
-		"before a plain request is sent": {plainRoute(route.Safe, 3), answers(200, "ok"), 0, 0},
-		"before a turn is sent":          {turnRoute(nil), streams(3, 0), 0, 0},
-		"while no worker has room":       {plainRoute(route.Unsafe, 3), declines, 1, holdPause / 2},
+		"before a plain request is sent":    {plainRoute(route.Safe, 3), answers(200, "ok"), 0, 0},
+		"before a turn is sent":             {turnRoute(nil), streams(3, 0), 0, 0},
+		"while all workers are at capacity": {plainRoute(route.Unsafe, 3), declines, 1, selectPollInterval / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -186,6 +190,7 @@
 	}
 }
 
+// Guards against replacing the configuration with one that is not newer.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	f := newFixture(t, plainRoute(route.Safe, 1))
 	require.False(t, f.forwarder.SetConfiguration(route.New(1, nil, nil, route.Limits{})))
@@ -195,21 +200,21 @@
 	require.Zero(t, f.forwarder.Configuration().Len())
 }
 
-// TestSlowServiceIsNotLookedForEachTime: where an answer usually takes long, its
-// worker's silence is no reason to open a connection to it.
-func TestSlowServiceIsNotLookedForEachTime(t *testing.T) {
+// Guards against opening a test connection for each request to a service that usually answers
+// slowly.
+func TestUsuallySlowServiceIsNotCheckedEachTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		route route.Route
 		usual time.Duration
 		does  func(usual time.Duration) script
 	}{
-		"safe": {plainRoute(route.Safe, 2), 2 * safeStall, func(usual time.Duration) script {
+		"safe": {plainRoute(route.Safe, 2), 2 * safeSilence, func(usual time.Duration) script {
 			return func(context.Context, Call) (*Answer, error) {
 				time.Sleep(usual)
 				return answer(http.StatusOK, false, strings.NewReader("ok")), nil
 			}
 		}},
-		"streaming": {turnRoute(nil), 2 * streamStall, func(usual time.Duration) script {
+		"streaming": {turnRoute(nil), 2 * streamSilence, func(usual time.Duration) script {
 			return func(ctx context.Context, call Call) (*Answer, error) {
 				time.Sleep(usual)
 				return streams(3, 0)(ctx, call)
@@ -224,11 +229,11 @@
 				for range 10 {
 					require.Nil(t, f.serve(t.Context(), nil).refusal)
 				}
-				before := f.looks()
+				before := f.dialCount()
 				for range 20 {
 					require.Nil(t, f.serve(t.Context(), nil).refusal)
 				}
-				require.LessOrEqual(t, f.looks(), before+1)
+				require.LessOrEqual(t, f.dialCount(), before+1)
 			})
 		})
 	}
--- /dev/null
+++ b/internal/forward/history.go
@@ -0,0 +1,194 @@
+package forward
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/cloverwheel/cloverwheel/internal/budget"
+	"github.com/cloverwheel/cloverwheel/internal/history"
+)
+
+// Neighbours fetches cached conversation history from other nodes.
+type Neighbours interface {
+	// Chain returns the turns up to and including the given one, oldest first; nil if the node
+	// asked does not have all of them cached.
+	Chain(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error)
+}
+
+// TurnDirectory remembers which node ran which turn. Its answers are hints and may be wrong.
+type TurnDirectory interface {
+	// NoteRan records that this node has run a turn. It does not block.
+	NoteRan(program, turn string)
+	// RanBy returns the node that ran a turn; ok is false if it is not known.
+	RanBy(ctx context.Context, program, turn string) (holder budget.Holder, ok bool)
+}
+
+const (
+	// How long other nodes may take to return a history before the store is read as well. The
+	// wait follows their usual response time, within these bounds; it is usually shorter than a
+	// read from the store.
+	minHistoryWait = 25 * time.Millisecond
+	maxHistoryWait = 120 * time.Millisecond
+	// holdersWait is how long the budget account may take to name the nodes to ask before the
+	// store is read without them.
+	holdersWait = 100 * time.Millisecond
+	// Each node's request times out after its usual response time, within these bounds. Up to
+	// maxHistoryPeers nodes are asked at the same time: the node that drew tokens last need not
+	// have run the last turn, because tokens are handed over between nodes.
+	minPeerTimeout  = 50 * time.Millisecond
+	maxPeerTimeout  = 200 * time.Millisecond
+	maxHistoryPeers = 3
+)
+
+// historyResult is the outcome of one lookup of a history. No turns and no error means that no
+// other node has it cached.
+type historyResult struct {
+	turns    []*history.Turn
+	fromPeer bool // returned by another node
+	err      error
+}
+
+// loadHistory returns the turns before this one: from the local cache, else from a node that ran
+// the program's last turns, else from the store.
+func (x *exchange) loadHistory(ctx context.Context, holders <-chan []budget.Holder) ([]*history.Turn, error) {
+	if known := x.options.History.Known(x.previousTurn()); known != nil {
+		return known, nil
+	}
+	if x.options.Neighbours == nil {
+		return x.options.History.Chain(ctx, x.previousTurn())
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	results := make(chan historyResult, 2)
+	peerWait := make(chan time.Duration, 1)
+	go func() { results <- historyResult{turns: x.fetchFromPeers(ctx, holders, peerWait), fromPeer: true} }()
+	read := func() {
+		turns, err := x.options.History.Chain(ctx, x.previousTurn())
+		results <- historyResult{turns: turns, err: err}
+	}
+	timer := time.NewTimer(holdersWait)
+	defer timer.Stop()
+	reading := false
+	for answered := 0; ; {
+		select {
+		case wait := <-peerWait:
+			timer.Reset(wait)
+			continue
+		case <-timer.C:
+		case result := <-results:
+			if result.turns != nil {
+				return x.adoptHistory(ctx, result), nil
+			}
+			if answered++; answered == 2 || result.err != nil {
+				return nil, result.err
+			}
+		}
+		if !reading {
+			reading = true
+			go read()
+		}
+	}
+}
+
+// adoptHistory caches a history that another node returned.
+func (x *exchange) adoptHistory(ctx context.Context, result historyResult) []*history.Turn {
+	if result.fromPeer {
+		x.historyFromPeer = true
+		x.options.History.Learn(ctx, result.turns)
+	}
+	return result.turns
+}
+
+// fetchFromPeers asks other nodes for the history; nil if none of them has it. Once the nodes to
+// ask are known, it sends their usual response time to peerWait.
+func (x *exchange) fetchFromPeers(ctx context.Context, holders <-chan []budget.Holder, peerWait chan<- time.Duration) []*history.Turn {
+	select {
+	case <-ctx.Done():
+		return nil
+	case known := <-holders:
+		others := known[:min(len(known), maxHistoryPeers)]
+		holder, ok := x.lookUpHolder(ctx, known)
+		if !ok {
+			peerWait <- x.historyWait(others)
+			return x.fetchFirst(ctx, others)
+		}
+		peerWait <- x.historyWait([]budget.Holder{holder})
+		if chain := x.fetchFromPeer(ctx, holder); chain != nil {
+			return chain
+		}
+		return x.fetchFirst(ctx, without(others, holder))
+	}
+}
+
+// ranOnManyNodes reports whether a program's turns ran on more nodes than can be asked for its
+// history. The directory of turns is only used for these programs, since it costs a message per
+// turn.
+func ranOnManyNodes(others []budget.Holder) bool { return len(others) >= maxHistoryPeers }
+
+// lookUpHolder returns the node that ran the previous turn, if the turn directory knows it.
+func (x *exchange) lookUpHolder(ctx context.Context, others []budget.Holder) (budget.Holder, bool) {
+	if x.options.Turns == nil || !ranOnManyNodes(others) {
+		return budget.Holder{}, false
+	}
+	return x.options.Turns.RanBy(ctx, x.tenant.Scope(x.request.Program), x.previousTurn())
+}
+
+// recordRun records in the turn directory that this node ran the turn.
+func (x *exchange) recordRun(others []budget.Holder) {
+	if x.options.Turns != nil && ranOnManyNodes(others) {
+		x.options.Turns.NoteRan(x.tenant.Scope(x.request.Program), x.tenant.Scope(x.request.ID))
+	}
+}
+
+// without returns a copy of the list without one holder.
+func without(list []budget.Holder, left budget.Holder) []budget.Holder {
+	return slices.DeleteFunc(slices.Clone(list), func(holder budget.Holder) bool { return holder == left })
+}
+
+// historyWait is the usual response time of the fastest of the nodes asked.
+func (x *exchange) historyWait(asked []budget.Holder) time.Duration {
+	quickest := maxHistoryWait
+	for _, holder := range asked {
+		quickest = min(quickest, x.options.Patience.Of(holder.Process, minHistoryWait, maxHistoryWait))
+	}
+	return quickest
+}
+
+// fetchFirst asks nodes at the same time and returns the first history that arrives; nil if none
+// has it.
+func (x *exchange) fetchFirst(ctx context.Context, asked []budget.Holder) []*history.Turn {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	chains := make(chan []*history.Turn, len(asked))
+	for _, holder := range asked {
+		go func() { chains <- x.fetchFromPeer(ctx, holder) }()
+	}
+	for range asked {
+		if chain := <-chains; chain != nil {
+			return chain
+		}
+	}
+	return nil
+}
+
+func (x *exchange) fetchFromPeer(ctx context.Context, holder budget.Holder) []*history.Turn {
+	ctx, cancel := context.WithTimeout(ctx, x.options.Patience.Of(holder.Process, minPeerTimeout, maxPeerTimeout))
+	defer cancel()
+	chain, err := x.options.Neighbours.Chain(ctx, holder, x.previousTurn())
+	if err != nil || !isHistoryOf(x.previousTurn(), chain) {
+		return nil
+	}
+	return chain
+}
+
+// isHistoryOf reports whether turns are the complete history that ends with the given turn.
+func isHistoryOf(id string, turns []*history.Turn) bool {
+	if len(turns) == 0 {
+		return false
+	}
+	before, last := turns[:len(turns)-1], turns[len(turns)-1]
+	return last.ID == id && slices.EqualFunc(before, last.Ancestors, func(turn *history.Turn, ancestor string) bool {
+		return turn.ID == ancestor
+	})
+}
--- a/internal/forward/chain_test.go
+++ b/internal/forward/history_test.go
@@ -15,28 +15,28 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// remembered is another node's memory of turns.
-type remembered struct {
+// peerHistory is another node's history cache.
+type peerHistory struct {
 	keeper *history.Keeper
 	mutex  sync.Mutex
 	asked  []budget.Holder
 }
 
-func (r *remembered) note(holder budget.Holder) {
+func (r *peerHistory) note(holder budget.Holder) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.asked = append(r.asked, holder)
 }
 
 // Chain implements Neighbours.
-func (r *remembered) Chain(_ context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
+func (r *peerHistory) Chain(_ context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
 	r.note(holder)
 	return r.keeper.Known(turn), nil
 }
 
-// TestChainComesFromTheNodeThatRanIt: while the rows of turns are out of reach,
-// a program goes on at another node, which asks the one that drew its tokens.
-func TestChainComesFromTheNodeThatRanIt(t *testing.T) {
+// Guards against a turn failing while the store cannot read its history, although the node that
+// drew the program's tokens has it cached.
+func TestHistoryIsFetchedFromTheNodeThatRanIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
@@ -52,9 +52,9 @@
 		other := newFixture(t, turnRoute(retained))
 		other.worker("w", streams(2, 0))
 		other.forwarder.options.Budgets = budget.NewBook(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
-		neighbour := &remembered{keeper: f.forwarder.options.History}
+		neighbour := &peerHistory{keeper: f.forwarder.options.History}
 		other.forwarder.options.Neighbours = neighbour
-		other.table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent }) // of turns
+		other.table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent }) // reads and writes of turns
 		other.forwarder.options.History = newHistory(other.table)
 		other.serve(t.Context(), program("t3", "t2"))
 		require.Equal(t, "t1;t1\nt2\nt2;t1\nt2\nt3;", other.sent()[0].body)
@@ -63,22 +63,22 @@
 	})
 }
 
-// ranBy remembers who ran each turn.
-type ranBy struct {
+// fakeTurnDirectory is a TurnDirectory in memory.
+type fakeTurnDirectory struct {
 	holders map[string]budget.Holder
 	noted   []string
 }
 
-// NoteRan implements Turns.
-func (r *ranBy) NoteRan(_, turn string) { r.noted = append(r.noted, turn) }
+// NoteRan implements TurnDirectory.
+func (r *fakeTurnDirectory) NoteRan(_, turn string) { r.noted = append(r.noted, turn) }
 
-// RanBy implements Turns.
-func (r *ranBy) RanBy(_ context.Context, _, turn string) (budget.Holder, bool) {
+// RanBy implements TurnDirectory.
+func (r *fakeTurnDirectory) RanBy(_ context.Context, _, turn string) (budget.Holder, bool) {
 	holder, ok := r.holders[turn]
 	return holder, ok
 }
 
-// spreadLocator names many nodes that had turns of a program.
+// spreadLocator names a number of nodes that ran turns of a program.
 type spreadLocator struct{ count int }
 
 // Locate implements budget.Locator.
@@ -95,10 +95,10 @@
 // NoteReturned implements budget.Locator.
 func (spreadLocator) NoteReturned(context.Context, string) {}
 
-// TestChainOfASpreadProgramIsAskedOfTheNodeThatRanIt: where more nodes had turns than are asked, the
-// one that ran the last turn of the line is named by the turn.
-func TestChainOfASpreadProgramIsAskedOfTheNodeThatRanIt(t *testing.T) {
-	for _, holders := range []int{maxChainAsked - 1, maxChainAsked} {
+// Guards against missing the node that ran the last turn when a program ran on more nodes than
+// are asked for its history.
+func TestHistoryOfASpreadProgramIsFetchedFromTheLastTurnsNode(t *testing.T) {
+	for _, holders := range []int{maxHistoryPeers - 1, maxHistoryPeers} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(t, turnRoute(retained))
 			f.worker("w", streams(2, 0))
@@ -109,19 +109,19 @@
 			other.forwarder.options.Budgets = budget.NewBook(budget.Options{
 				Store: f.table, Self: budget.Holder{Process: "m"}, Locator: spreadLocator{count: holders},
 			})
-			neighbour := &remembered{keeper: f.forwarder.options.History}
-			turns := &ranBy{holders: map[string]budget.Holder{"t1": {Process: "ran"}}}
+			neighbour := &peerHistory{keeper: f.forwarder.options.History}
+			turns := &fakeTurnDirectory{holders: map[string]budget.Holder{"t1": {Process: "ran"}}}
 			other.forwarder.options.Neighbours, other.forwarder.options.Turns = neighbour, turns
 			other.forwarder.options.History = newHistory(other.table)
 			got := other.serve(t.Context(), func(r *Request) {
 				r.ID, r.Continue, r.Program, r.Budget, r.Output = "t2", "t1", "p", 10_000, 60
 			})
 			require.True(t, got.ended)
-			synctest.Wait() // for those that were asked at the same time
+			synctest.Wait() // requests to other nodes may still be running
 			_, reads := other.table.Calls()
 			require.Zero(t, reads)
-			if holders < maxChainAsked {
-				require.NotContains(t, neighbour.asked, budget.Holder{Process: "ran"}, "all that had turns are asked")
+			if holders < maxHistoryPeers {
+				require.NotContains(t, neighbour.asked, budget.Holder{Process: "ran"}, "all nodes that ran turns are asked")
 				require.Empty(t, turns.noted)
 				return
 			}
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestChainThatNoNodeRemembersIsRead, and a node that answers with another chain
-// is not believed.
-func TestChainThatNoNodeRemembersIsRead(t *testing.T) {
+// Guards against failing a turn whose history no node has cached, and against accepting the
+// history of another turn.
+func TestHistoryThatNoNodeCachesIsReadFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
@@ -148,7 +148,7 @@
 			other := newFixture(t, turnRoute(retained))
 			other.worker("w", streams(2, 0))
 			other.forwarder.options.Budgets = budget.NewBook(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
-			other.forwarder.options.Neighbours = &mistaken{remembered: remembered{keeper: memory}}
+			other.forwarder.options.Neighbours = &wrongHistory{peerHistory: peerHistory{keeper: memory}}
 			other.forwarder.options.History = newHistory(f.table)
 			other.serve(t.Context(), claim("t2", "t1"))
 			require.Equal(t, "t1;t1\nt2\nt2;", other.sent()[0].body)
@@ -157,9 +157,9 @@
 	})
 }
 
-// TestTurnOfWhichTheHistoryIsNotReadIsRefusedUnrun: the turn that it goes on from
-// can be read, one before that can not.
-func TestTurnOfWhichTheHistoryIsNotReadIsRefusedUnrun(t *testing.T) {
+// Guards against running a turn with an incomplete history: the store has the previous turn but
+// not the one before it.
+func TestTurnWithUnreadableHistoryIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
@@ -175,7 +175,7 @@
 
 		other := newFixture(t, turnRoute(retained))
 		other.worker("w", streams(2, 0))
-		other.forwarder.options.Neighbours = &remembered{keeper: newHistory(f.table)}
+		other.forwarder.options.Neighbours = &peerHistory{keeper: newHistory(f.table)}
 		other.forwarder.options.History = newHistory(table)
 		got := other.serve(t.Context(), claim("t3", "t2"))
 		require.NotNil(t, got.refusal, "not a worker's answer, nor a broken connection")
@@ -184,10 +184,10 @@
 	})
 }
 
-// mistaken answers with the chain of another turn.
-type mistaken struct{ remembered }
+// wrongHistory returns the history of another turn.
+type wrongHistory struct{ peerHistory }
 
 // Chain implements Neighbours.
-func (m *mistaken) Chain(context.Context, budget.Holder, string) ([]*history.Turn, error) {
+func (m *wrongHistory) Chain(context.Context, budget.Holder, string) ([]*history.Turn, error) {
 	return []*history.Turn{{ID: "another", Output: []byte("another program's\n")}}, nil
 }
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// wholeBytes is up to which size an answer is read before it is passed on, so
-	// that one that breaks off can still be replaced.
-	wholeBytes = 256 << 10
-	// safeStall is how long a safe request waits for a silent worker before it
-	// looks whether that is still there.
-	safeStall = 100 * time.Millisecond
+	// maxBufferedAnswer is the largest answer, in bytes, that is read completely before it is
+	// passed on, so that a truncated one can still be replaced.
+	maxBufferedAnswer = 256 << 10
+	// safeSilence is how long a safe request waits for a silent worker before it checks whether
+	// the worker still accepts connections.
+	safeSilence = 100 * time.Millisecond
 )
 
-// plain serves a request that is answered in one piece.
-func (x *exchange) plain(ctx context.Context) *fault.Error {
+// servePlain serves a request whose answer is not a stream.
+func (x *exchange) servePlain(ctx context.Context) *fault.Error {
 	x.service = x.route.Service(x.route.Draw())
 	x.body = x.request.Body
-	if refusal := x.admit(ctx); refusal != nil {
+	if refusal := x.takeFromLimit(ctx); refusal != nil {
 		return refusal
 	}
 	for x.sends < maxSends {
-		worker, refusal := x.choose(ctx)
+		worker, refusal := x.chooseWorker(ctx)
 		if refusal != nil {
 			return refusal
 		}
@@ -39,67 +39,67 @@
 			return refusal
 		}
 		if !cleared {
-			x.leavePlace()
+			x.releaseSlot()
 			continue
 		}
 		done, refusal := x.tryPlain(ctx, worker)
-		x.leavePlace()
+		x.releaseSlot()
 		if done {
 			return refusal
 		}
 		if ctx.Err() != nil {
-			return x.ended(ctx)
+			return x.endedError(ctx)
 		}
 	}
-	return x.exhausted()
+	return x.exhaustedError()
 }
 
-// exhausted is the answer when a request was sent often enough.
-func (x *exchange) exhausted() *fault.Error {
+// exhaustedError returns the final answer when the request may not be sent again.
+func (x *exchange) exhaustedError() *fault.Error {
 	if !x.attempts.any() {
-		return x.noWorker(fault.Newf(fault.Unavailable, "come back after the time given", "no worker of service %q can be reached", x.service))
+		return x.noWorkerError(fault.Newf(fault.Unavailable, "retry after the given delay", "no worker of service %q can be reached", x.service))
 	}
-	return fault.New(fault.EngineFailed, "the worker broke off", "send the request again if it may be repeated").WithRan(fault.RanUnknown)
+	return fault.New(fault.EngineFailed, "the worker failed before the answer was complete", "send the request again if it may be repeated").WithRan(fault.RanUnknown)
 }
 
-// tryPlain asks one worker. done means that the request has its final answer:
-// refusal, or the one passed on if that is nil.
+// tryPlain sends the request to one worker. If done, the request is over: with the refusal, or
+// with an answer already passed on.
 func (x *exchange) tryPlain(ctx context.Context, worker *backend.Worker) (done bool, refusal *fault.Error) {
 	defer worker.Begin()()
 	repeatable := x.route.Repeatable()
-	limited, dog := x.watch(ctx, worker, safeStall, !repeatable)
+	limited, watcher := x.watch(ctx, worker, safeSilence, !repeatable)
 	if !repeatable {
-		dog.timer.Stop()
+		watcher.timer.Stop()
 	}
-	defer dog.stop()
+	defer watcher.stop()
 	answer, err := x.send(limited, worker)
 	if err != nil {
-		return x.failed(ctx, limited, worker, err)
+		return x.handleFailure(ctx, limited, worker, err)
 	}
 	defer answer.Close(false)
 	if answer.Declined {
-		return x.declined(worker, answer), nil
+		return x.handleDecline(worker, answer), nil
 	}
 	if repeatable {
-		dog.heard()
+		watcher.received()
 	}
-	x.mayHaveRun(worker)
-	release, held := x.hold(answer)
-	if !held {
-		return true, x.pass(answer, nil)
+	x.recordAttempt(worker)
+	release, buffered := x.reserveBuffer(answer)
+	if !buffered {
+		return true, x.relayAnswer(answer, nil)
 	}
 	defer release()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeBytes+1))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedAnswer+1))
 	if err != nil {
-		return x.failed(ctx, limited, worker, err)
+		return x.handleFailure(ctx, limited, worker, err)
 	}
-	if len(body) > wholeBytes {
-		return true, x.pass(answer, body)
+	if len(body) > maxBufferedAnswer {
+		return true, x.relayAnswer(answer, body)
 	}
 	answer.Close(true)
 	if answer.Status >= http.StatusInternalServerError {
 		worker.Broke(time.Now())
-		x.noteTried(worker, strconv.Itoa(answer.Status))
+		x.recordSendFailure(worker, strconv.Itoa(answer.Status))
 		if repeatable && x.mayRunElsewhere() {
 			x.exclude(worker.Key())
 			return false, nil
@@ -107,14 +107,15 @@
 	} else {
 		worker.Answered()
 	}
-	return true, x.whole(answer, body)
+	return true, x.writeAnswer(answer, body)
 }
 
-// hold reports whether an answer is read whole before it is passed on, and counts it against the
-// node's memory until it is released: clients that read a byte a second may hold as many answers as
-// there are connections. What has no room is passed on as it comes, and takes a buffer alone.
-func (x *exchange) hold(answer *Answer) (release func(), held bool) {
-	if answer.Length > wholeBytes {
+// reserveBuffer reports whether the answer is to be read completely before it is passed on, and
+// reserves the memory for it until release is called. Without the reservation, slow clients could
+// hold as many buffered answers as there are connections. An answer that gets no memory is
+// relayed as it arrives.
+func (x *exchange) reserveBuffer(answer *Answer) (release func(), held bool) {
+	if answer.Length > maxBufferedAnswer {
 		return nil, false
 	}
 	if x.options.Admit == nil {
@@ -122,33 +123,32 @@
 	}
 	bytes := answer.Length
 	if bytes < 0 {
-		bytes = wholeBytes
+		bytes = maxBufferedAnswer
 	}
 	return x.options.Admit(bytes)
 }
 
-// whole passes on an answer that was read whole. If it cannot be written, its client
-// is gone: there is nobody else to tell.
-func (x *exchange) whole(answer *Answer, body []byte) *fault.Error {
+// writeAnswer sends a complete answer to the client. If that fails, the client has disconnected.
+func (x *exchange) writeAnswer(answer *Answer, body []byte) *fault.Error {
 	x.answered = true
 	if err := x.out.Answer(answer.Status, answer.Header, body); err != nil {
-		return fault.Newf(fault.DeadlinePassed, "nothing is to be done", "the client left before its answer was written: %v", err).WithRan(fault.RanYes)
+		return fault.Newf(fault.DeadlinePassed, "no action is needed", "the client disconnected before the answer was written: %v", err).WithRan(fault.RanYes)
 	}
 	return nil
 }
 
-// pass passes on an answer that is too long to be held, after what was read of it.
-func (x *exchange) pass(answer *Answer, begun []byte) *fault.Error {
-	x.started = true
+// relayAnswer relays an answer that is not buffered. prefix is what was already read of it.
+func (x *exchange) relayAnswer(answer *Answer, prefix []byte) *fault.Error {
+	x.headSent = true
 	if err := x.out.Start(answer.Status, answer.Header, answer.Length); err != nil {
-		return x.ended(x.client)
+		return x.endedError(x.clientCtx)
 	}
 	buffer := make([]byte, 32<<10)
-	piece := begun
+	piece := prefix
 	for {
 		if len(piece) > 0 {
 			if err := x.out.Event(piece); err != nil {
-				return x.ended(x.client)
+				return x.endedError(x.clientCtx)
 			}
 		}
 		count, err := answer.Body.Read(buffer)
@@ -159,27 +159,28 @@
 			return nil
 		}
 		if err != nil && !errors.Is(err, io.EOF) {
-			return x.exhausted()
+			return x.exhaustedError()
 		}
 	}
 }
 
-// declined notes a worker's word that it did not run the request.
-func (x *exchange) declined(worker *backend.Worker, answer *Answer) bool {
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, wholeBytes))
+// handleDecline records that a worker did not run the request. It returns false: another worker
+// may be asked.
+func (x *exchange) handleDecline(worker *backend.Worker, answer *Answer) bool {
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxBufferedAnswer))
 	answer.Close(true)
 	worker.Declined(time.Now())
-	x.place.Declined()
-	x.noteTried(worker, "declined")
+	x.slot.Declined()
+	x.recordSendFailure(worker, "declined")
 	x.declines++
-	x.noteDecline()
+	x.reportDecline()
 	x.exclude(worker.Key())
 	x.options.Metrics.Declines.Inc()
 	return false
 }
 
-// notReached notes that nothing was written to a worker.
-func (x *exchange) notReached(worker *backend.Worker, err error) {
+// handleUnreached records that nothing was written to a worker.
+func (x *exchange) handleUnreached(worker *backend.Worker, err error) {
 	id := worker.Key()
 	x.exclude(id)
 	if errors.Is(err, httpconn.ErrCrowded) {
@@ -188,43 +189,43 @@
 		return
 	}
 	worker.Unreachable(time.Now())
-	if x.attempts.hasEnded(id, err) {
-		x.drop(worker, observedEnded)
+	if x.attempts.processEnded(id, err) {
+		x.dropAttempt(worker, observedEnded)
 	}
 }
 
-// failed decides what a broken exchange means: whether the request is over, or
-// another worker may be asked.
-func (x *exchange) failed(ctx, limited context.Context, worker *backend.Worker, err error) (bool, *fault.Error) {
+// handleFailure decides what a failed exchange means: whether the request is over (done) or may
+// be sent again.
+func (x *exchange) handleFailure(ctx, limited context.Context, worker *backend.Worker, err error) (bool, *fault.Error) {
 	id := worker.Key()
 	written := !errors.Is(err, httpconn.ErrNotWritten)
 	if written {
-		x.mayHaveRun(worker)
+		x.recordAttempt(worker)
 	}
 	if ctx.Err() != nil {
-		return true, x.ended(ctx)
+		return true, x.endedError(ctx)
 	}
 	cause := context.Cause(limited)
-	x.noteFailure(worker, err, cause)
+	x.logFailure(worker, err, cause)
 	if !written {
-		x.notReached(worker, err)
+		x.handleUnreached(worker, err)
 		return false, nil
 	}
 	silent := errors.Is(cause, errSilent)
 	switch {
-	case silent: // which says nothing of the worker
-	case errors.Is(cause, errUnreachable): // and may work on the request all the same
+	case silent: // says nothing about the worker's health
+	case errors.Is(cause, errUnreachable): // the worker may still run the request
 		worker.Unreachable(time.Now())
 		x.exclude(id)
 	default:
 		worker.Broke(time.Now())
-		x.attempts.noteBreak(id, err)
+		x.attempts.recordBreak(id, err)
 	}
 	if !x.route.Repeatable() {
-		return true, fault.New(fault.EngineFailed, "the worker broke off", "look up whether it took effect before sending it again").WithRan(fault.RanUnknown)
+		return true, fault.New(fault.EngineFailed, "the connection to the worker broke", "check whether the request took effect before sending it again").WithRan(fault.RanUnknown)
 	}
 	if silent {
-		return false, nil // the worker is there: it is asked again, on a new connection
+		return false, nil // the worker is alive: retry it on a new connection
 	}
 	if x.mayRunElsewhere() {
 		x.exclude(id)
--- /dev/null
+++ b/internal/forward/presend.go
@@ -0,0 +1,142 @@
+package forward
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/cloverwheel/cloverwheel/internal/backend"
+	"github.com/cloverwheel/cloverwheel/internal/fault"
+	"github.com/cloverwheel/cloverwheel/internal/locality"
+	"github.com/cloverwheel/cloverwheel/internal/permit"
+)
+
+// Allowance grants requests to cold workers, whose load is limited while they warm up.
+type Allowance interface {
+	// Borrow asks for one request to a cold worker. It takes a few milliseconds while the owner
+	// of the worker's allowance responds, and tens of milliseconds if it does not.
+	Borrow(ctx context.Context, ask ColdRequest) Loan
+}
+
+// Prober queries the health of workers.
+type Prober interface {
+	// ColdLeft queries a worker's health path and returns how much longer the worker is cold; 0:
+	// it is warm.
+	ColdLeft(ctx context.Context, worker *backend.Worker, path string) (time.Duration, error)
+}
+
+// ColdRequest asks to send one request to a cold worker.
+type ColdRequest struct {
+	Worker  string // the worker's key
+	Zone    string // the worker's zone
+	Service string
+	Begins  bool // the request is the first of its program, or belongs to none
+}
+
+// Loan is the permission to send one request to a cold worker, or its refusal.
+type Loan struct {
+	Until time.Time     // expiry of the permission; zero: refused
+	Wait  time.Duration // if refused: time until a permission may be available
+}
+
+// valid reports whether the loan permits a send now.
+func (l Loan) valid() bool { return time.Now().Before(l.Until) }
+
+// maxColdAttempts limits for how many cold workers a request asks before only warm ones are
+// considered.
+const maxColdAttempts = 3
+
+const (
+	// healthTimeout limits a health query, without the network round trips.
+	healthTimeout = 40 * time.Millisecond
+	// healthRoundTrips to the worker's zone are added to the timeout: the connection's and the
+	// query's.
+	healthRoundTrips = 2
+)
+
+// clear decides whether the request may still be sent to the chosen worker. It runs just before
+// each send, because any time may have passed since the choice, and a paused node may have missed
+// updates. If cleared is false and there is no refusal, another worker must be chosen. A refusal
+// is final.
+func (x *exchange) clear(ctx context.Context, worker *backend.Worker) (cleared bool, refusal *fault.Error) {
+	var loan Loan
+	if x.options.Workers.Check(worker, x.allowedRegions()) == permit.Metered {
+		loan = x.borrowColdRequest(ctx, worker)
+	}
+	if x.clientCtx.Err() != nil {
+		return false, x.endedError(x.clientCtx)
+	}
+	if refusal := x.recheckKey(); refusal != nil {
+		return false, refusal
+	}
+	verdict := x.options.Workers.Check(worker, x.allowedRegions())
+	if verdict.Refused() || verdict == permit.Metered && !loan.valid() {
+		x.options.Metrics.BlockedSends.WithLabelValues(verdict.String()).Inc()
+		x.recordSendFailure(worker, x.blockReason(worker, verdict))
+		x.exclude(worker.Key())
+		return false, nil
+	}
+	return true, nil
+}
+
+// blockReason returns why a request may not be sent to a worker. For a cold worker it includes
+// the source and the age of that information.
+func (x *exchange) blockReason(worker *backend.Worker, verdict permit.Verdict) string {
+	if verdict != permit.Metered {
+		return verdict.String()
+	}
+	known := x.options.Workers.Warmth(worker)
+	if known.Lapsed {
+		return fmt.Sprintf("metered(lapsed %dms)", known.Age.Milliseconds())
+	}
+	return fmt.Sprintf("metered(%s %dms)", known.Source, known.Age.Milliseconds())
+}
+
+// borrowColdRequest asks for permission to send the request to a cold worker.
+func (x *exchange) borrowColdRequest(ctx context.Context, worker *backend.Worker) Loan {
+	if x.options.Allowance == nil {
+		return Loan{}
+	}
+	x.coldAttempts++
+	loan := x.options.Allowance.Borrow(ctx, ColdRequest{
+		Worker: worker.Key(), Zone: worker.Record().Zone, Service: x.service, Begins: x.home == "",
+	})
+	if loan.Until.IsZero() && x.probeHealth(ctx, worker) {
+		return loan
+	}
+	if loan.Until.IsZero() && (x.coldRetryAfter == 0 || loan.Wait < x.coldRetryAfter) {
+		x.coldRetryAfter = loan.Wait
+	}
+	return loan
+}
+
+// probeHealth queries the health of a worker for which no permission was granted and whose entry
+// in the worker list is outdated. It reports whether the worker is warm.
+func (x *exchange) probeHealth(ctx context.Context, worker *backend.Worker) (warm bool) {
+	path := x.Configuration().Services[x.service].HealthPath
+	if path == "" || x.options.Prober == nil || !x.options.Workers.MayAskHealth(worker) {
+		return false
+	}
+	ctx, cancel := context.WithTimeout(ctx, healthTimeout+healthRoundTrips*x.options.Workers.RoundTrip(worker))
+	defer cancel()
+	sent := time.Now()
+	left, err := x.options.Prober.ColdLeft(ctx, worker, path)
+	entry := x.options.Logger.WithFields(log.Fields{"worker": worker.Key(), "request": x.request.ID, "cold_ms": left.Milliseconds()})
+	if err != nil {
+		entry.WithError(err).Warn("health query failed; trying another worker")
+		return false
+	}
+	x.options.Workers.NoteHealth(worker, left, sent)
+	entry.Info("worker reported its warmth in a health query")
+	return left == 0
+}
+
+// allowedRegions returns the regions that both the route and the tenant allow.
+func (x *exchange) allowedRegions() locality.Regions {
+	if x.tenant == nil {
+		return x.route.Regions
+	}
+	return x.route.Regions.Common(x.tenant.Regions)
+}
--- a/internal/forward/clear_test.go
+++ b/internal/forward/presend_test.go
@@ -16,34 +16,34 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// allowance lends by a function and notes what was asked for.
-type allowance struct {
+// fakeAllowance grants loans by a function and records the requests.
+type fakeAllowance struct {
 	lend  func(ColdRequest) Loan
 	asked []ColdRequest
 }
 
 // Borrow implements Allowance.
-func (a *allowance) Borrow(_ context.Context, ask ColdRequest) Loan {
+func (a *fakeAllowance) Borrow(_ context.Context, ask ColdRequest) Loan {
 	a.asked = append(a.asked, ask)
 	time.Sleep(2 * time.Millisecond)
 	return a.lend(ask)
 }
 
-// lends lends until a moment from now on; nothing if that is over.
-func lends(within time.Duration) func(ColdRequest) Loan {
+// lendsFor grants loans that are valid for a time; a negative time grants expired ones.
+func lendsFor(within time.Duration) func(ColdRequest) Loan {
 	return func(ColdRequest) Loan { return Loan{Until: time.Now().Add(within), Wait: 300 * time.Millisecond} }
 }
 
-func denies(ColdRequest) Loan { return Loan{Wait: 300 * time.Millisecond} }
+func lendsNothing(ColdRequest) Loan { return Loan{Wait: 300 * time.Millisecond} }
 
-// coldFixture has a cold worker for each name, and a safe route to them.
-func coldFixture(t *testing.T, lend func(ColdRequest) Loan, cold ...string) (*fixture, *allowance) {
+// coldFixture has a cold worker for each name and a safe route to them.
+func coldFixture(t *testing.T, lend func(ColdRequest) Loan, cold ...string) (*fixture, *fakeAllowance) {
 	f := newFixture(t, route.Route{
 		Host: "h", PathPrefix: "/p/", Kind: route.Safe, Timeout: time.Second, Objective: 100 * time.Millisecond, MaxAttempts: 2,
 		Targets: []route.Target{{Service: "s", Weight: 1}},
 	})
 	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Places: testPlaces, Dial: f.dial, Cold: func(string) (bool, time.Duration) { return true, time.Second }})
-	lender := &allowance{lend: lend}
+	lender := &fakeAllowance{lend: lend}
 	f.forwarder.options.Workers, f.forwarder.options.Allowance = f.workers, lender
 	for _, name := range cold {
 		f.scripts[name] = answers(http.StatusOK, "from "+name)
@@ -52,47 +52,51 @@
 	return f, lender
 }
 
-func TestColdWorkerGetsWhatItIsLent(t *testing.T) {
+// Guards against refusing a cold worker although a loan was granted.
+func TestColdWorkerGetsRequestWithALoan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, lender := coldFixture(t, lends(100*time.Millisecond), "c")
+		f, lender := coldFixture(t, lendsFor(100*time.Millisecond), "c")
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 		require.Equal(t, []ColdRequest{{Worker: "c", Zone: "z", Service: "s", Begins: true}}, lender.asked)
 	})
 }
 
+// Guards against asking for loans for warm workers.
 func TestWarmWorkerNeedsNoLoan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, lender := coldFixture(t, denies)
+		f, lender := coldFixture(t, lendsNothing)
 		f.worker("warm", answers(http.StatusOK, "well"))
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 		require.Empty(t, lender.asked)
 	})
 }
 
-func TestRequestGoesToAWarmWorkerIfNothingIsLent(t *testing.T) {
+// Guards against spending the request's time on asking for many cold workers.
+func TestRequestWithoutALoanGoesToAWarmWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, lender := coldFixture(t, denies, strings.Split("abcdefgh", "")...)
+		f, lender := coldFixture(t, lendsNothing, strings.Split("abcdefgh", "")...)
 		f.worker("warm", answers(http.StatusOK, "well"))
-		f.workers.Of("s")[len(f.workers.Of("s"))-1].Declined(time.Now()) // so that cold ones are tried first
+		f.workers.Of("s")[len(f.workers.Of("s"))-1].Declined(time.Now()) // so that cold workers are tried first
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 		require.Equal(t, "warm", f.sent()[0].worker)
-		require.Len(t, lender.asked, maxColdAsks, "no more time is spent on asking")
+		require.Len(t, lender.asked, maxColdAttempts, "it stops asking for loans")
 	})
 }
 
-// TestLoanIsNotUsedLate: the time until it is used may be any.
-func TestLoanIsNotUsedLate(t *testing.T) {
+// Guards against sending to a cold worker after its loan has expired.
+func TestExpiredLoanIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := coldFixture(t, lends(-time.Millisecond), "c")
+		f, _ := coldFixture(t, lendsFor(-time.Millisecond), "c")
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
 	})
 }
 
-// TestAllColdAndNothingLentIsRefusedAtOnce, with the time that the lenders said.
-func TestAllColdAndNothingLentIsRefusedAtOnce(t *testing.T) {
+// Guards against holding a request that can get no worker, and against losing the lender's retry
+// delay.
+func TestColdWorkersWithoutLoansRefuseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := coldFixture(t, denies, "a", "b")
+		f, _ := coldFixture(t, lendsNothing, "a", "b")
 		got := f.serve(t.Context(), nil)
 		require.Equal(t, fault.Overloaded, got.refusal.Code)
 		require.Equal(t, fault.RanNo, got.refusal.Ran)
@@ -102,10 +106,10 @@
 	})
 }
 
-// TestRetriesNeedALoanEach: the second send of a request counts at its worker, too.
-func TestRetriesNeedALoanEach(t *testing.T) {
+// Guards against resending a request to a cold worker without a second loan.
+func TestEachRetryNeedsALoan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, lender := coldFixture(t, lends(100*time.Millisecond), "a", "b")
+		f, lender := coldFixture(t, lendsFor(100*time.Millisecond), "a", "b")
 		for name := range f.scripts {
 			f.scripts[name] = resets
 		}
@@ -115,25 +119,26 @@
 	})
 }
 
-func TestNodeThatAsksNobodySendsNothingToAColdWorker(t *testing.T) {
+// Guards against sending to cold workers without any limit.
+func TestNodeWithoutAllowanceSendsNothingToColdWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := coldFixture(t, denies, "c")
+		f, _ := coldFixture(t, lendsNothing, "c")
 		f.forwarder.options.Allowance = nil
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
 	})
 }
 
-// prober tells of all workers how long they are cold.
-type prober struct {
+// fakeProber reports the same warm-up time for all workers.
+type fakeProber struct {
 	left  time.Duration
 	err   error
-	takes time.Duration // that its answers take
+	takes time.Duration // response time
 	asked int
 }
 
 // ColdLeft implements Prober.
-func (p *prober) ColdLeft(ctx context.Context, _ *backend.Worker, _ string) (time.Duration, error) {
+func (p *fakeProber) ColdLeft(ctx context.Context, _ *backend.Worker, _ string) (time.Duration, error) {
 	p.asked++
 	if err := wait.For(ctx, p.takes); err != nil {
 		return 0, err
@@ -141,11 +146,11 @@
 	return p.left, p.err
 }
 
-// lapsedFixture has a worker of which nothing was heard for long, and no lender.
-func lapsedFixture(t *testing.T, prober *prober) *fixture { return lapsedFixtureAt(t, "z", prober) }
+// lapsedFixture has a worker whose entry in the worker list is outdated, and no loans.
+func lapsedFixture(t *testing.T, prober *fakeProber) *fixture { return lapsedFixtureAt(t, "z", prober) }
 
-func lapsedFixtureAt(t *testing.T, zone string, prober *prober) *fixture {
-	f, _ := coldFixture(t, denies)
+func lapsedFixtureAt(t *testing.T, zone string, prober *fakeProber) *fixture {
+	f, _ := coldFixture(t, lendsNothing)
 	f.workerAt("w", zone, answers(http.StatusOK, "well"))
 	f.forwarder.options.Prober = prober
 	configuration := *f.forwarder.Configuration()
@@ -156,45 +161,48 @@
 	return f
 }
 
-func TestWorkerIsAskedWhereNobodyTells(t *testing.T) {
+// Guards against avoiding a worker whose warmth is unknown, and against a health query for each
+// request.
+func TestWorkerOfUnknownWarmthIsProbedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := &prober{}
+		asked := &fakeProber{}
 		f := lapsedFixture(t, asked)
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
-		require.Equal(t, 1, asked.asked, "its word lasts")
+		require.Equal(t, 1, asked.asked, "the first result is cached")
 	})
 }
 
-// TestWorkerOfAnotherRegionHasTimeToTell: a connection to it takes a round trip, as does the
-// question.
-func TestWorkerOfAnotherRegionHasTimeToTell(t *testing.T) {
+// Guards against a health timeout that is shorter than the round trips to another region.
+func TestHealthTimeoutAllowsForRoundTrips(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := lapsedFixtureAt(t, "x", &prober{takes: 2*20*time.Millisecond + 10*time.Millisecond})
+		f := lapsedFixtureAt(t, "x", &fakeProber{takes: 2*20*time.Millisecond + 10*time.Millisecond})
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 	})
 }
 
-func TestWorkerThatSaysThatItIsColdGetsNothing(t *testing.T) {
+// Guards against sending to a worker that reported itself cold.
+func TestWorkerProbedColdGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := lapsedFixture(t, &prober{left: time.Second})
+		f := lapsedFixture(t, &fakeProber{left: time.Second})
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
 	})
 }
 
-func TestWorkerThatDoesNotSayGetsNothing(t *testing.T) {
+// Guards against treating a failed health query as warm.
+func TestWorkerThatFailsTheProbeGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := lapsedFixture(t, &prober{err: errReset})
+		f := lapsedFixture(t, &fakeProber{err: errReset})
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
 	})
 }
 
-// TestWarmWorkerThatDeclinedIsWaitedFor: it may have room before the cold ones may be had.
+// Guards against refusing a request at once when a warm worker may soon have capacity again.
 func TestWarmWorkerThatDeclinedIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := coldFixture(t, denies, "a")
+		f, _ := coldFixture(t, lendsNothing, "a")
 		first := true
 		f.worker("warm", func(ctx context.Context, call Call) (*Answer, error) {
 			if first {
--- /dev/null
+++ b/internal/forward/program.go
@@ -0,0 +1,204 @@
+package forward
+
+import (
+	"context"
+	"time"
+
+	"github.com/apex/log"
+
+	"github.com/cloverwheel/cloverwheel/internal/admission"
+	"github.com/cloverwheel/cloverwheel/internal/fault"
+	"github.com/cloverwheel/cloverwheel/internal/route"
+	"github.com/cloverwheel/cloverwheel/internal/standing"
+)
+
+// programState is the state of a turn's program, as used for admission and priority.
+type programState struct {
+	turn       standing.Turn
+	current    standing.Program
+	band       standing.Band
+	known      bool               // turn, current and band are set
+	sending    *admission.Sending // the last send, until its first event; nil: none is tracked
+	sentAt     time.Time          // time of the last send
+	firstEvent time.Duration      // time from the last send to its first event; 0: no event yet
+	verdict    admission.Verdict
+	ask        admission.Ask
+	load       admission.Load
+}
+
+// admitProgram determines the state of the turn's program, and refuses a new program under
+// overload.
+func (x *exchange) admitProgram(ctx context.Context, configuration *route.Configuration, turnNumber int) *fault.Error {
+	if x.options.Standing == nil || !x.request.Timed || x.request.Program == "" {
+		return nil
+	}
+	x.assessProgram(configuration, turnNumber)
+	if x.options.Admission == nil {
+		return nil
+	}
+	s := &x.program
+	s.verdict, s.ask, s.load = x.options.Admission.Decide(x.service, s.current, timeLeft(ctx), time.Now())
+	s.current.Returns = s.ask.Program.Returns
+	x.options.Metrics.Admissions.WithLabelValues(string(s.verdict.Reason)).Inc()
+	if s.verdict.In {
+		return nil
+	}
+	return fault.Newf(fault.Overloaded, "retry after the given delay",
+		"service %q is overloaded and a new program would miss its deadline (%s)", x.service, s.verdict.Reason).
+		WithRetryAfter(s.verdict.After)
+}
+
+// timeLeft returns the time until the deadline of ctx; an hour if it has none.
+func timeLeft(ctx context.Context) time.Duration {
+	deadline, ok := ctx.Deadline()
+	if !ok {
+		return time.Hour
+	}
+	return time.Until(deadline)
+}
+
+// assessProgram determines the state of the turn's program and its priority band.
+func (x *exchange) assessProgram(configuration *route.Configuration, turnNumber int) {
+	turn := standing.Turn{
+		Route:   x.route.Name,
+		Program: x.tenant.Scope(x.request.Program),
+		Urgency: x.route.Priority,
+		Line:    x.request.Line,
+		Begins:  x.home == "" && x.request.Continue == "",
+		Place:   turnNumber,
+		Timed:   true,
+		Finish:  x.request.Finish - time.Since(x.startTime),
+		Hint:    x.request.Hint,
+	}
+	if x.tenant != nil {
+		turn.Tenant = x.tenant.Name
+	}
+	x.program.turn, x.program.known = turn, true
+	x.program.current = x.options.Standing.Begin(turn, time.Now())
+	x.program.band = priorityBand(configuration, x.service, x.route.Priority)
+}
+
+// reportTurn passes the turn's outcome to the estimator.
+func (x *exchange) reportTurn(configuration *route.Configuration, failed bool) {
+	if x.program.known {
+		x.options.Standing.End(x.program.turn, x.turnResult(configuration, failed), time.Now())
+	}
+}
+
+// reportSent reports to admission control that the turn was sent to a worker.
+func (x *exchange) reportSent() {
+	x.program.sentAt = time.Now()
+	if !x.program.known || x.options.Admission == nil || x.headSent {
+		return
+	}
+	whole, first, known := x.options.Standing.Idle(x.route.Name)
+	if known {
+		idle := admission.Idle{First: first, Whole: whole}
+		x.program.sending = x.options.Admission.Sent(x.service, x.program.current, idle, x.program.sentAt)
+	}
+}
+
+// reportFirstEvent reports to admission control that the turn's first event arrived.
+func (x *exchange) reportFirstEvent() {
+	now := time.Now()
+	x.program.firstEvent = now.Sub(x.program.sentAt)
+	if x.program.sending != nil {
+		x.options.Admission.First(x.program.sending, now)
+		x.program.sending = nil
+	}
+}
+
+// reportNoFirstEvent reports to admission control that the last send brought no event.
+func (x *exchange) reportNoFirstEvent() {
+	if x.program.sending != nil {
+		x.options.Admission.Ended(x.program.sending, time.Now())
+		x.program.sending = nil
+	}
+}
+
+// reportDecline reports to admission control that a worker is full.
+func (x *exchange) reportDecline() {
+	if x.program.known && x.options.Admission != nil {
+		x.options.Admission.Declined(x.service, x.route.Priority, time.Now())
+	}
+}
+
+// turnResult describes the turn's outcome.
+func (x *exchange) turnResult(configuration *route.Configuration, failed bool) standing.Took {
+	return standing.Took{
+		Failed: failed,
+		Whole:  time.Since(x.startTime),
+		First:  x.program.firstEvent,
+		Tokens: x.events * configuration.Services[x.service].TokensPerEvent,
+	}
+}
+
+// turnNumber returns the position of the turn in its branch, starting at 1, given the length of
+// its history; 0: unknown.
+func (x *exchange) turnNumber(chain int) int {
+	if !x.route.Retain {
+		return 0
+	}
+	return chain + 1
+}
+
+// Worker priorities: 0 is the most urgent.
+const (
+	lowestPriority   = 9
+	priorityStep     = 2
+	firstTurnPenalty = 1 // programs that are running come before new ones
+)
+
+// priorityBand returns the range of worker priorities for requests of one urgency to a service.
+// It ends before the band of the next less urgent route.
+func priorityBand(configuration *route.Configuration, service string, urgency int) standing.Band {
+	shared := standing.Band{First: min(urgency*priorityStep, lowestPriority), Last: lowestPriority}
+	if next, ok := configuration.LessUrgent(service, urgency); ok {
+		shared.Last = min(next*priorityStep, lowestPriority+1) - 1
+	}
+	shared.Last = max(shared.First, shared.Last)
+	return shared
+}
+
+// priority returns the worker priority of the request; workers admit lower values first.
+func (x *exchange) priority() int {
+	if x.program.known {
+		return x.program.band.Priority(x.program.current)
+	}
+	priority := x.route.Priority * priorityStep
+	if x.home == "" {
+		priority += firstTurnPenalty
+	}
+	return min(priority, lowestPriority)
+}
+
+// addProgramFields adds the state of the program to the request's log line.
+func (x *exchange) addProgramFields(fields log.Fields) {
+	if !x.program.known {
+		return
+	}
+	program := x.program.current
+	slack, _ := program.Slack()
+	fields["class"] = standing.Classify(program).String()
+	fields["slack_ms"] = slack.Milliseconds()
+	fields["needs_ms"] = program.Needs.Milliseconds()
+	fields["turns_left"] = program.Turns
+	fields["priority"] = x.priority()
+	x.addAdmissionFields(fields)
+	if x.program.firstEvent > 0 {
+		fields["first_ms"] = x.program.firstEvent.Milliseconds()
+	}
+}
+
+// addAdmissionFields adds the inputs of the admission decision to the request's log line.
+func (x *exchange) addAdmissionFields(fields log.Fields) {
+	s := &x.program
+	if s.verdict.Reason == "" || s.verdict.Reason == admission.UnderWay {
+		return
+	}
+	load := s.load
+	fields["admission"] = string(s.verdict.Reason)
+	fields["load"] = load.String()
+	fields["ahead"] = s.ask.Ahead
+	fields["pace"] = s.ask.Pace
+}
--- a/internal/forward/standing_test.go
+++ b/internal/forward/program_test.go
@@ -15,7 +15,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/standing"
 )
 
-// serveTurn serves a turn of a program and returns the priority that the worker was told.
+// serveTurn serves a turn of a program and returns the priority sent to the worker.
 func serveTurn(t *testing.T, f *fixture, change func(*Request)) int {
 	priority := -1
 	f.worker("w", func(ctx context.Context, call Call) (*Answer, error) {
@@ -30,8 +30,9 @@
 	return priority
 }
 
-// before puts another route to the same service in force, and a learner in place.
-func (f *fixture) before(turn route.Route, priorities ...int) {
+// setRoutes configures the turn's route and others of the given priorities to the same service,
+// and enables the program estimates.
+func (f *fixture) setRoutes(turn route.Route, priorities ...int) {
 	routes := []route.Route{turn}
 	for _, priority := range priorities {
 		other := turn
@@ -42,36 +43,40 @@
 	f.forwarder.options.Standing = standing.NewLearner()
 }
 
-func TestPriorityOfRequestsWithoutAProgramsTimeIsTheRoutes(t *testing.T) {
+// Guards against a priority other than the route's for requests without a program deadline.
+func TestPriorityWithoutProgramDeadlineIsTheRoutes(t *testing.T) {
 	for urgency, want := range map[int]int{0: 1, 1: 3, 2: 5, 7: 9} {
 		synctest.Test(t, func(t *testing.T) {
 			turn := turnRoute(func(r *route.Route) { r.Retain, r.Priority = true, urgency })
 			f := newFixture(t, turn)
-			f.before(turn, 0, 1, 2)
+			f.setRoutes(turn, 0, 1, 2)
 			require.Equal(t, want, serveTurn(t, f, func(r *Request) { r.ID = "t1" }))
 			require.Equal(t, min(9, 2*urgency), serveTurn(t, f, func(r *Request) { r.ID, r.Continue = "t2", "t1" }))
 		})
 	}
 }
 
-func TestPriorityOfAProgramIsMadeOfUrgencyAndStanding(t *testing.T) {
+// Guards against a wrong order of a route's programs, or one that reaches into the next route's
+// priorities.
+func TestPriorityCombinesUrgencyAndProgramState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		turn := turnRoute(func(r *route.Route) { r.Retain, r.Priority = true, 0 })
 		f := newFixture(t, turn)
-		f.before(turn, 2)
+		f.setRoutes(turn, 2)
 		at := func(id, from string, finish time.Duration) int {
 			return serveTurn(t, f, func(r *Request) { r.ID, r.Continue, r.Timed, r.Finish = id, from, true, finish })
 		}
 		begins := at("t1", "", 2*time.Second)
 		ample := at("t2", "t1", 1900*time.Millisecond)
 		late := at("t3", "t2", 0)
-		require.Less(t, ample, late, "those whose time is lost come after those that can be in time")
-		require.Less(t, late, begins, "programs under way come before new ones")
-		require.Less(t, begins, 2*priorityStep, "which come before all that is less urgent")
+		require.Less(t, ample, late, "programs past their deadline come after those that can meet it")
+		require.Less(t, late, begins, "running programs come before new ones")
+		require.Less(t, begins, 2*priorityStep, "new programs come before those of less urgent routes")
 	})
 }
 
-func TestABandEndsBeforeTheNextLessUrgentOne(t *testing.T) {
+// Guards against overlapping priority bands.
+func TestPriorityBandEndsBeforeTheNextRoutes(t *testing.T) {
 	routes := []route.Route{}
 	for index, priority := range []int{0, 1, 4} {
 		turn := turnRoute(func(r *route.Route) { r.Priority = priority })
@@ -79,15 +84,15 @@
 		routes = append(routes, turn)
 	}
 	configuration := route.New(1, routes, nil, route.Limits{})
-	require.Equal(t, standing.Band{First: 0, Last: 1}, band(configuration, "s", 0))
-	require.Equal(t, standing.Band{First: 2, Last: 7}, band(configuration, "s", 1))
-	require.Equal(t, standing.Band{First: 8, Last: 9}, band(configuration, "s", 4))
-	require.Equal(t, standing.Band{First: 9, Last: 9}, band(configuration, "s", 12))
-	require.Equal(t, standing.Band{First: 0, Last: 9}, band(configuration, "unknown", 0))
+	require.Equal(t, standing.Band{First: 0, Last: 1}, priorityBand(configuration, "s", 0))
+	require.Equal(t, standing.Band{First: 2, Last: 7}, priorityBand(configuration, "s", 1))
+	require.Equal(t, standing.Band{First: 8, Last: 9}, priorityBand(configuration, "s", 4))
+	require.Equal(t, standing.Band{First: 9, Last: 9}, priorityBand(configuration, "s", 12))
+	require.Equal(t, standing.Band{First: 0, Last: 9}, priorityBand(configuration, "unknown", 0))
 }
 
-// overloaded lets the gate see first turns that waited for long.
-func overloaded(gate *admission.Gate, urgency int) {
+// overload reports to the gate first turns with long waits for their first event.
+func overload(gate *admission.Gate, urgency int) {
 	idle := admission.Idle{First: 10 * time.Millisecond, Whole: 100 * time.Millisecond}
 	program := standing.Program{Begins: true, Urgency: urgency}
 	for range 10 {
@@ -95,60 +100,63 @@
 	}
 }
 
-func TestUnderOverloadAProgramIsRefusedBeforeAnythingIsDoneForIt(t *testing.T) {
+// Guards against store calls, sends or delays for a program that is refused under overload.
+func TestOverloadRefusesNewProgramsBeforeAnyWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		turn := turnRoute(retained)
 		f := newFixture(t, turn)
-		f.before(turn)
+		f.setRoutes(turn)
 		f.forwarder.options.Admission = admission.NewGate(nil)
 		f.worker("w", streams(2, 0))
 		begin := func(r *Request) {
 			r.Program, r.Line, r.Timed, r.Finish, r.Budget, r.Output = "p", "main", true, time.Second, 1000, 100
 		}
 		commits, reads := f.table.Calls()
-		overloaded(f.forwarder.options.Admission, 0)
+		overload(f.forwarder.options.Admission, 0)
 		got := f.serve(t.Context(), begin)
 		require.Equal(t, fault.Overloaded, got.refusal.Code)
 		require.Equal(t, fault.RanNo, got.refusal.Ran)
 		require.Positive(t, got.refusal.RetryAfter)
-		require.LessOrEqual(t, got.refusal.RetryAfter, time.Second, "a third of what its client waits")
-		require.Zero(t, got.took, "at once")
+		require.LessOrEqual(t, got.refusal.RetryAfter, time.Second, "a third of the client's deadline")
+		require.Zero(t, got.took, "refused at once")
 		require.Empty(t, f.sent())
 		commitsAfter, readsAfter := f.table.Calls()
-		require.Equal(t, [2]int{commits, reads}, [2]int{commitsAfter, readsAfter}, "and at nobody's cost")
+		require.Equal(t, [2]int{commits, reads}, [2]int{commitsAfter, readsAfter}, "without calls to the store")
 	})
 }
 
-func TestWhoReturnsWhenToldComesBeforeWhoIsNew(t *testing.T) {
+// Guards against a refused program that retries as asked losing to new ones.
+func TestReturningProgramGoesBeforeNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		turn := turnRoute(retained)
 		f := newFixture(t, turn)
-		f.before(turn, 2)
+		f.setRoutes(turn, 2)
 		f.forwarder.options.Admission = admission.NewGate(nil)
 		f.worker("w", streams(2, 0))
 		timed := func(program string) func(*Request) {
 			return func(r *Request) { r.ID, r.Program, r.Timed, r.Finish = program, program, true, time.Second }
 		}
-		overloaded(f.forwarder.options.Admission, 0)
-		told := f.serve(t.Context(), timed("told")).refusal
-		require.NotNil(t, told)
-		time.Sleep(told.RetryAfter)
-		fresh := serveTurn(t, f, timed("new"))
-		require.Less(t, serveTurn(t, f, timed("told")), fresh)
+		overload(f.forwarder.options.Admission, 0)
+		refusal := f.serve(t.Context(), timed("refused")).refusal
+		require.NotNil(t, refusal)
+		time.Sleep(refusal.RetryAfter)
+		newPriority := serveTurn(t, f, timed("new"))
+		require.Less(t, serveTurn(t, f, timed("refused")), newPriority)
 	})
 }
 
-func TestWhatIsUnderWayIsServedUnderOverload(t *testing.T) {
+// Guards against refusing running programs under overload.
+func TestRunningProgramsAreServedUnderOverload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		turn := turnRoute(retained)
 		f := newFixture(t, turn)
-		f.before(turn)
+		f.setRoutes(turn)
 		f.forwarder.options.Admission = admission.NewGate(nil)
 		timed := func(id, from string) func(*Request) {
 			return func(r *Request) { r.ID, r.Continue, r.Timed, r.Finish = id, from, true, 0 }
 		}
 		serveTurn(t, f, timed("t1", ""))
-		overloaded(f.forwarder.options.Admission, 0)
+		overload(f.forwarder.options.Admission, 0)
 		serveTurn(t, f, timed("t2", "t1"))
 	})
 }
--- /dev/null
+++ b/internal/forward/ratelimit.go
@@ -0,0 +1,44 @@
+package forward
+
+import (
+	"context"
+
+	"github.com/cloverwheel/cloverwheel/internal/fault"
+)
+
+// Limits enforces the rate limits of tenants.
+type Limits interface {
+	// Admit counts one request against its tenant's limit. Its error is a *fault.Error:
+	// RateLimited if the limit is reached, Unavailable if the limit's owner cannot be reached.
+	Admit(ctx context.Context, ask LimitRequest) error
+	// Return gives back an admitted request that did not run.
+	Return(tenant string)
+}
+
+// LimitRequest asks to admit one request of a tenant.
+type LimitRequest struct {
+	Tenant  string
+	Program string // program of the request; empty: none
+}
+
+// takeFromLimit counts the request against its tenant's limit. It must run after all other
+// checks: a request that is counted but not sent reduces what the tenant's other requests may
+// use.
+func (x *exchange) takeFromLimit(ctx context.Context) *fault.Error {
+	if x.options.Limits == nil || x.tenant == nil || x.tenant.Limit.Unlimited() {
+		return nil
+	}
+	if err := x.options.Limits.Admit(ctx, LimitRequest{Tenant: x.tenant.Name, Program: x.request.Program}); err != nil {
+		return x.prepareError(ctx, err)
+	}
+	x.limitTaken = true
+	return nil
+}
+
+// returnToLimit gives back what the request took of its tenant's limit, if no worker can have run
+// it.
+func (x *exchange) returnToLimit() {
+	if x.limitTaken && !x.attempts.any() {
+		x.options.Limits.Return(x.tenant.Name)
+	}
+}
--- a/internal/forward/way_test.go
+++ b/internal/forward/region_test.go
@@ -14,8 +14,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/route"
 )
 
-// TestRequestLeavesItsRegionWhenThatIsFull, and its line says why.
-func TestRequestLeavesItsRegionWhenThatIsFull(t *testing.T) {
+// Guards against refusing a request when only its own region is full, and against a log line
+// without the reason for leaving the region.
+func TestRequestLeavesAFullRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, plainRoute(route.Safe, 2))
 		places := locality.NewMap(map[string]string{"z": "a", "b1": "b"})
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -1,7 +1,9 @@
-// Package forward is the life of one request: it finds the route, reserves the
-// program's tokens, reads what was said before, chooses workers, passes the
-// answer on and decides what a failure means. It knows no wire format: a door
-// hands it typed requests and takes typed answers, a Transport speaks to workers.
+// Package forward serves client requests. It finds the route, checks the key, reserves the
+// program's tokens, loads the conversation history, chooses workers, relays their answers and
+// decides whether a failed request is sent again.
+//
+// The package is independent of wire formats: its caller passes typed requests and receives typed
+// answers through a Responder, and a Transport communicates with the workers.
 package forward
 
 import (
@@ -16,80 +18,81 @@
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
-// Request is a client's request, read whole.
+// Request is a client's request with its complete body.
 type Request struct {
 	ID       string
 	Method   string
-	Target   string // path and query as they came
+	Target   string // path and query as received
 	Host     string
 	Path     string
 	Header   http.Header // passed on unchanged
-	Key      tenant.Key  // of the caller; zero: none
+	Key      tenant.Key  // hash of the caller's key; zero: none
 	Body     []byte
-	Deadline time.Duration // how long the client waits; 0: not said
-	Program  string
-	Budget   int // tokens that the program may generate; 0: not said
-	Output   int // most tokens that this turn generates
-	Prompt   int // tokens of its prompt
-	Shared   int // of them, those that other programs share
-	// SharedPart names what they share; empty: nothing.
+	Deadline time.Duration // how long the client waits; 0: unknown
+	Program  string        // ID of the program that the turn belongs to; empty: none
+	Budget   int           // tokens that the program may generate in all; 0: no limit
+	Output   int           // maximum number of tokens that this turn generates
+	Prompt   int           // number of tokens of its prompt
+	Shared   int           // of these, tokens in the prefix shared with other programs
+	// SharedPart names the shared prefix; empty: there is none.
 	SharedPart string
-	// Timed says that Finish was given: it is how long the program may still take before its
-	// caller needs it over, 0 if that time has passed.
+	// Timed reports whether Finish is set: the time left until the program's caller needs it
+	// complete; 0 if that has passed.
 	Timed    bool
 	Finish   time.Duration
-	Line     string // the line of turns within the program that it belongs to; empty: not said
-	Hint     int    // tokens that its caller guesses it will generate; 0: not said
-	Object   string
-	Continue string // turn that this one goes on from; empty at the start
-	Resume   string // last event that the client has; empty at the start
+	Line     string // branch of turns within the program; empty: unknown
+	Hint     int    // the caller's estimate of the tokens to be generated; 0: unknown
+	Object   string // object that the request concerns; requests for one object go to the same worker; empty: none
+	Continue string // turn that this one continues; empty: none
+	Resume   string // ID of the last event that the client has; empty: none
 }
 
-// Call is what a worker is sent.
+// Call is a request as it is sent to a worker.
 type Call struct {
 	Request  *Request
-	Body     []byte
-	Resume   string
-	Priority int
-	Tenant   string        // whose request it is; empty: nobody's
-	Left     time.Duration // until the answer is of no use
+	Body     []byte        // history and request body
+	Resume   string        // ID of the last event that the client has; empty: none
+	Priority int           // 0 is the most urgent
+	Tenant   string        // empty: the request needed no key
+	Left     time.Duration // time left until the deadline; 0: none
 }
 
 // Answer is a worker's answer. Close must be called.
 type Answer struct {
 	Status   int
-	Header   http.Header // to be passed on
-	Length   int64       // of the body; -1: unknown
-	Declined bool        // the worker said that it did not run the request
+	Header   http.Header // passed on to the client
+	Length   int64       // of the body in bytes; -1: unknown
+	Declined bool        // the worker did not run the request
 	Stream   bool        // the body is a stream of events
 	Body     io.Reader
-	// Close ends the exchange; whole says that the body was read to its end.
+	// Close ends the exchange. whole reports whether the body was read to its end, so that the
+	// connection can be reused.
 	Close func(whole bool)
 }
 
-// ErrForeign is an answer that belongs to another request.
-var ErrForeign = errors.New("the worker answered another request; its connection is dropped")
+// ErrForeign reports an answer that belongs to another request.
+var ErrForeign = errors.New("the worker's answer belongs to another request; the connection is closed")
 
-// Transport speaks to workers.
+// Transport sends calls to workers.
 type Transport interface {
-	// Send sends the call. The chain of its error holds httpconn.ErrNotWritten
-	// if the worker has seen nothing of it.
+	// Send sends a call and returns the head of its answer. The error wraps
+	// httpconn.ErrNotWritten if nothing of the call reached the worker.
 	Send(ctx context.Context, worker *backend.Worker, call Call) (*Answer, error)
 }
 
-// Responder takes what the client is told. Exactly one of Answer, Start and
-// Refuse is called first; after Start, Event any number of times, then End or Abort.
+// Responder sends the answer to the client. Exactly one of Answer, Start and Refuse is called
+// first. After Start, Event is called any number of times, then End or Abort once.
 type Responder interface {
-	// Answer sends a worker's whole answer.
+	// Answer sends a worker's complete answer.
 	Answer(status int, header http.Header, body []byte) error
-	// Start sends the head of a worker's stream or long answer; length -1: unknown.
+	// Start sends the head of a stream or long answer; length is in bytes, -1 if unknown.
 	Start(status int, header http.Header, length int64) error
-	// Event passes bytes on at once.
+	// Event sends bytes of the body without delay.
 	Event(raw []byte) error
-	// End ends the answer as complete.
+	// End completes the answer.
 	End()
-	// Abort breaks the connection, so that the answer does not look complete.
+	// Abort breaks the connection, so that the client does not take the answer for complete.
 	Abort()
-	// Refuse sends cloverwheel's own final answer.
+	// Refuse sends an error of cloverwheel's own as the final answer.
 	Refuse(*fault.Error)
 }
--- a/internal/forward/silent_test.go
+++ b/internal/forward/silent_test.go
@@ -20,9 +20,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/route"
 )
 
-// deafWorker answers one request on its first connection, and takes in nothing more there. On
-// later ones it answers all.
-func deafWorker(t *testing.T) (address string, answered *atomic.Int64) {
+// stalledWorker is a worker that answers one request on its first connection and then stops
+// reading from it. It answers all requests on later connections.
+func stalledWorker(t *testing.T) (address string, answered *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
@@ -39,8 +39,8 @@
 			return
 		}
 		t.Cleanup(func() { first.Close() })
-		_ = first.(*net.TCPConn).SetReadBuffer(deafBuffer) // is full at once
-		_, _ = first.Read(make([]byte, deafBuffer))
+		_ = first.(*net.TCPConn).SetReadBuffer(readBufferBytes) // so that it fills up at once
+		_, _ = first.Read(make([]byte, readBufferBytes))
 		answered.Add(1)
 		_, _ = io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		close(deaf)
@@ -51,10 +51,10 @@
 	return listener.Addr().String(), answered
 }
 
-// overPool sends calls over the worker's own connections.
-type overPool struct{ sends atomic.Int64 }
+// poolTransport sends calls over the worker's own connection pool.
+type poolTransport struct{ sends atomic.Int64 }
 
-func (o *overPool) Send(ctx context.Context, worker *backend.Worker, call Call) (*Answer, error) {
+func (o *poolTransport) Send(ctx context.Context, worker *backend.Worker, call Call) (*Answer, error) {
 	o.sends.Add(1)
 	request := &http.Request{Method: http.MethodPost, URL: &url.URL{Opaque: call.Request.Target}, Host: "h", Header: http.Header{},
 		Body: io.NopCloser(bytes.NewReader(call.Body)), ContentLength: int64(len(call.Body))}
@@ -65,12 +65,12 @@
 	return &Answer{Status: got.StatusCode, Header: got.Header, Length: got.ContentLength, Body: got.Body, Close: got.Close}, nil
 }
 
-// silentFixture has a deaf worker, and a route whose requests it answers once.
-func silentFixture(t *testing.T, patient route.Route) (f *fixture, transport *overPool, answered, looks *atomic.Int64) {
-	address, answered := deafWorker(t)
+// silentFixture has a stalled worker that has answered its one request on the first connection.
+func silentFixture(t *testing.T, patient route.Route) (f *fixture, transport *poolTransport, answered, looks *atomic.Int64) {
+	address, answered := stalledWorker(t)
 	patient.Timeout = time.Minute
 	f = newFixture(t, patient)
-	transport, looks = &overPool{}, &atomic.Int64{}
+	transport, looks = &poolTransport{}, &atomic.Int64{}
 	f.forwarder.options.Transport = transport
 	f.forwarder.options.Workers = backend.NewRegistry(backend.Options{Zone: "z", DialTimeout: time.Minute, OnLook: func() { looks.Add(1) }})
 	f.forwarder.options.Workers.Put(backend.Record{ID: "w", Service: "s", Address: address, Zone: "z", Slots: 4})
@@ -78,26 +78,26 @@
 	return f, transport, answered, looks
 }
 
-// deafBuffer is what a deaf worker's kernel takes in, in bytes, beside the 64 KiB for which a new
-// connection has room.
-const deafBuffer = 4 << 10
+// readBufferBytes is the size of the stalled connection's receive buffer. The peer's window for a
+// new connection allows another 64 KiB.
+const readBufferBytes = 4 << 10
 
-// longRequest does not fit into what a deaf worker's kernel takes in, and takes no time to be sent to
-// a worker that reads it.
+// longRequest is larger than the buffers of a stalled connection, and is sent quickly to a worker
+// that reads it.
 func longRequest(r *Request) { r.Deadline, r.Body = time.Minute, make([]byte, 1<<20) }
 
-// TestSafeRequestLeavesASilentConnection: its worker is there, and is asked again at
-// once on a new connection.
-func TestSafeRequestLeavesASilentConnection(t *testing.T) {
+// Guards against waiting for an answer on a dead connection when a safe request can be resent on
+// a new one.
+func TestSafeRequestIsResentOnANewConnection(t *testing.T) {
 	f, transport, answered, looks := silentFixture(t, plainRoute(route.Safe, 1))
 	require.Equal(t, http.StatusOK, f.serve(t.Context(), longRequest).status)
 	require.EqualValues(t, 3, transport.sends.Load())
-	require.EqualValues(t, 2, answered.Load(), "it had not run")
-	require.Less(t, looks.Load(), int64(checksInQueue), "nobody waited as for a worker that hangs")
+	require.EqualValues(t, 2, answered.Load(), "the first send did not run")
+	require.Less(t, looks.Load(), int64(checksInQueue), "it did not wait as long as for a hanging worker")
 }
 
-// TestStreamThatMayNotRunTwiceEndsWithItsSilentConnection: whether it ran is not known.
-func TestStreamThatMayNotRunTwiceEndsWithItsSilentConnection(t *testing.T) {
+// Guards against resending a stream that may not run twice when its connection is dead.
+func TestUnrepeatableStreamFailsOnASilentConnection(t *testing.T) {
 	f, transport, answered, _ := silentFixture(t, turnRoute(nil))
 	got := f.serve(t.Context(), longRequest)
 	require.EqualValues(t, 2, transport.sends.Load(), "it was sent once")
@@ -106,9 +106,8 @@
 	require.Equal(t, fault.RanUnknown, got.refusal.Ran)
 }
 
-// TestSilentConnectionEndsAnUnsafeRequestAtOnce: whether it ran is not known, and the client
-// need not wait for its deadline.
-func TestSilentConnectionEndsAnUnsafeRequestAtOnce(t *testing.T) {
+// Guards against keeping an unsafe request until its deadline when its connection has failed.
+func TestSilentConnectionFailsAnUnsafeRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, plainRoute(route.Unsafe, 3))
 		const bound = 700 * time.Millisecond
--- a/internal/forward/slowclient_test.go
+++ b/internal/forward/slowclient_test.go
@@ -17,10 +17,10 @@
 	"github.com/cloverwheel/cloverwheel/internal/route"
 )
 
-// TestWorkerIsNotBlamedForASlowClient: a client takes an event only after some seconds, and the worker
-// cuts off what is not read. The worker has not failed, nobody looks for it, nothing is sent again, and the
-// client's answer does not look whole.
-func TestWorkerIsNotBlamedForASlowClient(t *testing.T) {
+// Guards against counting a worker failure, checking the worker or resending when the worker
+// closes a stream because the client reads too slowly. The client must see the answer as
+// incomplete.
+func TestSlowClientIsNotAWorkerFailure(t *testing.T) {
 	for name, change := range map[string]func(*route.Route){"resumable": resumable, "not resumable": nil} {
 		for slow, blamed := range map[time.Duration]bool{3 * time.Second: false, 0: true} {
 			t.Run(name, func(t *testing.T) {
@@ -39,11 +39,11 @@
 					f.forwarder.Serve(t.Context(), request, got)
 					require.False(t, got.ended)
 					require.True(t, got.aborted)
-					failed := countOf(f.forwarder.options.Metrics.Failures)
+					failed := counterValue(f.forwarder.options.Metrics.Failures)
 					require.Equal(t, blamed, failed > 0)
 					if !blamed {
 						require.Len(t, f.sent(), 1)
-						require.Zero(t, f.looks())
+						require.Zero(t, f.dialCount())
 					}
 				})
 			})
@@ -51,19 +51,19 @@
 	}
 }
 
-// TestAnswersAreHeldWithinTheMemory: what has no room is passed on as it comes, whole all the same,
-// and what was held is released.
-func TestAnswersAreHeldWithinTheMemory(t *testing.T) {
+// Guards against buffering answers beyond the reserved memory, truncating those that are relayed
+// instead, and leaking reservations.
+func TestAnswerBuffersStayWithinTheMemoryLimit(t *testing.T) {
 	for name, test := range map[string]struct {
 		room   int64
 		length int64
 		held   bool
 	}{
-		"room for it":             {100, 2, true},
-		"no room":                 {1, 2, false},
-		"of unknown length":       {wholeBytes, -1, true},
-		"unknown, and no room":    {wholeBytes - 1, -1, false},
-		"longer than any is held": {1 << 30, wholeBytes + 1, false},
+		"enough memory":                     {100, 2, true},
+		"not enough memory":                 {1, 2, false},
+		"unknown length, enough memory":     {maxBufferedAnswer, -1, true},
+		"unknown length, not enough memory": {maxBufferedAnswer - 1, -1, false},
+		"longer than the buffer limit":      {1 << 30, maxBufferedAnswer + 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, plainRoute(route.Unsafe, 1))
@@ -89,8 +89,9 @@
 	}
 }
 
-// TestAnswerThatBreaksOffIsNeverWhole, be it held or passed on.
-func TestAnswerThatBreaksOffIsNeverWhole(t *testing.T) {
+// Guards against completing the client's answer when the worker's was truncated, buffered or
+// relayed.
+func TestTruncatedAnswerIsNeverComplete(t *testing.T) {
 	for _, room := range []bool{true, false} {
 		f := newFixture(t, plainRoute(route.Unsafe, 1))
 		f.forwarder.options.Admit = func(int64) (func(), bool) { return func() {}, room }
@@ -103,8 +104,8 @@
 	}
 }
 
-// countOf is what a counter counts.
-func countOf(counter prometheus.Counter) float64 {
+// counterValue returns the value of a counter.
+func counterValue(counter prometheus.Counter) float64 {
 	var metric dto.Metric
 	if err := counter.Write(&metric); err != nil {
 		return -1
--- a/internal/forward/steps.go
+++ b/internal/forward/steps.go
@@ -7,27 +7,27 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// step is a part of a turn's time at this node. Each moment of a turn belongs to one step.
+// step is a phase of a turn at this node. At any time a turn is in one step.
 type step int
 
 const (
-	// stepAdmit: whose request it is, whether it may go anywhere, and its tenant's limit.
+	// stepAdmit: authentication, zone and region checks, and the tenant's rate limit.
 	stepAdmit step = iota
-	// stepPrepare: tokens are reserved, and what was said before is read.
+	// stepPrepare: reserving tokens and loading the conversation history.
 	stepPrepare
-	// stepPlace: a worker is chosen, found, and waited for until it has room, also for each further send.
+	// stepPlace: choosing a worker and waiting for capacity, before each send.
 	stepPlace
 	// stepFirstEvent: from a send to the first event that the client does not have yet.
 	stepFirstEvent
-	// stepStream: from there to the stream's end, or to the break after which it is sent again.
+	// stepStream: from that event to the end of the stream, or to the break before the next send.
 	stepStream
-	// stepKeep: the turn is written to the table.
+	// stepKeep: writing the turn to the store.
 	stepKeep
-	steps
+	stepCount
 )
 
-// stepNames are the steps' names in logs and metrics.
-var stepNames = [steps]string{
+// stepNames are the names of the steps in logs and metrics.
+var stepNames = [stepCount]string{
 	stepAdmit:      "admit",
 	stepPrepare:    "prepare",
 	stepPlace:      "place",
@@ -36,34 +36,34 @@
 	stepKeep:       "keep",
 }
 
-// stepClock adds up the time of a turn's steps. Its zero value has not been started.
+// stepClock measures the time that a turn spends in each step. The zero value is a stopped clock.
 type stepClock struct {
-	present step
-	since   time.Time // when the present step began; zero: no step is under way
-	reached [steps]bool
-	spent   [steps]time.Duration
+	current step
+	since   time.Time // start of the current step; zero: the clock is stopped
+	reached [stepCount]bool
+	spent   [stepCount]time.Duration
 }
 
-// enter ends the present step and begins another. The step that is under way goes on.
+// enter switches to another step. It does nothing if that step is already running.
 func (c *stepClock) enter(next step, now time.Time) {
-	if next == c.present && !c.since.IsZero() {
+	if next == c.current && !c.since.IsZero() {
 		return
 	}
 	c.stop(now)
-	c.present, c.since = next, now
+	c.current, c.since = next, now
 	c.reached[next] = true
 }
 
-// stop ends the present step.
+// stop ends the current step.
 func (c *stepClock) stop(now time.Time) {
 	if c.since.IsZero() {
 		return
 	}
-	c.spent[c.present] += now.Sub(c.since)
+	c.spent[c.current] += now.Sub(c.since)
 	c.since = time.Time{}
 }
 
-// addTo adds the time of each step that was reached to a log line, in milliseconds.
+// addTo adds the time of each step that was entered to a log line, in milliseconds.
 func (c *stepClock) addTo(fields log.Fields) {
 	for index, reached := range c.reached {
 		if reached {
@@ -72,10 +72,10 @@
 	}
 }
 
-// stepSeconds are histograms of the steps.
-type stepSeconds [steps]prometheus.Observer
+// stepSeconds are the histograms of step durations.
+type stepSeconds [stepCount]prometheus.Observer
 
-// newStepSeconds registers the histograms.
+// newStepSeconds creates and registers the histograms.
 func newStepSeconds(registry prometheus.Registerer, buckets []float64) (observers stepSeconds) {
 	vector := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: "cloverwheel", Name: "turn_step_seconds", Help: "Time of turns by step.", Buckets: buckets,
@@ -87,7 +87,7 @@
 	return observers
 }
 
-// observe takes in a turn whose clock was stopped.
+// observe records the steps of a stopped clock.
 func (s *stepSeconds) observe(clock *stepClock) {
 	for index, reached := range clock.reached {
 		if reached {
--- a/internal/forward/steps_test.go
+++ b/internal/forward/steps_test.go
@@ -17,25 +17,25 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// slowTable takes its time.
-type slowTable struct {
+// slowStore delays reads and writes.
+type slowStore struct {
 	store.Store
 	read, write time.Duration
 }
 
 // Range implements store.Store.
-func (s slowTable) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
+func (s slowStore) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	time.Sleep(s.read)
 	return s.Store.Range(ctx, table, part, from, to, limit)
 }
 
 // Commit implements store.Store.
-func (s slowTable) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+func (s slowStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	time.Sleep(s.write)
 	return s.Store.Commit(ctx, transaction)
 }
 
-// slowStream sends two events: the first after a while, the second after another.
+// slowStream sends two events, the second after another delay.
 func slowStream(first, second time.Duration) script {
 	return func(context.Context, Call) (*Answer, error) {
 		reader, writer := io.Pipe()
@@ -50,34 +50,35 @@
 	}
 }
 
-// stepLines has a forwarder's lines and metrics told.
-func stepLines(f *fixture) (*memory.Handler, *prometheus.Registry) {
+// captureSteps records a forwarder's log lines and metrics.
+func captureSteps(f *fixture) (*memory.Handler, *prometheus.Registry) {
 	lines, registry := memory.New(), prometheus.NewRegistry()
 	f.forwarder.options.Logger = &log.Logger{Handler: lines, Level: log.InfoLevel}
 	f.forwarder.options.Metrics = NewMetrics(registry)
 	return lines, registry
 }
 
-// stepMilliseconds are the steps in a request's line.
+// stepMilliseconds returns the step times of a request's log line.
 func stepMilliseconds(entry *log.Entry) map[string]int64 {
-	told := map[string]int64{}
+	times := map[string]int64{}
 	for _, name := range stepNames {
 		if spent, ok := entry.Fields.Get(name + "_ms").(int64); ok {
-			told[name] = spent
+			times[name] = spent
 		}
 	}
-	return told
+	return times
 }
 
-// TestTurnTellsWhichStepTookItsTime: in its line, and all of it.
-func TestTurnTellsWhichStepTookItsTime(t *testing.T) {
+// Guards against time of a turn that is missing from its steps or counted twice, in the log and
+// in the metrics.
+func TestStepTimesAddUpToTheTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", slowStream(0, 0))
 		f.serve(t.Context(), func(r *Request) { r.ID = "t1" })
 
-		lines, registry := stepLines(f)
-		f.forwarder.options.History = newHistory(slowTable{Store: f.table, read: 20 * time.Millisecond, write: 40 * time.Millisecond})
+		lines, registry := captureSteps(f)
+		f.forwarder.options.History = newHistory(slowStore{Store: f.table, read: 20 * time.Millisecond, write: 40 * time.Millisecond})
 		f.scripts["w"] = slowStream(70*time.Millisecond, 110*time.Millisecond)
 		got := f.serve(t.Context(), func(r *Request) { r.ID, r.Continue = "t2", "t1" })
 		require.True(t, got.ended)
@@ -88,7 +89,7 @@
 	})
 }
 
-// stepSums are the histograms' sums.
+// stepSums returns the sums of the step histograms.
 func stepSums(t *testing.T, registry *prometheus.Registry) map[string]float64 {
 	families, err := registry.Gather()
 	require.NoError(t, err)
@@ -105,27 +106,28 @@
 	return sums
 }
 
-// TestRefusedTurnTellsHowLongItWaitedForRoom, and nothing of steps that it did not reach.
-func TestRefusedTurnTellsHowLongItWaitedForRoom(t *testing.T) {
+// Guards against a refused turn without its waiting time in the log, or with steps that it did
+// not reach.
+func TestRefusedTurnReportsItsWaitForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(func(r *route.Route) { retained(r); r.Objective = time.Second }))
-		lines, _ := stepLines(f)
+		lines, _ := captureSteps(f)
 		f.worker("full", declines)
 		got := f.serve(t.Context(), nil)
 		require.NotNil(t, got.refusal)
-		told := stepMilliseconds(lines.Entries[len(lines.Entries)-1])
-		require.GreaterOrEqual(t, told["place"], longestHold.Milliseconds())
-		require.Equal(t, got.took.Milliseconds(), told["place"])
-		require.NotContains(t, told, "stream")
-		require.NotContains(t, told, "keep")
+		times := stepMilliseconds(lines.Entries[len(lines.Entries)-1])
+		require.GreaterOrEqual(t, times["place"], maxSelectWait.Milliseconds())
+		require.Equal(t, got.took.Milliseconds(), times["place"])
+		require.NotContains(t, times, "stream")
+		require.NotContains(t, times, "keep")
 	})
 }
 
-// TestResumedTurnAddsUpItsSends: the time of each of them belongs to the same steps.
-func TestResumedTurnAddsUpItsSends(t *testing.T) {
+// Guards against losing the step times of earlier sends of a resumed turn.
+func TestResumedTurnAddsUpStepTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
-		lines, _ := stepLines(f)
+		lines, _ := captureSteps(f)
 		sends := 0
 		f.worker("w", func(ctx context.Context, call Call) (*Answer, error) {
 			sends++
@@ -134,24 +136,25 @@
 		})
 		got := f.serve(t.Context(), nil)
 		require.True(t, got.ended)
-		told := stepMilliseconds(lines.Entries[len(lines.Entries)-1])
-		require.EqualValues(t, 60, told["first_event"])
-		require.Equal(t, resendPause.Milliseconds(), told["place"])
+		times := stepMilliseconds(lines.Entries[len(lines.Entries)-1])
+		require.EqualValues(t, 60, times["first_event"])
+		require.Equal(t, resendDelay.Milliseconds(), times["place"])
 	})
 }
 
-// TestPlainRequestHasNoSteps: it has no turn.
+// Guards against logging turn steps for requests that are not turns.
 func TestPlainRequestHasNoSteps(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, plainRoute(route.Safe, 1))
-		lines, _ := stepLines(f)
+		lines, _ := captureSteps(f)
 		f.worker("w", answers(http.StatusOK, "out"))
 		f.serve(t.Context(), nil)
 		require.Empty(t, stepMilliseconds(lines.Entries[len(lines.Entries)-1]))
 	})
 }
 
-func TestStepGoesOnUntilAnotherBegins(t *testing.T) {
+// Guards against losing time when a step is entered twice or the clock is stopped twice.
+func TestStepLastsUntilTheNextBegins(t *testing.T) {
 	begun := time.Now()
 	at := func(milliseconds time.Duration) time.Time { return begun.Add(milliseconds * time.Millisecond) }
 	var clock stepClock
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	// streamStall is how long a stream may be silent before it is looked whether
-	// its worker is still there.
-	streamStall = 200 * time.Millisecond
-	// resendPause is the pause before a request goes to the same worker again,
-	// growing with each time.
-	resendPause = 15 * time.Millisecond
+	// streamSilence is how long a stream may be silent before the node checks whether its worker
+	// still accepts connections.
+	streamSilence = 200 * time.Millisecond
+	// resendDelay, times the number of sends so far, is the delay before the request is sent
+	// again after a failure.
+	resendDelay = 15 * time.Millisecond
 )
 
-// unknownLength is the length of a stream: it may be taken up by another worker.
+// unknownLength is the length of every stream, since another worker may resume it.
 const unknownLength = -1
 
-// errClient is a client that no longer takes what it is sent.
-var errClient = errors.New("the client left")
+// errClientGone reports that the client no longer accepts data.
+var errClientGone = errors.New("the client disconnected")
 
-// errSlowClient is a stream that its worker broke off after its client had not taken what came for
-// slowClient or longer: workers cut off answers that are not read for some seconds.
-var errSlowClient = errors.New("the client takes its answer too slowly, and the worker cut it off")
+// errSlowClient reports that the worker closed a stream after the client had blocked it for
+// slowClientDelay or longer. Workers close connections that are not read for some seconds.
+var errSlowClient = errors.New("the client read the answer too slowly, and the worker closed the connection")
 
-// slowClient is how long a client must have kept the node from reading for that. Workers wait for
-// some seconds; an event is usually taken in well below a millisecond.
-const slowClient = time.Second
+// slowClientDelay is the least write time of an event after which a broken stream is attributed
+// to the client. Workers wait for several seconds; an event is usually written in well below a
+// millisecond.
+const slowClientDelay = time.Second
 
-// stream passes a worker's events on until their proper end. Where the route
-// allows it, a stream that breaks is taken up again after the last event.
-func (x *exchange) stream(ctx context.Context, perEvent int) *fault.Error {
+// serveStream relays a worker's events until the proper end of the stream. If the route allows
+// it, a broken stream is resumed after the last event.
+func (x *exchange) serveStream(ctx context.Context, perEvent int) *fault.Error {
 	x.clock.enter(stepPlace, time.Now())
 	for x.sends < maxSends {
-		worker, refusal := x.choose(ctx)
+		worker, refusal := x.chooseWorker(ctx)
 		if refusal != nil {
 			return refusal
 		}
@@ -51,75 +52,76 @@
 			return refusal
 		}
 		if !cleared {
-			x.leavePlace()
+			x.releaseSlot()
 			continue
 		}
 		done, refusal := x.tryStream(ctx, worker, perEvent)
-		x.leavePlace()
+		x.releaseSlot()
 		if done {
 			return refusal
 		}
 		x.clock.enter(stepPlace, time.Now())
-		x.pauseBeforeResend(ctx)
+		x.delayResend(ctx)
 		if ctx.Err() != nil {
-			return x.ended(ctx)
+			return x.endedError(ctx)
 		}
 	}
-	return x.exhausted()
+	return x.exhaustedError()
 }
 
-func (x *exchange) pauseBeforeResend(ctx context.Context) {
+func (x *exchange) delayResend(ctx context.Context) {
 	if len(x.attempts.counted) == 0 {
 		return
 	}
-	_ = wait.For(ctx, time.Duration(x.sends)*resendPause)
+	_ = wait.For(ctx, time.Duration(x.sends)*resendDelay)
 }
 
-// tryStream asks one worker. done means that nothing more is to be asked.
+// tryStream sends the request to one worker. If done, the request is over; otherwise it may be
+// sent again.
 func (x *exchange) tryStream(ctx context.Context, worker *backend.Worker, perEvent int) (done bool, refusal *fault.Error) {
 	defer worker.Begin()()
-	limited, dog := x.watch(ctx, worker, streamStall, false)
-	defer dog.stop()
+	limited, watcher := x.watch(ctx, worker, streamSilence, false)
+	defer watcher.stop()
 	x.clock.enter(stepFirstEvent, time.Now())
-	defer x.noteNoFirst()
+	defer x.reportNoFirstEvent()
 	answer, err := x.send(limited, worker)
 	if err != nil {
-		return x.failed(ctx, limited, worker, err)
+		return x.handleFailure(ctx, limited, worker, err)
 	}
 	defer answer.Close(false)
 	if answer.Declined {
-		return x.declined(worker, answer), nil
+		return x.handleDecline(worker, answer), nil
 	}
-	x.mayHaveRun(worker)
+	x.recordAttempt(worker)
 	if answer.Status != http.StatusOK || !answer.Stream {
-		return x.otherAnswer(ctx, limited, worker, answer)
+		return x.handleNonStream(ctx, limited, worker, answer)
 	}
-	err = x.passEvents(worker, dog, answer, perEvent)
+	err = x.relayEvents(worker, watcher, answer, perEvent)
 	switch {
 	case err == nil:
 		answer.Close(true)
 		return true, nil
-	case errors.Is(err, errClient):
-		return true, x.ended(ctx)
+	case errors.Is(err, errClientGone):
+		return true, x.endedError(ctx)
 	case errors.Is(err, errSlowClient):
-		x.noteTried(worker, "unread")
-		return true, fault.New(fault.DeadlinePassed, errSlowClient.Error(), "read faster, or send the request again if it may be repeated").WithRan(fault.RanUnknown)
+		x.recordSendFailure(worker, "unread")
+		return true, fault.New(fault.DeadlinePassed, errSlowClient.Error(), "read the answer faster, or send the request again if it may be repeated").WithRan(fault.RanUnknown)
 	default:
-		return x.failed(ctx, limited, worker, err)
+		return x.handleFailure(ctx, limited, worker, err)
 	}
 }
 
-// otherAnswer handles an answer that is no stream.
-func (x *exchange) otherAnswer(ctx, limited context.Context, worker *backend.Worker, answer *Answer) (bool, *fault.Error) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeBytes))
+// handleNonStream handles an answer that is not a stream.
+func (x *exchange) handleNonStream(ctx, limited context.Context, worker *backend.Worker, answer *Answer) (bool, *fault.Error) {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedAnswer))
 	if err != nil {
-		return x.failed(ctx, limited, worker, err)
+		return x.handleFailure(ctx, limited, worker, err)
 	}
 	answer.Close(true)
 	failure := answer.Status >= http.StatusInternalServerError
 	if failure {
 		worker.Broke(time.Now())
-		x.noteTried(worker, strconv.Itoa(answer.Status))
+		x.recordSendFailure(worker, strconv.Itoa(answer.Status))
 	}
 	if failure && x.route.Repeatable() && x.sends < maxSends {
 		if x.mayRunElsewhere() {
@@ -127,56 +129,56 @@
 		}
 		return false, nil
 	}
-	if x.started {
-		return true, x.exhausted()
+	if x.headSent {
+		return true, x.exhaustedError()
 	}
-	if refusal := x.whole(answer, body); refusal != nil {
+	if refusal := x.writeAnswer(answer, body); refusal != nil {
 		return true, refusal
 	}
-	return true, fault.New(fault.EngineFailed, "the worker answered without a stream", "see the worker's own answer").WithRan(fault.RanYes)
+	return true, fault.New(fault.EngineFailed, "the worker's answer is not a stream", "see the worker's answer for its reason").WithRan(fault.RanYes)
 }
 
-// passEvents passes whole events on until the stream's proper end.
-func (x *exchange) passEvents(worker *backend.Worker, dog *watchdog, answer *Answer, perEvent int) error {
+// relayEvents relays complete events until the proper end of the stream.
+func (x *exchange) relayEvents(worker *backend.Worker, watcher *watchdog, answer *Answer, perEvent int) error {
 	reader := eventstream.NewReader(answer.Body)
-	var before time.Time
-	var took time.Duration // until the client had taken the event before
+	var previous time.Time
+	var writeTime time.Duration // of the previous event to the client
 	for {
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			worker.Answered()
-			return x.start(answer)
+			return x.sendHead(answer)
 		}
-		if err != nil && took >= slowClient {
+		if err != nil && writeTime >= slowClientDelay {
 			return errors.Join(errSlowClient, err)
 		}
 		if err != nil {
 			return err
 		}
-		dog.heard()
-		if x.has(event) {
+		watcher.received()
+		if x.clientHas(event) {
 			continue
 		}
-		came := time.Now()
-		x.clock.enter(stepStream, came)
-		dog.passing.Store(true)
-		err = x.passEvent(answer, event)
+		receivedAt := time.Now()
+		x.clock.enter(stepStream, receivedAt)
+		watcher.relaying.Store(true)
+		err = x.relayEvent(answer, event)
 		now := time.Now()
-		dog.taken(now)
+		watcher.delivered(now)
 		if err != nil {
 			return err
 		}
-		took = now.Sub(came)
-		if !before.IsZero() && perEvent > 0 {
-			worker.Paced(now.Sub(before) / time.Duration(perEvent))
+		writeTime = now.Sub(receivedAt)
+		if !previous.IsZero() && perEvent > 0 {
+			worker.Paced(now.Sub(previous) / time.Duration(perEvent))
 		}
-		before = now
+		previous = now
 	}
 }
 
-// has reports whether the client has the event already: ids rise.
-func (x *exchange) has(event eventstream.Event) bool {
-	last, err := strconv.ParseUint(x.lastEvent, 10, 64)
+// clientHas reports whether the client already has the event. Event IDs are ascending numbers.
+func (x *exchange) clientHas(event eventstream.Event) bool {
+	last, err := strconv.ParseUint(x.lastEventID, 10, 64)
 	if err != nil {
 		return false
 	}
@@ -184,22 +186,22 @@
 	return err == nil && id <= last
 }
 
-// start passes the head of the first worker's answer on, once.
-func (x *exchange) start(answer *Answer) error {
-	if x.started {
+// sendHead sends the head of the answer to the client, once per request.
+func (x *exchange) sendHead(answer *Answer) error {
+	if x.headSent {
 		return nil
 	}
-	x.started = true
-	x.noteFirst()
-	x.options.Metrics.FirstEvent.Observe(time.Since(x.begun).Seconds())
+	x.headSent = true
+	x.reportFirstEvent()
+	x.options.Metrics.FirstEvent.Observe(time.Since(x.startTime).Seconds())
 	if err := x.out.Start(answer.Status, answer.Header, unknownLength); err != nil {
-		return errClient
+		return errClientGone
 	}
 	return nil
 }
 
-func (x *exchange) passEvent(answer *Answer, event eventstream.Event) error {
-	if err := x.start(answer); err != nil {
+func (x *exchange) relayEvent(answer *Answer, event eventstream.Event) error {
+	if err := x.sendHead(answer); err != nil {
 		return err
 	}
 	x.events++
@@ -207,10 +209,10 @@
 		x.output = append(append(x.output, event.Data...), '\n')
 	}
 	if len(event.ID) > 0 {
-		x.lastEvent = string(event.ID)
+		x.lastEventID = string(event.ID)
 	}
 	if err := x.out.Event(event.Raw); err != nil {
-		return errClient
+		return errClientGone
 	}
 	return nil
 }
--- a/internal/forward/turn.go
+++ b/internal/forward/turn.go
@@ -14,22 +14,21 @@
 	"github.com/cloverwheel/cloverwheel/internal/route"
 )
 
-// A turn waits for the table for a share of the time that it has, and is then
-// refused with enough time left to come back. No client waits longer than a
-// third of its time before it does.
+// A turn waits for the store for a share of its remaining time, and is then refused early enough
+// for the client to retry within its deadline. The retry delay is a share of the time left then.
 const (
-	tableWaitShare    = 0.38
-	longestTableWait  = 900 * time.Millisecond
-	tableRetryShare   = 0.3
-	longestTableRetry = 900 * time.Millisecond
-	// isolatedWait is what some questions to nodes of the own zone take.
+	storeWaitShare  = 0.38
+	maxStoreWait    = 900 * time.Millisecond
+	storeRetryShare = 0.3
+	maxStoreRetry   = 900 * time.Millisecond
+	// isolatedWait is the wait of an isolated node, which can reach only nodes of its own zone.
 	isolatedWait = 100 * time.Millisecond
 )
 
-// turn serves a request that is answered by a stream of events.
-func (x *exchange) turn(ctx context.Context, configuration *route.Configuration) *fault.Error {
+// serveTurn serves a request whose answer is a stream of events.
+func (x *exchange) serveTurn(ctx context.Context, configuration *route.Configuration) *fault.Error {
 	refusal := x.runTurn(ctx, configuration)
-	x.leave(configuration, refusal != nil)
+	x.reportTurn(configuration, refusal != nil)
 	if refusal != nil {
 		return refusal
 	}
@@ -37,16 +36,17 @@
 	return nil
 }
 
-// runTurn passes a turn's answer on, up to its end, and keeps it.
+// runTurn prepares a turn, relays its answer and stores it. It does not complete the client's
+// answer.
 func (x *exchange) runTurn(ctx context.Context, configuration *route.Configuration) *fault.Error {
-	if x.beginsKept() {
-		x.service = x.serviceOfTurn()
-		if refusal := x.enter(ctx, configuration, 1); refusal != nil {
+	if x.startsRetainedProgram() {
+		x.service = x.chooseService()
+		if refusal := x.admitProgram(ctx, configuration, 1); refusal != nil {
 			return refusal
 		}
 	}
 	x.clock.enter(stepPrepare, time.Now())
-	reservation, chain, refusal := x.prepare(ctx)
+	reservation, chain, refusal := x.prepareTurn(ctx)
 	if refusal != nil {
 		return refusal
 	}
@@ -58,63 +58,64 @@
 	if reservation != nil && x.home == "" {
 		x.home = reservation.Home
 	}
-	x.findWorkers(ctx)
+	x.lookUpWorkers(ctx)
 	if x.service == "" || x.home != "" {
-		x.service = x.serviceOfTurn()
+		x.service = x.chooseService()
 	}
 	perEvent := configuration.Services[x.service].TokensPerEvent
 	x.clock.enter(stepAdmit, time.Now())
-	if !x.standing.known {
-		refusal = x.enter(ctx, configuration, x.placeOf(len(chain)))
+	if !x.program.known {
+		refusal = x.admitProgram(ctx, configuration, x.turnNumber(len(chain)))
 	}
 	if refusal == nil {
-		refusal = x.admit(ctx)
+		refusal = x.takeFromLimit(ctx)
 	}
 	if refusal == nil {
-		refusal = x.stream(ctx, perEvent)
+		refusal = x.serveStream(ctx, perEvent)
 	}
 	if reservation != nil {
-		x.drawn, x.handed, x.located = reservation.Drawn, reservation.Handed, reservation.Located
-		x.granted = reservation.Granted
+		x.budgetDrawn, x.budgetHandedOver, x.budgetLocated = reservation.Drawn, reservation.Handed, reservation.Located
+		x.budgetGranted = reservation.Granted
 		reservation.Settle(x.events*perEvent, x.homeAfter())
 	}
 	if refusal != nil {
 		return refusal
 	}
-	if refusal = x.keep(ctx, chain); refusal != nil {
+	if refusal = x.storeTurn(ctx, chain); refusal != nil {
 		return refusal
 	}
 	if x.route.Retain && reservation != nil {
-		x.noteRan(reservation.Others)
+		x.recordRun(reservation.Others)
 	}
 	return nil
 }
 
-// beginsKept reports whether the turn is known to go on from nothing before anything is read or
-// reserved for it: a refusal costs nobody a call then.
-func (x *exchange) beginsKept() bool { return x.route.Retain && x.request.Continue == "" }
+// startsRetainedProgram reports whether the turn is known to have no history before anything is
+// loaded or reserved for it. Admission can then refuse it at no cost.
+func (x *exchange) startsRetainedProgram() bool { return x.route.Retain && x.request.Continue == "" }
 
-// homeAfter is where the program's context lies after the turn.
+// homeAfter returns the worker that holds the program's context after the turn; empty: no event
+// was relayed.
 func (x *exchange) homeAfter() string {
 	if x.events == 0 {
 		return ""
 	}
-	return x.worker
+	return x.lastWorker
 }
 
-// prepare reserves the turn's tokens and reads what was said before, at the
-// same time. Nothing stays reserved if it fails.
-func (x *exchange) prepare(ctx context.Context) (*budget.Reservation, []*history.Turn, *fault.Error) {
+// prepareTurn reserves the turn's tokens and loads its history concurrently. If it fails, nothing
+// stays reserved.
+func (x *exchange) prepareTurn(ctx context.Context) (*budget.Reservation, []*history.Turn, *fault.Error) {
 	var reservation *budget.Reservation
 	var chain []*history.Turn
-	waiting, cancel := context.WithTimeout(ctx, x.tableWait(ctx))
+	waiting, cancel := context.WithTimeout(ctx, x.prepareTimeout(ctx))
 	defer cancel()
 	group, waiting := errgroup.WithContext(waiting)
 	holders := make(chan []budget.Holder, 1)
-	name := func(others []budget.Holder) {
+	publishHolders := func(others []budget.Holder) {
 		select {
 		case holders <- others:
-		default: // they were named before
+		default: // already published
 		}
 	}
 	if x.request.Budget > 0 && x.request.Program != "" {
@@ -125,10 +126,10 @@
 				Tokens:    x.request.Output,
 				Continues: x.request.Continue != "",
 				Kept:      x.route.Retain,
-				Named:     name,
+				Named:     publishHolders,
 			})
 			if err == nil {
-				name(reservation.Others)
+				publishHolders(reservation.Others)
 			}
 			return err
 		})
@@ -138,7 +139,7 @@
 	}
 	if x.route.Retain && x.request.Continue != "" {
 		group.Go(func() (err error) {
-			chain, err = x.chain(locality.WithContent(waiting, x.regions()), holders)
+			chain, err = x.loadHistory(locality.WithContent(waiting, x.allowedRegions()), holders)
 			return err
 		})
 	}
@@ -149,41 +150,41 @@
 	if reservation != nil {
 		reservation.Settle(0, "")
 	}
-	return nil, nil, x.notPrepared(ctx, err)
+	return nil, nil, x.prepareError(ctx, err)
 }
 
-// tableWait is how long the turn waits for its tokens and for what was said before. Only
-// nodes of its zone can help a node that is isolated, and they answer at once.
-func (x *exchange) tableWait(ctx context.Context) time.Duration {
+// prepareTimeout returns how long the turn waits for its tokens and its history. An isolated node
+// waits less, because only nearby nodes can respond.
+func (x *exchange) prepareTimeout(ctx context.Context) time.Duration {
 	if x.options.Isolated != nil && x.options.Isolated() {
 		return isolatedWait
 	}
-	return shareOfLeft(ctx, tableWaitShare, longestTableWait)
+	return shareOfDeadline(ctx, storeWaitShare, maxStoreWait)
 }
 
-func (x *exchange) notPrepared(ctx context.Context, err error) *fault.Error {
+func (x *exchange) prepareError(ctx context.Context, err error) *fault.Error {
 	if errors.Is(err, history.ErrNoTurn) {
-		return fault.Newf(fault.NotFound, "start a new program", "there is no turn %q", x.request.Continue)
+		return fault.Newf(fault.NotFound, "start a new program", "turn %q does not exist or has expired", x.request.Continue)
 	}
 	if ctx.Err() != nil {
-		return x.ended(ctx)
+		return x.endedError(ctx)
 	}
 	if fault.Is(err, fault.BudgetExhausted) || fault.Is(err, fault.RateLimited) {
 		return fault.From(err)
 	}
-	retry := shareOfLeft(ctx, tableRetryShare, longestTableRetry)
+	retry := shareOfDeadline(ctx, storeRetryShare, maxStoreRetry)
 	if typed := new(fault.Error); errors.As(err, &typed) {
 		if typed.RetryAfter > 0 {
 			return typed
 		}
 		return typed.WithRetryAfter(retry)
 	}
-	return fault.Newf(fault.Unavailable, "come back after the time given",
-		"the turn's history cannot be read now: %v", err).WithRetryAfter(retry)
+	return fault.Newf(fault.Unavailable, "retry after the given delay",
+		"the turn's history cannot be read: %v", err).WithRetryAfter(retry)
 }
 
-// shareOfLeft is a share of the time that ctx leaves, at most longest.
-func shareOfLeft(ctx context.Context, share float64, longest time.Duration) time.Duration {
+// shareOfDeadline returns a share of the time until the deadline of ctx, at most longest.
+func shareOfDeadline(ctx context.Context, share float64, longest time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return longest
@@ -191,9 +192,9 @@
 	return min(longest, time.Duration(share*float64(time.Until(deadline))))
 }
 
-// serviceOfTurn stays with the service that holds the context, if the route
-// still leads there.
-func (x *exchange) serviceOfTurn() string {
+// chooseService returns the service whose worker holds the program's context, if the route still
+// uses it. Otherwise it draws a service by weight.
+func (x *exchange) chooseService() string {
 	if x.home != "" {
 		for _, target := range x.route.Targets {
 			if target.Weight > 0 && x.options.Workers.Has(target.Service, x.home) {
@@ -204,8 +205,8 @@
 	return x.route.Service(x.route.Draw())
 }
 
-// keep makes a turn durable. Until it is, its answer must not end as complete.
-func (x *exchange) keep(ctx context.Context, chain []*history.Turn) *fault.Error {
+// storeTurn writes the turn to the store. The client's answer must not be completed before that.
+func (x *exchange) storeTurn(ctx context.Context, chain []*history.Turn) *fault.Error {
 	if !x.route.Retain {
 		return nil
 	}
@@ -214,14 +215,14 @@
 		ID:     x.tenant.Scope(x.request.ID),
 		Input:  x.request.Body,
 		Output: x.output,
-		Worker: x.worker,
+		Worker: x.lastWorker,
 	}
 	for _, earlier := range chain {
 		turn.Ancestors = append(turn.Ancestors, earlier.ID)
 	}
-	if err := x.options.History.Keep(locality.WithContent(ctx, x.regions()), turn, chain, x.route.Retention); err != nil {
-		x.options.Metrics.Unkept.Inc()
-		return fault.Newf(fault.Unavailable, "send the turn again", "the turn could not be kept: %v", err).WithRan(fault.RanYes)
+	if err := x.options.History.Keep(locality.WithContent(ctx, x.allowedRegions()), turn, chain, x.route.Retention); err != nil {
+		x.options.Metrics.UnsavedTurns.Inc()
+		return fault.Newf(fault.Unavailable, "send the turn again", "the turn could not be stored: %v", err).WithRan(fault.RanYes)
 	}
 	return nil
 }
--- a/internal/forward/turn_test.go
+++ b/internal/forward/turn_test.go
@@ -28,6 +28,7 @@
 
 func retained(r *route.Route) { r.Retain = true }
 
+// Guards against changing a worker's stream on its way to the client.
 func TestStreamIsPassedOnByteForByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(nil))
@@ -35,23 +36,24 @@
 		got := f.serve(t.Context(), nil)
 		require.Equal(t, events(5), got.body.String())
 		require.True(t, got.ended)
-		require.Equal(t, 1, got.finals)
+		require.Equal(t, 1, got.finalAnswers)
 	})
 }
 
-// A client that has all events but not the end asks for what comes after the
-// last one: the worker's head, and nothing more.
-func TestStreamWithoutEventsKeepsItsHead(t *testing.T) {
+// Guards against an empty answer to a client that resumes after the last event: it still gets the
+// head and a proper end.
+func TestStreamWithoutEventsStillSendsItsHead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
 		f.worker("w", streams(3, 0))
 		got := f.serve(t.Context(), func(r *Request) { r.Resume = "3" })
-		require.Equal(t, http.StatusOK, got.status, "the head is passed on")
+		require.Equal(t, http.StatusOK, got.status, "the head is sent")
 		require.True(t, got.ended)
 		require.Empty(t, got.body.String())
 	})
 }
 
+// Guards against missing or repeated events when a stream is resumed.
 func TestBrokenStreamIsResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
@@ -70,7 +72,8 @@
 	})
 }
 
-func TestBrokenStreamThatMayNotBeResumedLooksBroken(t *testing.T) {
+// Guards against a broken stream that looks complete, or is sent again without permission.
+func TestUnresumableBrokenStreamIsAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(9, 3))
@@ -81,13 +84,14 @@
 	})
 }
 
-func TestTurnGoesOnFromAnEarlierOne(t *testing.T) {
+// Guards against a wrong history, in particular at a node that has none of it cached.
+func TestTurnContinuesAnEarlierOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
 		f.serve(t.Context(), func(r *Request) { r.ID, r.Body = "t1", []byte("one;") })
 		f.serve(t.Context(), func(r *Request) { r.ID, r.Body, r.Continue = "t2", []byte("two;"), "t1" })
-		// Another node, which knows nothing, goes on from both.
+		// Another node without a cache continues from t2 twice.
 		other := newFixture(t, turnRoute(retained))
 		other.table = f.table
 		other.forwarder.options.History = newHistory(f.table)
@@ -102,7 +106,8 @@
 	})
 }
 
-func TestUnknownTurnIsNotFoundOnlyByTheTablesWord(t *testing.T) {
+// Guards against reporting a turn as missing while the store cannot be read.
+func TestTurnIsNotFoundOnlyIfTheStoreSaysSo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
@@ -114,13 +119,14 @@
 			require.Equal(t, fault.Unavailable, got.refusal.Code)
 			require.Equal(t, fault.RanNo, got.refusal.Ran)
 			require.Positive(t, got.refusal.RetryAfter)
-			require.Less(t, got.took, 1200*time.Millisecond, "refused with time left to come back")
+			require.Less(t, got.took, 1200*time.Millisecond, "refused early enough for a retry")
 		}
 		require.Empty(t, f.sent())
 	})
 }
 
-func TestTurnIsNotWholeBeforeItIsDurable(t *testing.T) {
+// Guards against completing an answer whose turn was not stored.
+func TestTurnIsNotCompleteBeforeItIsStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(3, 0))
@@ -131,18 +137,19 @@
 			return storetest.None
 		})
 		got := f.serve(t.Context(), nil)
-		require.Equal(t, events(3), got.body.String(), "events do not wait for the table")
+		require.Equal(t, events(3), got.body.String(), "events do not wait for the store")
 		require.False(t, got.ended)
 		require.True(t, got.aborted)
 	})
 }
 
-func TestSpentBudgetRunsNothing(t *testing.T) {
+// Guards against running turns after the program has spent its budget.
+func TestSpentBudgetRefusesTheTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(nil))
-		f.worker("w", streams(5, 0)) // 50 tokens
+		f.worker("w", streams(5, 0)) // uses 50 tokens
 		turn := func(r *Request) { r.Program, r.Budget, r.Output = "p", 120, 60 }
-		for range 3 { // the third reaches past the budget: 150 tokens, and 179 are allowed
+		for range 3 { // the third exceeds the budget: 150 tokens, and up to 179 are allowed
 			require.True(t, f.serve(t.Context(), turn).ended)
 		}
 		got := f.serve(t.Context(), turn)
@@ -154,7 +161,9 @@
 	})
 }
 
-func TestTurnWithoutTheTableIsRefusedUnrun(t *testing.T) {
+// Guards against running a turn without reserved tokens, and against refusing it too late for a
+// retry.
+func TestTurnIsRefusedWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
 		f.worker("w", streams(5, 0))
@@ -166,11 +175,12 @@
 		require.Less(t, got.took, 3*time.Second/2)
 		require.Empty(t, f.sent())
 		f.table.SetFault(nil)
-		time.Sleep(5 * time.Minute) // what the draw may have done is settled
+		time.Sleep(5 * time.Minute) // until the pending draw is settled
 	})
 }
 
-func TestProgramStaysWhereItsContextIs(t *testing.T) {
+// Guards against moving a program away from the worker that holds its context.
+func TestProgramStaysAtItsWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
 		for _, id := range []string{"w1", "w2", "w3", "w4"} {
@@ -188,9 +198,9 @@
 	})
 }
 
-// TestForgottenRequestIsSentAgainSoon: a worker that answers later requests has
-// forgotten an earlier one.
-func TestForgottenRequestIsSentAgainSoon(t *testing.T) {
+// Guards against waiting for a request that the worker has lost: it answers requests that were
+// sent later.
+func TestLostRequestIsResentSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
 		f.reachable = true
@@ -207,9 +217,9 @@
 	})
 }
 
-// TestQueuedRequestKeepsItsPlace: a worker that answers nothing later may have
-// this request in its queue; sending it again would put it at the end.
-func TestQueuedRequestKeepsItsPlace(t *testing.T) {
+// Guards against resending a request that may be in the worker's queue, which would move it to
+// the end.
+func TestQueuedRequestIsNotResent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
 		f.reachable = true
@@ -227,9 +237,9 @@
 	})
 }
 
-// TestRepeatedEventsAreNotPassedOnTwice: a worker that begins an answer anew gives
-// the client nothing that it has.
-func TestRepeatedEventsAreNotPassedOnTwice(t *testing.T) {
+// Guards against sending the client events twice when a worker restarts the stream from its
+// beginning.
+func TestRepeatedEventsAreSentOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
 		calls := 0
