--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -16,152 +16,154 @@
 )
 
 var (
-	errUnreachable = errors.New("the worker fell silent and takes no connections")
-	errStalled     = errors.New("the worker takes connections but does not answer")
-	errSilent      = fmt.Errorf("the worker takes new connections but nothing of this one: %w", httpconn.ErrSilent)
+	errUnreachable = errors.New("the worker is silent and accepts no connections")
+	errStalled     = errors.New("the worker accepts connections but does not answer")
+	errSilent      = fmt.Errorf("the worker accepts new connections but this one is dead: %w", httpconn.ErrSilent)
 )
 
 const (
-	// checkTimeout bounds the connection that tells a slow worker from a dead one.
-	checkTimeout = 150 * time.Millisecond
-	// A request is taken away from a worker that takes connections after so many
-	// checks: soon if the worker answers later ones before it, late if it may be
-	// waiting its turn there.
+	// dialCheckTimeout limits the test connection that distinguishes a slow worker from an
+	// unreachable one.
+	dialCheckTimeout = 150 * time.Millisecond
+	// A request is taken from a worker that accepts connections but does not answer after this
+	// many checks: early if the worker already answers requests that were sent later, late if the
+	// request may be waiting in its queue.
 	checksIfOvertaken = 3
 	checksInQueue     = 9
 )
 
-// patienceRange is how much longer than its least the wait for a silent worker may
-// be, where the workers of its service are usually silent for long.
-const patienceRange = 8
+// maxSilenceFactor limits the silence timeout to a multiple of its minimum, for services whose
+// workers are usually silent for long.
+const maxSilenceFactor = 8
 
-// unreachable is a worker to which no connection came up in several tries in a row.
-type unreachable struct {
-	since time.Time // when the first of them was made
-	last  error     // why the last one failed
+// unreachableError reports a worker to which several connections in a row failed.
+type unreachableError struct {
+	since time.Time // start of the first failed connection
+	last  error     // error of the last one
 }
 
 // Error implements error.
-func (u *unreachable) Error() string {
-	return fmt.Sprintf("%v, first tried %d ms ago: %v", errUnreachable, time.Since(u.since).Milliseconds(), u.last)
+func (u *unreachableError) Error() string {
+	return fmt.Sprintf("%v, first failed %d ms ago: %v", errUnreachable, time.Since(u.since).Milliseconds(), u.last)
 }
 
-// Unwrap makes it an errUnreachable.
-func (u *unreachable) Unwrap() error { return errUnreachable }
+// Unwrap makes the error match errUnreachable.
+func (u *unreachableError) Unwrap() error { return errUnreachable }
 
-// watchdog ends an exchange with a worker that has fallen silent.
+// watchdog cancels an exchange with a worker that has become silent.
 type watchdog struct {
-	logger   log.Interface // that names the request and the worker
-	worker   *backend.Worker
-	silences *backend.Silences // usual at the worker's service
-	least    time.Duration     // of silence before the worker is looked for
-	line     *httpconn.Watch   // tells whether the connection is silent, or the worker
-	// patient: a reachable worker is waited for as long as the request may take.
-	patient bool
-	// repeatable: the request may be sent again, on a new connection.
+	logger     log.Interface // with the request and the worker as fields
+	worker     *backend.Worker
+	silences   *backend.Silences // usual durations of silence of the worker's service
+	minSilence time.Duration     // least silence before a check
+	conn       *httpconn.Watch   // distinguishes a dead connection from a silent worker
+	// waitForDeadline: a worker that accepts connections is not given up before the deadline.
+	waitForDeadline bool
+	// repeatable: the request may be sent again on a new connection.
 	repeatable bool
-	// movable: another worker may take the request over from this one.
+	// movable: another worker may take the request over.
 	movable bool
-	// sent and priority tell whether the worker serves others before this request.
-	sent     time.Time
-	priority int
-	cancel   context.CancelCauseFunc
-	timer    *time.Timer
-	begun    atomic.Bool // the answer has begun
-	passing  atomic.Bool // what the worker has sent is being passed on: nothing is read meanwhile
-
-	mutex  sync.Mutex // a look may be under way when the worker is heard
-	last   time.Time  // when the worker was last heard
-	checks int        // looks since then
-	missed time.Time  // when the first of the looks in a row began that found nobody; zero: none did
+	// sentAt and priority identify requests that the worker answers out of order.
+	sentAt        time.Time
+	priority      int
+	cancel        context.CancelCauseFunc
+	timer         *time.Timer
+	answerStarted atomic.Bool // part of the answer has arrived
+	relaying      atomic.Bool // received data is being written to the client, so nothing is read
+
+	mutex        sync.Mutex // guards the fields below; a check may overlap with received data
+	lastReceived time.Time  // when the worker last sent data
+	checks       int        // number of checks since then
+	firstMiss    time.Time  // start of the first of the current run of failed checks; zero: the last one succeeded
 }
 
-// watch returns a context that ends with errUnreachable, errStalled or, if the request may
-// be sent again, errSilent when the worker has not been heard of for longer than is usual,
-// and for least at least.
-func (x *exchange) watch(ctx context.Context, worker *backend.Worker, least time.Duration, patient bool) (context.Context, *watchdog) {
-	ctx, line := httpconn.WithWatch(ctx)
+// watch returns a context that is canceled when the worker has been silent for longer than usual,
+// and at least for minSilence. The cause is errUnreachable, errStalled or, if the request may be
+// sent again, errSilent.
+func (x *exchange) watch(ctx context.Context, worker *backend.Worker, minSilence time.Duration, waitForDeadline bool) (context.Context, *watchdog) {
+	ctx, conn := httpconn.WithWatch(ctx)
 	ctx, cancel := context.WithCancelCause(ctx)
 	now := time.Now()
 	w := &watchdog{
 		logger: x.options.Logger.WithFields(log.Fields{"request": x.request.ID, "worker": worker.Key()}),
-		line:   line, worker: worker, silences: x.options.Workers.Silences(x.service), least: least, patient: patient, repeatable: x.route.Repeatable(), movable: x.movable(worker.Key()),
-		sent: now, last: now, priority: x.priority(), cancel: cancel,
+		conn:   conn, worker: worker, silences: x.options.Workers.Silences(x.service), minSilence: minSilence, waitForDeadline: waitForDeadline, repeatable: x.route.Repeatable(), movable: x.mayMove(worker.Key()),
+		sentAt: now, lastReceived: now, priority: x.priority(), cancel: cancel,
 	}
-	w.timer = time.AfterFunc(w.patience(), func() { w.check(ctx) })
+	w.timer = time.AfterFunc(w.silenceTimeout(), func() { w.check(ctx) })
 	return ctx, w
 }
 
-// heard starts the wait anew.
-func (w *watchdog) heard() {
+// received records that the worker sent data, and restarts the silence timeout.
+func (w *watchdog) received() {
 	now := time.Now()
 	w.mutex.Lock()
-	w.usual().Observe(now.Sub(w.last))
-	w.last, w.checks, w.missed = now, 0, time.Time{}
+	w.usualSilence().Observe(now.Sub(w.lastReceived))
+	w.lastReceived, w.checks, w.firstMiss = now, 0, time.Time{}
 	w.mutex.Unlock()
-	w.begun.Store(true)
-	w.timer.Reset(w.patience())
-	w.worker.Serves(w.sent, w.priority)
+	w.answerStarted.Store(true)
+	w.timer.Reset(w.silenceTimeout())
+	w.worker.Serves(w.sentAt, w.priority)
 }
 
-// taken notes that the client has taken what the worker sent: its silence counts from now.
-func (w *watchdog) taken(now time.Time) {
+// delivered records that the client has accepted the data. The worker's silence counts from now.
+func (w *watchdog) delivered(now time.Time) {
 	w.mutex.Lock()
-	w.last = now
+	w.lastReceived = now
 	w.mutex.Unlock()
-	w.passing.Store(false)
+	w.relaying.Store(false)
 }
 
-// patienceLeft is how much longer the worker may be silent at a moment.
-func (w *watchdog) patienceLeft(now time.Time) time.Duration {
+// silenceLeft returns how much longer the worker may be silent.
+func (w *watchdog) silenceLeft(now time.Time) time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.patience() - now.Sub(w.last)
+	return w.silenceTimeout() - now.Sub(w.lastReceived)
 }
 
-// usual is how long a worker is usually silent where the answer stands.
-func (w *watchdog) usual() *wait.Estimate {
-	if w.begun.Load() {
+// usualSilence is the usual silence in this part of the answer: before its first data or between
+// later data.
+func (w *watchdog) usualSilence() *wait.Estimate {
+	if w.answerStarted.Load() {
 		return &w.silences.Next
 	}
 	return &w.silences.First
 }
 
-// patience is how long the worker may be silent before it is looked for.
-func (w *watchdog) patience() time.Duration {
-	return w.usual().Longest(w.least, patienceRange*w.least)
+// silenceTimeout is how long the worker may be silent before it is checked.
+func (w *watchdog) silenceTimeout() time.Duration {
+	return w.usualSilence().Longest(w.minSilence, maxSilenceFactor*w.minSilence)
 }
 
-// stalled reports whether a worker that takes connections is to be given up.
-func (w *watchdog) stalled(checks int) bool {
-	if w.patient {
+// isStalled reports whether to give up a worker that accepts connections.
+func (w *watchdog) isStalled(checks int) bool {
+	if w.waitForDeadline {
 		return false
 	}
-	if w.worker.Overtaken(w.sent, w.priority) {
+	if w.worker.Overtaken(w.sentAt, w.priority) {
 		return checks >= checksIfOvertaken
 	}
 	return checks >= checksInQueue
 }
 
-// stop ends the watch and the context.
+// stop ends the watchdog and cancels its context.
 func (w *watchdog) stop() {
 	w.timer.Stop()
 	w.cancel(nil)
 }
 
-// check looks whether the worker is there, and gives it up if it is not, or has been silent for
-// long enough.
+// check tests whether the worker accepts connections, and cancels the exchange if it does not, or
+// if the worker has been silent for too long.
 func (w *watchdog) check(ctx context.Context) {
-	if w.passing.Load() {
-		w.timer.Reset(w.patience()) // the client is slow, the worker need not be silent
+	if w.relaying.Load() {
+		w.timer.Reset(w.silenceTimeout()) // a slow client blocks the exchange, not the worker
 		return
 	}
 	begun := time.Now()
-	if left := w.patienceLeft(begun); left > 0 {
+	if left := w.silenceLeft(begun); left > 0 {
 		w.timer.Reset(left)
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, checkTimeout)
+	limited, cancel := context.WithTimeout(ctx, dialCheckTimeout)
 	err := w.worker.Pool().Reach(limited)
 	cancel()
 	if ctx.Err() != nil {
@@ -169,49 +171,48 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.last.After(begun) {
-		return // it was heard meanwhile, and the wait for it begun anew
+	if w.lastReceived.After(begun) {
+		return // data arrived during the check and restarted the timeout
 	}
-	if w.checks == 0 && !w.begun.Load() {
+	if w.checks == 0 && !w.answerStarted.Load() {
 		w.worker.FellSilent(begun)
 	}
 	w.checks++
 	if err != nil {
-		w.miss(begun, err)
+		w.dialFailed(begun, err)
 		return
 	}
-	w.missed = time.Time{}
+	w.firstMiss = time.Time{}
 	switch {
-	case w.repeatable && w.line.Silent():
+	case w.repeatable && w.conn.Silent():
 		w.cancel(errSilent)
-	case w.stalled(w.checks):
+	case w.isStalled(w.checks):
 		w.cancel(errStalled)
 	default:
-		w.timer.Reset(w.patience())
+		w.timer.Reset(w.silenceTimeout())
 	}
 }
 
-// miss takes the worker to be out of reach after two looks in a row that found nobody: a single
-// one that fails is a lost packet more often than a lost worker. An answer that has begun and
-// that nobody else may go on with is not ended for that: its worker may be paused, and its client
-// knows how long it waits (before workers that turn dark, mute or unreachable, waiting and
-// ending cost the same: mean worth 0.907 and 0.908 of five days). The caller holds the mutex.
-func (w *watchdog) miss(begun time.Time, err error) {
+// dialFailed handles a failed check. The worker is unreachable after two failed checks in a row:
+// a single failure is more often a lost packet than a lost worker. A started answer that no other
+// worker may continue is not canceled: its worker may only be paused, and the client has its own
+// deadline. The caller holds the mutex.
+func (w *watchdog) dialFailed(begun time.Time, err error) {
 	w.logger.WithFields(log.Fields{
-		"look":      w.checks,
+		"look":      w.checks, // number of the check
 		"took_ms":   time.Since(begun).Milliseconds(),
-		"silent_ms": begun.Sub(w.last).Milliseconds(),
-	}).WithError(err).Warn("worker is silent and no connection to it came up")
-	if w.missed.IsZero() {
-		w.missed = begun
+		"silent_ms": begun.Sub(w.lastReceived).Milliseconds(),
+	}).WithError(err).Warn("worker is silent and a connection to it failed")
+	if w.firstMiss.IsZero() {
+		w.firstMiss = begun
 		w.timer.Reset(0)
 		return
 	}
-	if w.begun.Load() && !w.movable {
+	if w.answerStarted.Load() && !w.movable {
 		w.worker.Unreachable(time.Now())
-		w.missed = time.Time{}
-		w.timer.Reset(w.patience())
+		w.firstMiss = time.Time{}
+		w.timer.Reset(w.silenceTimeout())
 		return
 	}
-	w.cancel(&unreachable{since: w.missed, last: err})
+	w.cancel(&unreachableError{since: w.firstMiss, last: err})
 }
