--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -30,7 +30,8 @@
 }
 
 // checkServiceOpen refuses a request if all workers of the service, or all in only, are in zones
-// that the request may not use; nil if one is not. Waiting helps against full workers, not here.
+// that the request may not use. It returns nil if one is not, or if there are no workers. Unlike
+// a lack of capacity, closed zones do not open while the request waits.
 func (x *exchange) checkServiceOpen(service string, only []string) *fault.Error {
 	why, evacuated := x.options.Workers.Closed(service, x.allowedRegions(), only)
 	var refusal *fault.Error
--- a/internal/forward/capacity.go
+++ b/internal/forward/capacity.go
@@ -14,8 +14,9 @@
 
 // Room finds workers with free capacity.
 type Room interface {
-	// Find reserves a slot at a worker, and waits for one if capacity is short. If the result has
-	// no Place, the caller chooses a worker by local knowledge.
+	// Find reserves a slot at a worker if capacity is short, and waits until one is free. The
+	// result has no Place if capacity is not short or no slot was found; the caller then chooses
+	// a worker by local knowledge.
 	Find(ctx context.Context, wanted room.Wanted) room.Found
 	// Begin counts a request at a worker; nil if the worker's capacity is not tracked.
 	Begin(service, worker string, tokens int) *room.Place
@@ -28,9 +29,9 @@
 	maxCapacityWait   = 900 * time.Millisecond
 )
 
-// findCapacity reserves a slot for the request and returns its worker; nil: a worker must be
-// chosen by local knowledge. A request that is restricted to the workers in only goes to them
-// whatever their load.
+// findCapacity reserves a slot for the request while capacity is short, and returns its worker;
+// nil: a worker must be chosen by local knowledge. A request that is restricted to the workers in
+// only goes to them whatever their load.
 func (x *exchange) findCapacity(ctx context.Context, only []string) *backend.Worker {
 	if x.options.Room == nil || len(only) > 0 || x.homeAccepts() {
 		return nil
@@ -53,9 +54,10 @@
 	return worker
 }
 
-// homeAccepts reports whether the request goes to the worker that holds its context, whatever
-// that worker's load. Loading the context at another worker would evict other programs' contexts
-// there, which then have to be loaded elsewhere in turn.
+// homeAccepts reports whether the request goes to the worker that holds its context, however many
+// requests that worker has. It does not if the worker has just failed or declined a request.
+// Loading the context at another worker would evict other programs' contexts there, which then
+// have to be loaded elsewhere in turn.
 func (x *exchange) homeAccepts() bool {
 	if x.home == "" || slices.Contains(x.excluded, x.home) {
 		return false
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -90,8 +90,8 @@
 
 // Retry and wait times.
 const (
-	// retryAfter is the least retry delay for clients when no worker can take the request; up to
-	// as much is added at random.
+	// retryAfter is the retry delay for clients whose request reached its time limit, and the
+	// least one when no worker can take the request; up to as much is then added at random.
 	retryAfter = 120 * time.Millisecond
 	// noConfigRetryAfter is the retry delay for clients of a node without a configuration.
 	noConfigRetryAfter = 250 * time.Millisecond
@@ -124,14 +124,14 @@
 	excluded         []string          // keys of workers that must not be chosen
 	attempts         attempts          // workers that may have run the request
 	attempted        []*backend.Worker // those workers, for restart checks
-	prefixWorkers    []string          // keys of workers that cache the prompt's shared prefix
+	prefixWorkers    []string          // IDs of workers that cache the prompt's shared prefix
 	sends            int               // number of sends so far
-	sendFailures     []string          // outcome of each send that brought no answer, for the log
-	declines         int               // number of sends that workers declined
+	sendFailures     []string          // outcome of each send that failed or was not made, for the log
+	declines         int               // number of sends that workers declined or had no connection for
 	slot             *room.Place       // capacity held at a worker; nil: none
 	placement        room.Found        // result of the last capacity request
 	capacityWait     time.Duration     // total time spent in capacity requests
-	coldAttempts     int               // cold workers asked for since the exclusions were last reset
+	coldAttempts     int               // permissions requested for cold workers since the exclusions were last reset
 	coldRetryAfter   time.Duration     // until a cold worker may take a request; 0: none was refused
 	lastWorker       string            // key of the worker last sent to
 	crossRegion      backend.Reason    // why that worker is in another region; empty: it is not
@@ -230,7 +230,7 @@
 			return nil, refusal
 		}
 		left := maxWait - time.Since(x.startTime)
-		hopeless := x.declines == 0 && x.coldRetryAfter > left // no warm worker can become available, and cold ones not in time
+		hopeless := x.declines == 0 && x.coldRetryAfter > left // no warm worker can become available, and no cold one in time
 		if ctx.Err() != nil || left <= 0 || hopeless {
 			return nil, x.noWorkerError(err)
 		}
@@ -275,7 +275,7 @@
 	}
 	if x.coldRetryAfter > 0 {
 		refusal = fault.Newf(fault.Overloaded, "retry after the given delay",
-			"service %q has only cold workers available, and they are at their warm-up limit", x.service)
+			"service %q has no warm worker with free capacity, and its cold workers are at their warm-up limit", x.service)
 	}
 	if x.attempts.any() {
 		return refusal.WithRan(fault.RanUnknown)
--- a/internal/forward/history.go
+++ b/internal/forward/history.go
@@ -101,7 +101,7 @@
 }
 
 // fetchFromPeers asks other nodes for the history; nil if none of them has it. Once the nodes to
-// ask are known, it sends their usual response time to peerWait.
+// ask are known, it sends to peerWait how long they may take before the store is read as well.
 func (x *exchange) fetchFromPeers(ctx context.Context, holders <-chan []budget.Holder, peerWait chan<- time.Duration) []*history.Turn {
 	select {
 	case <-ctx.Done():
@@ -121,9 +121,8 @@
 	}
 }
 
-// ranOnManyNodes reports whether a program's turns ran on more nodes than can be asked for its
-// history. The directory of turns is only used for these programs, since it costs a message per
-// turn.
+// ranOnManyNodes reports whether a program's turns ran on at least maxHistoryPeers other nodes.
+// The turn directory is only used for such programs, since it costs a message per turn.
 func ranOnManyNodes(others []budget.Holder) bool { return len(others) >= maxHistoryPeers }
 
 // lookUpHolder returns the node that ran the previous turn, if the turn directory knows it.
@@ -142,8 +141,8 @@
 }
 
 // without returns a copy of the list without one holder.
-func without(list []budget.Holder, left budget.Holder) []budget.Holder {
-	return slices.DeleteFunc(slices.Clone(list), func(holder budget.Holder) bool { return holder == left })
+func without(list []budget.Holder, removed budget.Holder) []budget.Holder {
+	return slices.DeleteFunc(slices.Clone(list), func(holder budget.Holder) bool { return holder == removed })
 }
 
 // historyWait is the usual response time of the fastest of the nodes asked.
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -18,13 +18,13 @@
 	Requests        *prometheus.CounterVec   // by outcome
 	Duration        *prometheus.HistogramVec // by route kind, in seconds
 	FirstEvent      prometheus.Histogram     // time to the first event of a stream, in seconds
-	steps           stepSeconds              // turns by step, in seconds
+	steps           stepSeconds              // time of turns by step, in seconds
 	Sends           prometheus.Counter       // calls sent to workers
 	SendsByDistance *prometheus.CounterVec   // sends by route kind, distance and, for other regions, reason
 	Declines        prometheus.Counter       // calls that workers declined
 	Failures        prometheus.Counter       // exchanges with workers that failed
 	UnsavedTurns    prometheus.Counter       // turns that ran and could not be stored
-	BlockedSends    *prometheus.CounterVec   // by verdict
+	BlockedSends    *prometheus.CounterVec   // sends not made because the worker may not get the request, by verdict
 	// AttemptsDropped counts workers that stopped counting as having run a request, by
 	// observation. ExcessAttempts counts requests that may have run at more workers than their
 	// route allows.
@@ -150,7 +150,7 @@
 	x.options.Metrics.SendsByDistance.WithLabelValues(string(x.route.Kind), distance.String(), string(reason)).Inc()
 }
 
-// recordSendFailure records for the log why a send brought no answer.
+// recordSendFailure records for the log why a send failed or was not made.
 func (x *exchange) recordSendFailure(worker *backend.Worker, outcome string) {
 	x.sendFailures = append(x.sendFailures, worker.Key()+":"+outcome)
 }
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -179,7 +179,8 @@
 	return false
 }
 
-// handleUnreached records that nothing was written to a worker.
+// handleUnreached excludes a worker to which nothing was written. A worker at its connection
+// limit counts as having declined the request.
 func (x *exchange) handleUnreached(worker *backend.Worker, err error) {
 	id := worker.Key()
 	x.exclude(id)
--- a/internal/forward/presend.go
+++ b/internal/forward/presend.go
@@ -44,8 +44,8 @@
 // valid reports whether the loan permits a send now.
 func (l Loan) valid() bool { return time.Now().Before(l.Until) }
 
-// maxColdAttempts limits for how many cold workers a request asks before only warm ones are
-// considered.
+// maxColdAttempts is the number of cold workers that a request tries to get permission for. After
+// that, only warm workers are considered.
 const maxColdAttempts = 3
 
 const (
@@ -94,7 +94,8 @@
 	return fmt.Sprintf("metered(%s %dms)", known.Source, known.Age.Milliseconds())
 }
 
-// borrowColdRequest asks for permission to send the request to a cold worker.
+// borrowColdRequest asks for permission to send the request to a cold worker. Without it, the
+// worker's health is queried: a warm worker needs no permission.
 func (x *exchange) borrowColdRequest(ctx context.Context, worker *backend.Worker) Loan {
 	if x.options.Allowance == nil {
 		return Loan{}
@@ -129,7 +130,7 @@
 		return false
 	}
 	x.options.Workers.NoteHealth(worker, left, sent)
-	entry.Info("worker reported its warmth in a health query")
+	entry.Info("worker answered the health query; updating how long it is cold")
 	return left == 0
 }
 
--- a/internal/forward/presend_test.go
+++ b/internal/forward/presend_test.go
@@ -71,7 +71,7 @@
 	})
 }
 
-// Guards against spending the request's time on asking for many cold workers.
+// Guards against spending the request's time on asking for loans for many cold workers.
 func TestRequestWithoutALoanGoesToAWarmWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, lender := coldFixture(t, lendsNothing, strings.Split("abcdefgh", "")...)
--- a/internal/forward/program.go
+++ b/internal/forward/program.go
@@ -21,7 +21,7 @@
 	sending    *admission.Sending // the last send, until its first event; nil: none is tracked
 	sentAt     time.Time          // time of the last send
 	firstEvent time.Duration      // time from the last send to its first event; 0: no event yet
-	verdict    admission.Verdict
+	verdict    admission.Verdict  // admission decision; ask and load are its inputs
 	ask        admission.Ask
 	load       admission.Load
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-// reportDecline reports to admission control that a worker is full.
+// reportDecline reports to admission control that a worker declined the turn.
 func (x *exchange) reportDecline() {
 	if x.program.known && x.options.Admission != nil {
 		x.options.Admission.Declined(x.service, x.route.Priority, time.Now())
@@ -135,11 +135,11 @@
 
 // turnNumber returns the position of the turn in its branch, starting at 1, given the length of
 // its history; 0: unknown.
-func (x *exchange) turnNumber(chain int) int {
+func (x *exchange) turnNumber(historyLength int) int {
 	if !x.route.Retain {
 		return 0
 	}
-	return chain + 1
+	return historyLength + 1
 }
 
 // Worker priorities: 0 is the most urgent.
--- a/internal/forward/ratelimit.go
+++ b/internal/forward/ratelimit.go
@@ -9,7 +9,7 @@
 // Limits enforces the rate limits of tenants.
 type Limits interface {
 	// Admit counts one request against its tenant's limit. Its error is a *fault.Error:
-	// RateLimited if the limit is reached, Unavailable if the limit's owner cannot be reached.
+	// RateLimited if the limit is reached, Unavailable if no node that manages it responds.
 	Admit(ctx context.Context, ask LimitRequest) error
 	// Return gives back an admitted request that did not run.
 	Return(tenant string)
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -1,6 +1,6 @@
-// Package forward serves client requests. It finds the route, checks the key, reserves the
-// program's tokens, loads the conversation history, chooses workers, relays their answers and
-// decides whether a failed request is sent again.
+// Package forward serves client requests by sending them to workers. It finds the route, checks
+// the key, reserves the program's tokens, loads the conversation history, chooses workers, relays
+// their answers and decides whether a failed request is sent again.
 //
 // The package is independent of wire formats: its caller passes typed requests and receives typed
 // answers through a Responder, and a Transport communicates with the workers.
@@ -36,8 +36,8 @@
 	Shared   int           // of these, tokens in the prefix shared with other programs
 	// SharedPart names the shared prefix; empty: there is none.
 	SharedPart string
-	// Timed reports whether Finish is set: the time left until the program's caller needs it
-	// complete; 0 if that has passed.
+	// Finish is the time left until the program must be complete; 0 if that time has passed.
+	// Timed reports whether Finish is set.
 	Timed    bool
 	Finish   time.Duration
 	Line     string // branch of turns within the program; empty: unknown
@@ -62,7 +62,7 @@
 	Status   int
 	Header   http.Header // passed on to the client
 	Length   int64       // of the body in bytes; -1: unknown
-	Declined bool        // the worker did not run the request
+	Declined bool        // the worker reported that it did not run the request
 	Stream   bool        // the body is a stream of events
 	Body     io.Reader
 	// Close ends the exchange. whole reports whether the body was read to its end, so that the
--- a/internal/forward/silent_test.go
+++ b/internal/forward/silent_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	answered = &atomic.Int64{}
-	deaf := make(chan struct{})
+	stalled := make(chan struct{})
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		answered.Add(1)
@@ -43,7 +43,7 @@
 		_, _ = first.Read(make([]byte, readBufferBytes))
 		answered.Add(1)
 		_, _ = io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-		close(deaf)
+		close(stalled)
 		server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
 		t.Cleanup(func() { server.Close() })
 		_ = server.Serve(listener)
@@ -66,16 +66,16 @@
 }
 
 // silentFixture has a stalled worker that has answered its one request on the first connection.
-func silentFixture(t *testing.T, patient route.Route) (f *fixture, transport *poolTransport, answered, looks *atomic.Int64) {
+func silentFixture(t *testing.T, served route.Route) (f *fixture, transport *poolTransport, answered, checks *atomic.Int64) {
 	address, answered := stalledWorker(t)
-	patient.Timeout = time.Minute
-	f = newFixture(t, patient)
-	transport, looks = &poolTransport{}, &atomic.Int64{}
+	served.Timeout = time.Minute
+	f = newFixture(t, served)
+	transport, checks = &poolTransport{}, &atomic.Int64{}
 	f.forwarder.options.Transport = transport
-	f.forwarder.options.Workers = backend.NewRegistry(backend.Options{Zone: "z", DialTimeout: time.Minute, OnLook: func() { looks.Add(1) }})
+	f.forwarder.options.Workers = backend.NewRegistry(backend.Options{Zone: "z", DialTimeout: time.Minute, OnLook: func() { checks.Add(1) }})
 	f.forwarder.options.Workers.Put(backend.Record{ID: "w", Service: "s", Address: address, Zone: "z", Slots: 4})
 	require.Equal(t, http.StatusOK, f.serve(t.Context(), func(r *Request) { r.Deadline = time.Minute }).status)
-	return f, transport, answered, looks
+	return f, transport, answered, checks
 }
 
 // readBufferBytes is the size of the stalled connection's receive buffer. The peer's window for a
@@ -89,11 +89,11 @@
 // Guards against waiting for an answer on a dead connection when a safe request can be resent on
 // a new one.
 func TestSafeRequestIsResentOnANewConnection(t *testing.T) {
-	f, transport, answered, looks := silentFixture(t, plainRoute(route.Safe, 1))
+	f, transport, answered, checks := silentFixture(t, plainRoute(route.Safe, 1))
 	require.Equal(t, http.StatusOK, f.serve(t.Context(), longRequest).status)
 	require.EqualValues(t, 3, transport.sends.Load())
 	require.EqualValues(t, 2, answered.Load(), "the first send did not run")
-	require.Less(t, looks.Load(), int64(checksInQueue), "it did not wait as long as for a hanging worker")
+	require.Less(t, checks.Load(), int64(checksInQueue), "it did not wait as long as for a hanging worker")
 }
 
 // Guards against resending a stream that may not run twice when its connection is dead.
--- a/internal/forward/slowclient_test.go
+++ b/internal/forward/slowclient_test.go
@@ -55,7 +55,7 @@
 // instead, and leaking reservations.
 func TestAnswerBuffersStayWithinTheMemoryLimit(t *testing.T) {
 	for name, test := range map[string]struct {
-		room   int64
+		free   int64 // memory that may be reserved
 		length int64
 		held   bool
 	}{
@@ -69,7 +69,7 @@
 			f := newFixture(t, plainRoute(route.Unsafe, 1))
 			held, most := int64(0), int64(0)
 			f.forwarder.options.Admit = func(bytes int64) (func(), bool) {
-				if bytes > test.room {
+				if bytes > test.free {
 					return nil, false
 				}
 				held, most = held+bytes, max(most, bytes)
@@ -92,9 +92,9 @@
 // Guards against completing the client's answer when the worker's was truncated, buffered or
 // relayed.
 func TestTruncatedAnswerIsNeverComplete(t *testing.T) {
-	for _, room := range []bool{true, false} {
+	for _, free := range []bool{true, false} {
 		f := newFixture(t, plainRoute(route.Unsafe, 1))
-		f.forwarder.options.Admit = func(int64) (func(), bool) { return func() {}, room }
+		f.forwarder.options.Admit = func(int64) (func(), bool) { return func() {}, free }
 		f.worker("w", func(context.Context, Call) (*Answer, error) {
 			cut := readerFunc(func([]byte) (int, error) { return 0, errors.New("cut") })
 			return answer(http.StatusOK, false, io.MultiReader(strings.NewReader("o"), cut)), nil
--- a/internal/forward/steps.go
+++ b/internal/forward/steps.go
@@ -11,7 +11,8 @@
 type step int
 
 const (
-	// stepAdmit: authentication, zone and region checks, and the tenant's rate limit.
+	// stepAdmit: authentication, zone and region checks, program admission and the tenant's rate
+	// limit.
 	stepAdmit step = iota
 	// stepPrepare: reserving tokens and loading the conversation history.
 	stepPrepare
--- a/internal/forward/turn_test.go
+++ b/internal/forward/turn_test.go
@@ -107,7 +107,7 @@
 }
 
 // Guards against reporting a turn as missing while the store cannot be read.
-func TestTurnIsNotFoundOnlyIfTheStoreSaysSo(t *testing.T) {
+func TestTurnIsNotFoundOnlyIfTheStoreLacksIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -36,7 +36,7 @@
 // workers are usually silent for long.
 const maxSilenceFactor = 8
 
-// unreachableError reports a worker to which several connections in a row failed.
+// unreachableError reports a worker to which two test connections in a row failed.
 type unreachableError struct {
 	since time.Time // start of the first failed connection
 	last  error     // error of the last one
@@ -77,9 +77,9 @@
 	firstMiss    time.Time  // start of the first of the current run of failed checks; zero: the last one succeeded
 }
 
-// watch returns a context that is canceled when the worker has been silent for longer than usual,
-// and at least for minSilence. The cause is errUnreachable, errStalled or, if the request may be
-// sent again, errSilent.
+// watch starts checks of the worker once it has been silent for longer than usual, and at least
+// for minSilence. It returns a context that is canceled when they fail. The cause is
+// errUnreachable, errStalled or, if the request may be sent again, errSilent.
 func (x *exchange) watch(ctx context.Context, worker *backend.Worker, minSilence time.Duration, waitForDeadline bool) (context.Context, *watchdog) {
 	ctx, conn := httpconn.WithWatch(ctx)
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -202,7 +202,7 @@
 		"look":      w.checks, // number of the check
 		"took_ms":   time.Since(begun).Milliseconds(),
 		"silent_ms": begun.Sub(w.lastReceived).Milliseconds(),
-	}).WithError(err).Warn("worker is silent and a connection to it failed")
+	}).WithError(err).Warn("worker is silent and a test connection to it failed; it counts as unreachable after two failures in a row")
 	if w.firstMiss.IsZero() {
 		w.firstMiss = begun
 		w.timer.Reset(0)
