--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -16,9 +16,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// registryOf has workers w0.. of service s, all in zone z but those with a zone
-// of their own.
-func registryOf(options Options, count int, zones ...string) *Registry {
+// newTestRegistry returns a registry with workers w0, w1 ... of service s. They are in zone z
+// except for the first ones, whose zones are given.
+func newTestRegistry(options Options, count int, zones ...string) *Registry {
 	options.Zone = "z"
 	if options.Dial == nil {
 		options.Dial = func(context.Context, string) (net.Conn, error) { return nil, errors.New("no network") }
@@ -48,8 +48,8 @@
 	return worker.Record().ID
 }
 
-// turn is a model call whose program shares most of its prompt with others.
-func turn(change func(*Query)) Query {
+// modelCall returns a model call whose prompt is mostly shared with other programs.
+func modelCall(change func(*Query)) Query {
 	query := Query{Key: "p", Prompt: 14_000, Shared: 12_000, Output: 500}
 	if change != nil {
 		change(&query)
@@ -57,32 +57,33 @@
 	return query
 }
 
-func TestChoice(t *testing.T) {
+// Each case guards one rule that Choose prefers or avoids workers by.
+func TestChoose(t *testing.T) {
 	now := time.Now
 	for name, test := range map[string]struct {
 		zones  []string
-		given  func(*Registry)
+		setup  func(*Registry)
 		query  Query
-		chosen string // empty: any but avoided
+		chosen string // empty: any except avoids
 		avoids string
 	}{
-		"stays where the context is":                 {query: turn(func(q *Query) { q.Home = "w2" }), chosen: "w2"},
-		"also in another zone":                       {zones: []string{"y"}, query: turn(func(q *Query) { q.Home = "w0" }), chosen: "w0"},
-		"also when others have less to do":           {given: func(r *Registry) { r.get("w2").Begin() }, query: turn(func(q *Query) { q.Home = "w2" }), chosen: "w2"},
-		"leaves a home that drains":                  {given: drains("w2"), query: turn(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
-		"leaves a home that takes no connection":     {given: func(r *Registry) { r.get("w2").Unreachable(now()) }, query: turn(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
-		"leaves a home whose answers break":          {given: breaks("w2", 3), query: turn(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
-		"first turns stay in the zone":               {zones: []string{"y", "y", "y"}, query: turn(nil), chosen: "w3"},
-		"but not with a worker that is full":         {zones: []string{"y", "y", "y"}, given: func(r *Registry) { r.get("w3").Declined(now()) }, query: turn(nil), avoids: "w3"},
-		"a slow worker gets no first turns":          {zones: []string{"y", "y", "y"}, given: slow("w3"), query: turn(nil), avoids: "w3"},
-		"an excluded worker is not chosen":           {query: turn(func(q *Query) { q.Home, q.Exclude = "w1", []string{"w1"} }), avoids: "w1"},
-		"nor any but those allowed":                  {query: turn(func(q *Query) { q.Home, q.Only = "w1", []string{"w3"} }), chosen: "w3"},
-		"a doubtful worker is better than a refusal": {given: func(r *Registry) { r.get("w1").Unreachable(now()) }, query: turn(func(q *Query) { q.Only = []string{"w1"} }), chosen: "w1"},
+		"stays at the worker with the context":      {query: modelCall(func(q *Query) { q.Home = "w2" }), chosen: "w2"},
+		"stays at a home in another zone":           {zones: []string{"y"}, query: modelCall(func(q *Query) { q.Home = "w0" }), chosen: "w0"},
+		"stays at a home with more requests":        {setup: func(r *Registry) { r.get("w2").Begin() }, query: modelCall(func(q *Query) { q.Home = "w2" }), chosen: "w2"},
+		"leaves a draining home":                    {setup: draining("w2"), query: modelCall(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
+		"leaves an unreachable home":                {setup: func(r *Registry) { r.get("w2").Unreachable(now()) }, query: modelCall(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
+		"leaves a failing home":                     {setup: failing("w2", 3), query: modelCall(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
+		"first turns stay in the zone":              {zones: []string{"y", "y", "y"}, query: modelCall(nil), chosen: "w3"},
+		"first turns leave the zone if it is full":  {zones: []string{"y", "y", "y"}, setup: func(r *Registry) { r.get("w3").Declined(now()) }, query: modelCall(nil), avoids: "w3"},
+		"a slow worker gets no first turns":         {zones: []string{"y", "y", "y"}, setup: slowed("w3"), query: modelCall(nil), avoids: "w3"},
+		"an excluded worker is not chosen":          {query: modelCall(func(q *Query) { q.Home, q.Exclude = "w1", []string{"w1"} }), avoids: "w1"},
+		"only allowed workers are chosen":           {query: modelCall(func(q *Query) { q.Home, q.Only = "w1", []string{"w3"} }), chosen: "w3"},
+		"an unreachable worker is better than none": {setup: func(r *Registry) { r.get("w1").Unreachable(now()) }, query: modelCall(func(q *Query) { q.Only = []string{"w1"} }), chosen: "w1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			registry := registryOf(Options{}, 4, test.zones...)
-			if test.given != nil {
-				test.given(registry)
+			registry := newTestRegistry(Options{}, 4, test.zones...)
+			if test.setup != nil {
+				test.setup(registry)
 			}
 			chosen := choose(t, registry, test.query)
 			if test.chosen != "" {
@@ -93,7 +94,7 @@
 	}
 }
 
-func drains(id string) func(*Registry) {
+func draining(id string) func(*Registry) {
 	return func(r *Registry) {
 		record := r.get(id).Record()
 		record.Draining = true
@@ -101,7 +102,7 @@
 	}
 }
 
-func breaks(id string, times int) func(*Registry) {
+func failing(id string, times int) func(*Registry) {
 	return func(r *Registry) {
 		for range times {
 			r.get(id).Broke(time.Now())
@@ -109,7 +110,7 @@
 	}
 }
 
-func slow(id string) func(*Registry) {
+func slowed(id string) func(*Registry) {
 	return func(r *Registry) {
 		for _, worker := range []string{"w0", "w1", "w2", "w3"} {
 			r.get(worker).Paced(time.Millisecond)
@@ -120,11 +121,12 @@
 	}
 }
 
-func TestNodesAgreeWithoutTalk(t *testing.T) {
-	one, other := registryOf(Options{}, 9), registryOf(Options{}, 9)
+// Nodes must choose the same worker for a program without communicating, and spread programs evenly.
+func TestNodesChooseTheSameWorker(t *testing.T) {
+	one, other := newTestRegistry(Options{}, 9), newTestRegistry(Options{}, 9)
 	seen := map[string]int{}
 	for program := range 900 {
-		query := turn(func(q *Query) { q.Key = fmt.Sprint(program) })
+		query := modelCall(func(q *Query) { q.Key = fmt.Sprint(program) })
 		chosen := choose(t, one, query)
 		require.Equal(t, chosen, choose(t, other, query))
 		seen[chosen]++
@@ -134,19 +136,21 @@
 	}
 }
 
-func TestManyWorkersAreNotAllLookedAt(t *testing.T) {
-	registry := registryOf(Options{}, 500)
+// Guards against shortlists that leave out most workers of a large service or the program's home.
+func TestShortlistCoversManyWorkers(t *testing.T) {
+	registry := newTestRegistry(Options{}, 500)
 	seen := map[string]int{}
 	for program := range 2000 {
-		seen[choose(t, registry, turn(func(q *Query) { q.Key = fmt.Sprint(program) }))]++
+		seen[choose(t, registry, modelCall(func(q *Query) { q.Key = fmt.Sprint(program) }))]++
 	}
 	require.Greater(t, len(seen), 400)
-	require.Equal(t, "w77", choose(t, registry, turn(func(q *Query) { q.Home = "w77" })))
+	require.Equal(t, "w77", choose(t, registry, modelCall(func(q *Query) { q.Home = "w77" })))
 }
 
-func TestNobodyLeftIsNoWordOfHavingRun(t *testing.T) {
-	registry := registryOf(Options{}, 1)
-	drains("w0")(registry)
+// A caller may only retry safely if the error says that the request did not run.
+func TestChooseWithoutWorkersReportsNotRun(t *testing.T) {
+	registry := newTestRegistry(Options{}, 1)
+	draining("w0")(registry)
 	_, err := registry.Choose(Query{Service: "s"})
 	require.True(t, fault.Is(err, fault.Unavailable))
 	require.Equal(t, fault.RanNo, fault.From(err).Ran)
@@ -154,27 +158,30 @@
 	require.True(t, fault.Is(err, fault.Unavailable))
 }
 
-func TestVanishedWorkerIsUsedOnlyForWantOfAnother(t *testing.T) {
+// Guards against losing a service whose worker list is lost for a moment, and against using removed
+// workers otherwise.
+func TestRemovedWorkerIsUsedOnlyAsLastResort(t *testing.T) {
 	now := time.Now()
-	registry := registryOf(Options{Now: func() time.Time { return now }}, 2)
+	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 2)
 	registry.Remove("w0")
 	require.Equal(t, "w1", choose(t, registry, Query{Home: "w0"}))
 	registry.Remove("w1")
 	choose(t, registry, Query{})
-	now = now.Add(lingering)
+	now = now.Add(lingerPeriod)
 	_, err := registry.Choose(Query{Service: "s"})
 	require.Error(t, err)
 
-	registry = registryOf(Options{Now: func() time.Time { return now }}, 1)
-	drains("w0")(registry)
+	registry = newTestRegistry(Options{Now: func() time.Time { return now }}, 1)
+	draining("w0")(registry)
 	registry.Remove("w0")
 	_, err = registry.Choose(Query{Service: "s"})
-	require.Error(t, err, "one that had said that it leaves is not used")
+	require.Error(t, err, "a draining worker does not linger")
 }
 
-func TestFailuresAreForgivenWithTime(t *testing.T) {
+// Guards against avoiding a worker forever after a single failure.
+func TestFailureRateDecays(t *testing.T) {
 	now := time.Now()
-	registry := registryOf(Options{Now: func() time.Time { return now }}, 2)
+	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 2)
 	registry.get("w0").Broke(now)
 	require.Equal(t, "w1", choose(t, registry, Query{Key: "a"}))
 	now = now.Add(time.Minute)
@@ -185,57 +192,57 @@
 	require.Len(t, seen, 2)
 }
 
-// TestLostWorkerIsLookedAtInTheBackground: no request goes to a worker out of
-// reach before a connection to it comes up again, however long that takes.
-func TestLostWorkerIsLookedAtInTheBackground(t *testing.T) {
+// Guards against sending requests to an unreachable worker before a connection to it could be
+// opened again, however long that takes.
+func TestUnreachableWorkerIsAvoidedUntilReconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reachable atomic.Bool
-		registry := registryOf(Options{Dial: func(context.Context, string) (net.Conn, error) {
+		registry := newTestRegistry(Options{Dial: func(context.Context, string) (net.Conn, error) {
 			if !reachable.Load() {
-				return nil, errors.New("no way there")
+				return nil, errors.New("unreachable")
 			}
-			ours, _ := net.Pipe()
-			return ours, nil
+			connection, _ := net.Pipe()
+			return connection, nil
 		}}, 2)
 		ctx, cancel := context.WithCancel(t.Context())
 		go registry.Run(ctx)
 		registry.get("w0").Unreachable(time.Now())
 		for range 100 {
-			require.Equal(t, "w1", choose(t, registry, turn(func(q *Query) { q.Home = "w0" })))
+			require.Equal(t, "w1", choose(t, registry, modelCall(func(q *Query) { q.Home = "w0" })))
 			time.Sleep(100 * time.Millisecond)
 		}
 		reachable.Store(true)
 		time.Sleep(time.Second)
-		require.Equal(t, "w0", choose(t, registry, turn(func(q *Query) { q.Home = "w0" })))
+		require.Equal(t, "w0", choose(t, registry, modelCall(func(q *Query) { q.Home = "w0" })))
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestLostWorkerIsUsedAgainSoon after it is back, however far it is.
-func TestLostWorkerIsUsedAgainSoon(t *testing.T) {
-	for _, takes := range []time.Duration{time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
+// Guards against avoiding a worker long after it is reachable again, even with slow connections.
+func TestReconnectedWorkerIsUsedAgain(t *testing.T) {
+	for _, dialTime := range []time.Duration{time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			var silent atomic.Bool
-			silent.Store(true)
-			registry := registryOf(Options{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
-				if silent.Load() {
+			var unresponsive atomic.Bool
+			unresponsive.Store(true)
+			registry := newTestRegistry(Options{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
+				if unresponsive.Load() {
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
-				if err := wait.For(ctx, takes); err != nil {
+				if err := wait.For(ctx, dialTime); err != nil {
 					return nil, err
 				}
-				ours, _ := net.Pipe()
-				return ours, nil
+				connection, _ := net.Pipe()
+				return connection, nil
 			}}, 2)
 			ctx, cancel := context.WithCancel(t.Context())
 			go registry.Run(ctx)
 			registry.get("w0").Unreachable(time.Now())
 			time.Sleep(4500 * time.Millisecond)
-			silent.Store(false)
+			unresponsive.Store(false)
 			time.Sleep(2 * time.Second)
-			require.Equal(t, "w0", choose(t, registry, turn(func(q *Query) { q.Home = "w0" })), takes)
+			require.Equal(t, "w0", choose(t, registry, modelCall(func(q *Query) { q.Home = "w0" })), dialTime)
 			cancel()
 			synctest.Wait()
 		})
--- a/internal/backend/connected_test.go
+++ b/internal/backend/connected_test.go
@@ -9,39 +9,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-// connectable is a registry whose workers take connections.
-func connectable(t *testing.T, workers int) *Registry {
-	return registryOf(Options{Dial: func(context.Context, string) (net.Conn, error) {
-		ours, theirs := net.Pipe()
-		t.Cleanup(func() { theirs.Close() })
-		return ours, nil
+// newConnectableRegistry returns a registry whose workers accept connections.
+func newConnectableRegistry(t *testing.T, workers int) *Registry {
+	return newTestRegistry(Options{Dial: func(context.Context, string) (net.Conn, error) {
+		client, server := net.Pipe()
+		t.Cleanup(func() { server.Close() })
+		return client, nil
 	}}, workers)
 }
 
-// connect leaves an idle connection to a worker.
+// connect opens a connection to a worker and leaves it idle.
 func connect(t *testing.T, registry *Registry, worker string) {
 	require.NoError(t, registry.get(worker).Pool().Reach(t.Context()))
 }
 
-// TestOpenConnectionsAreUsedAgain: of workers that are alike, a node asks those to which it is
-// connected for plain requests. Model calls are spread over all, and stay where their context
-// lies.
-func TestOpenConnectionsAreUsedAgain(t *testing.T) {
-	registry := connectable(t, 14)
+// Guards against opening new connections for plain requests where an equal worker has one. Model
+// calls must still be spread over all workers and stay with their cached context.
+func TestOpenConnectionsAreReused(t *testing.T) {
+	registry := newConnectableRegistry(t, 14)
 	connect(t, registry, "w9")
 	first := map[string]bool{}
 	for key := range 50 {
 		require.Equal(t, "w9", choose(t, registry, Query{Key: fmt.Sprint(key)}), "a plain request")
-		first[choose(t, registry, turn(func(q *Query) { q.Key = fmt.Sprint(key) }))] = true
+		first[choose(t, registry, modelCall(func(q *Query) { q.Key = fmt.Sprint(key) }))] = true
 	}
 	require.Greater(t, len(first), 10, "first turns")
-	require.Equal(t, "w3", choose(t, registry, turn(func(q *Query) { q.Home = "w3" })))
+	require.Equal(t, "w3", choose(t, registry, modelCall(func(q *Query) { q.Home = "w3" })))
 }
 
-// TestBusyWorkerIsNoBargain: what many of this node's requests wait at a worker for is more
-// than a new connection.
-func TestBusyWorkerIsNoBargain(t *testing.T) {
-	registry := connectable(t, 14)
+// Guards against overloading a worker just because a connection to it is open.
+func TestBusyWorkerIsAvoidedDespiteOpenConnection(t *testing.T) {
+	registry := newConnectableRegistry(t, 14)
 	connect(t, registry, "w9")
 	for range 20 {
 		registry.get("w9").Begin()
--- a/internal/backend/experience.go
+++ b/internal/backend/experience.go
@@ -12,72 +12,72 @@
 )
 
 const (
-	// sampleLasts is how old what was seen may become before it is told: older is dropped.
-	sampleLasts = 2 * time.Second
-	// verdictLasts is for how long a verdict without a time of its own counts.
-	verdictLasts = time.Second
-	// longestVerdict bounds for how long any counts: its keeper may be lost.
-	longestVerdict = 3 * time.Second
-	// freshVerdict is up to which age a verdict comes before what this node has seen since.
-	freshVerdict = 500 * time.Millisecond
-	// trialLasts is for how long a trial may wait for a request that may make it, and spareOnly for
-	// how long it is for those that may fail there and go elsewhere.
-	trialLasts = 800 * time.Millisecond
-	spareOnly  = 200 * time.Millisecond
-	// largestCost and largestSlowness bound what a verdict may claim.
-	largestCost     = time.Second
-	largestSlowness = 100
+	// sampleTTL is the age at which unreported observations are dropped.
+	sampleTTL = 2 * time.Second
+	// verdictTTL is how long a verdict that names no time stays valid.
+	verdictTTL = time.Second
+	// maxVerdictTTL bounds the validity of any verdict, since the node that issues them may be lost.
+	maxVerdictTTL = 3 * time.Second
+	// verdictPrecedence is the age up to which a verdict overrides newer observations of this node.
+	verdictPrecedence = 500 * time.Millisecond
+	// trialTTL is how long a trial may wait for a suitable request. During the first
+	// spareOnlyPeriod it is reserved for requests that can be retried at another worker.
+	trialTTL        = 800 * time.Millisecond
+	spareOnlyPeriod = 200 * time.Millisecond
+	// maxCost and maxSlowness bound the values of a verdict.
+	maxCost     = time.Second
+	maxSlowness = 100
 )
 
-// seen is what this node has seen of a worker and not told yet.
-type seen struct {
-	since    time.Time // of the first of it; zero: nothing is there to tell
-	requests int
-	failures int
-	silences int
-	paced    int
-	spent    time.Duration // on the tokens paced
+// observations are this node's unreported observations of a worker.
+type observations struct {
+	since          time.Time // time of the first one; zero: none
+	requests       int
+	failures       int
+	silences       int
+	tokenSamples   int
+	tokenTimeTotal time.Duration // sum over tokenSamples
 }
 
-// verdict is what all nodes together say of a worker.
+// verdict is the current assessment of a worker by all nodes together.
 type verdict struct {
-	at       time.Time // when it came; zero: none did
-	until    time.Time // for how long the worker gets no requests but trials
-	lapses   time.Time
-	slowness float64 // of a token, as a multiple of what one takes elsewhere; 0: alike
-	cost     time.Duration
+	receivedAt   time.Time // zero: there is no verdict
+	ejectedUntil time.Time // until then the worker gets no requests but trials
+	expiresAt    time.Time
+	slowness     float64 // time per token as a multiple of the usual one; 0: not slow
+	cost         time.Duration
 }
 
-// inForce reports whether a verdict counts, given when this node last saw the worker for itself.
-func (v verdict) inForce(seen, now time.Time) bool {
-	if !now.Before(v.lapses) {
+// inForce reports whether a verdict applies, given the time of this node's newest observation.
+func (v verdict) inForce(observed, now time.Time) bool {
+	if !now.Before(v.expiresAt) {
 		return false
 	}
-	return now.Sub(v.at) < freshVerdict || !seen.After(v.at)
+	return now.Sub(v.receivedAt) < verdictPrecedence || !observed.After(v.receivedAt)
 }
 
-// untold are the workers of which there is something to tell, by service. Its mutex may be taken
-// while a worker's is held.
-type untold struct {
+// unreportedWorkers is the set of workers with unreported observations, by service. Its mutex may be
+// locked while a worker's is held.
+type unreportedWorkers struct {
 	mutex    sync.Mutex
 	services map[string]map[*Worker]struct{}
 }
 
-// trials are the workers that this node may try for all nodes. A worker's mutex may be taken while
-// that of the trials is held.
+// trials are the trial requests assigned to this node. A worker's mutex may be locked while that of
+// trials is held.
 type trials struct {
-	mutex   sync.Mutex
-	all     []trial
-	waiting atomic.Int32
+	mutex sync.Mutex
+	all   []trial
+	count atomic.Int32
 }
 
-// trial is the right to send one request to a worker that gets no others.
+// trial is the right to send one request to an ejected worker, to find out whether it has recovered.
 type trial struct {
 	worker *Worker
 	until  time.Time
 }
 
-func (u *untold) add(worker *Worker) {
+func (u *unreportedWorkers) add(worker *Worker) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	workers, ok := u.services[worker.service]
@@ -88,13 +88,13 @@
 	workers[worker] = struct{}{}
 }
 
-func (u *untold) drop(worker *Worker) {
+func (u *unreportedWorkers) drop(worker *Worker) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	delete(u.services[worker.service], worker)
 }
 
-func (u *untold) take(service string) map[*Worker]struct{} {
+func (u *unreportedWorkers) take(service string) map[*Worker]struct{} {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
 	workers := u.services[service]
@@ -107,10 +107,10 @@
 	defer t.mutex.Unlock()
 	t.all = slices.DeleteFunc(t.all, func(known trial) bool { return known.worker == worker })
 	t.all = append(t.all, trial{worker: worker, until: until})
-	t.waiting.Store(int32(len(t.all)))
+	t.count.Store(int32(len(t.all)))
 }
 
-// take returns the first trial that a request may make, and drops those whose time is over.
+// take removes and returns the first trial for which may is true. It drops expired trials.
 func (t *trials) take(now time.Time, may func(trial) bool) (*Worker, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -120,61 +120,61 @@
 		worker = t.all[index].worker
 		t.all = slices.Delete(t.all, index, index+1)
 	}
-	t.waiting.Store(int32(len(t.all)))
+	t.count.Store(int32(len(t.all)))
 	return worker, worker != nil
 }
 
-// note begins what is to be told anew where nothing is, or what is there is old. The caller holds
-// the worker's mutex.
-func (w *Worker) note(now time.Time) *seen {
-	if now.Sub(w.seen.since) > sampleLasts {
-		w.seen = seen{since: now}
-		if !w.gone {
-			w.registry.untold.add(w)
+// observe returns the worker's unreported observations, starting anew if there are none or they are
+// too old. The caller holds the worker's mutex.
+func (w *Worker) observe(now time.Time) *observations {
+	if now.Sub(w.unreported.since) > sampleTTL {
+		w.unreported = observations{since: now}
+		if !w.removed {
+			w.registry.unreported.add(w)
 		}
 	}
-	return &w.seen
+	return &w.unreported
 }
 
-// noteEnded notes that a request ended. The caller holds the worker's mutex.
-func (w *Worker) noteEnded(now time.Time, failures int) {
-	known := w.note(now)
-	known.requests++
-	known.failures += failures
+// recordOutcome counts a request that has ended. The caller holds the worker's mutex.
+func (w *Worker) recordOutcome(now time.Time, failures int) {
+	observed := w.observe(now)
+	observed.requests++
+	observed.failures += failures
 }
 
-// FellSilent notes a request that got no first event within what is usual.
+// FellSilent records a request whose first event is overdue.
 func (w *Worker) FellSilent(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.note(now).silences++
+	w.observe(now).silences++
 }
 
-// takeSample returns what was seen and not told yet; ok is false if there is nothing.
+// takeSample returns and resets the unreported observations; ok is false if there are none.
 func (w *Worker) takeSample(now time.Time) (sample experience.Sample, ok bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known := w.seen
-	w.seen = seen{}
-	if known.since.IsZero() || now.Sub(known.since) > sampleLasts {
+	known := w.unreported
+	w.unreported = observations{}
+	if known.since.IsZero() || now.Sub(known.since) > sampleTTL {
 		return sample, false
 	}
 	sample = experience.Sample{
 		Worker: w.key, Requests: known.requests, Failures: known.failures,
-		Silences: known.silences, Paced: known.paced,
+		Silences: known.silences, Paced: known.tokenSamples,
 	}
-	if known.paced > 0 {
-		sample.Pace = known.spent / time.Duration(known.paced)
+	if known.tokenSamples > 0 {
+		sample.Pace = known.tokenTimeTotal / time.Duration(known.tokenSamples)
 	}
 	return sample, true
 }
 
-// TakeSamples returns what was seen of a service's workers since it was last taken. What is not
-// taken for long is dropped.
+// TakeSamples returns what was observed of a service's workers since the last call. Observations older
+// than sampleTTL are dropped.
 func (r *Registry) TakeSamples(service string) []experience.Sample {
 	now := r.options.Now()
 	var samples []experience.Sample
-	for worker := range r.untold.take(service) {
+	for worker := range r.unreported.take(service) {
 		if sample, ok := worker.takeSample(now); ok {
 			samples = append(samples, sample)
 		}
@@ -182,58 +182,59 @@
 	return samples
 }
 
-// NoteVerdicts takes over what all nodes together have seen of workers.
+// NoteVerdicts applies verdicts that combine the observations of all nodes.
 func (r *Registry) NoteVerdicts(verdicts []experience.Verdict) {
 	now := r.options.Now()
-	for _, said := range verdicts {
-		worker, ok := r.byKey(said.Worker)
+	for _, received := range verdicts {
+		worker, ok := r.byKey(received.Worker)
 		if !ok {
 			continue
 		}
-		worker.noteVerdict(said, now)
-		if said.Trial {
-			r.trials.add(worker, now.Add(trialLasts))
+		worker.noteVerdict(received, now)
+		if received.Trial {
+			r.trials.add(worker, now.Add(trialTTL))
 		}
 	}
 }
 
-func (w *Worker) noteVerdict(said experience.Verdict, now time.Time) {
+func (w *Worker) noteVerdict(received experience.Verdict, now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if said.Clear() && !w.verdict.at.IsZero() {
-		w.step = 0 // it was measured while the worker was in trouble
+	if received.Clear() && !w.verdict.receivedAt.IsZero() {
+		w.tokenTime = 0 // it was measured while the worker was impaired
 	}
-	if said.Clear() {
+	if received.Clear() {
 		w.verdict = verdict{}
 		return
 	}
-	until := min(max(said.Until, 0), longestVerdict)
-	next := verdict{at: now, until: now.Add(until), lapses: now.Add(max(until, verdictLasts))}
-	if said.Slow > 1 {
-		next.slowness = min(said.Slow, largestSlowness)
+	until := min(max(received.Until, 0), maxVerdictTTL)
+	next := verdict{receivedAt: now, ejectedUntil: now.Add(until), expiresAt: now.Add(max(until, verdictTTL))}
+	if received.Slow > 1 {
+		next.slowness = min(received.Slow, maxSlowness)
 	}
-	next.cost = min(max(said.Cost, 0), largestCost)
+	next.cost = min(max(received.Cost, 0), maxCost)
 	w.verdict = next
 }
 
 // ejected reports whether the worker gets no requests but trials. The caller holds its mutex.
 func (w *Worker) ejected(now time.Time) bool {
-	return now.Before(w.verdict.until) && w.verdict.inForce(w.answeredAt, now)
+	return now.Before(w.verdict.ejectedUntil) && w.verdict.inForce(w.lastOutcomeAt, now)
 }
 
-// cost is what all nodes together expect a request there to cost beyond others, and how many times
-// as long a token takes; 0: they do not tell. The caller holds the worker's mutex.
+// cost returns the extra cost that the verdict predicts for a request to this worker, and its time per
+// token as a multiple of the usual one. Zero means that no verdict applies. The caller holds the
+// worker's mutex.
 func (w *Worker) cost(now time.Time) (cost time.Duration, slowness float64) {
-	if w.verdict.inForce(w.answeredAt, now) {
+	if w.verdict.inForce(w.lastOutcomeAt, now) {
 		cost = w.verdict.cost
 	}
-	if w.verdict.inForce(w.pacedAt, now) {
+	if w.verdict.inForce(w.tokenTimeAt, now) {
 		slowness = w.verdict.slowness
 	}
 	return cost, slowness
 }
 
-// slowness is that of cost.
+// slowness returns the second result of cost.
 func (w *Worker) slowness(now time.Time) float64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -241,33 +242,33 @@
 	return slowness
 }
 
-// Ejected reports whether all nodes together keep requests from the worker.
+// Ejected reports whether the verdict of all nodes excludes the worker from requests other than trials.
 func (w *Worker) Ejected(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.ejected(now)
 }
 
-// Trial is a worker that a request is to try for all nodes: one that has no context elsewhere, and
-// may fail there and go to another worker. If none such comes soon, a program's first turn is to,
-// of which least is lost. A trial is given out once.
+// Trial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
+// cached context at another worker and can be retried elsewhere. If none comes within spareOnlyPeriod,
+// a program's first turn is used, which loses least. Each trial is handed out once.
 func (r *Registry) Trial(query Query) (*Worker, bool) {
-	if r.trials.waiting.Load() == 0 || !query.Spare && !query.Begins || len(query.Only) > 0 {
+	if r.trials.count.Load() == 0 || !query.Spare && !query.Begins || len(query.Only) > 0 {
 		return nil, false
 	}
 	now := r.options.Now()
 	return r.trials.take(now, func(trial trial) bool {
 		worker := trial.worker
-		return (query.Spare || trial.until.Sub(now) <= trialLasts-spareOnly) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
+		return (query.Spare || trial.until.Sub(now) <= trialTTL-spareOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
 			(query.Home == "" || query.Home == worker.key) &&
 			!slices.Contains(query.Exclude, worker.key) &&
 			r.Check(worker, query.Regions) == permit.Allowed && worker.triable(now)
 	})
 }
 
-// triable reports whether the worker is on the list and nothing that this node saw speaks against it.
+// triable reports whether the worker is on the list and this node does not avoid it or see it at capacity.
 func (w *Worker) triable(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return !w.gone && !now.Before(w.avoidUntil) && !now.Before(w.busyUntil)
+	return !w.removed && !now.Before(w.avoidUntil) && !now.Before(w.busyUntil)
 }
--- a/internal/backend/experience_test.go
+++ b/internal/backend/experience_test.go
@@ -11,22 +11,23 @@
 	"github.com/cloverwheel/cloverwheel/internal/experience"
 )
 
-// clocked is a registry whose clock stands still.
-type clocked struct {
+// clockedRegistry is a registry with a manual clock.
+type clockedRegistry struct {
 	*Registry
 	now time.Time
 }
 
-func clockedOf(count int, zones ...string) *clocked {
-	c := &clocked{now: time.Unix(1000, 0)}
-	c.Registry = registryOf(Options{Now: func() time.Time { return c.now }}, count, zones...)
+func newClockedRegistry(count int, zones ...string) *clockedRegistry {
+	c := &clockedRegistry{now: time.Unix(1000, 0)}
+	c.Registry = newTestRegistry(Options{Now: func() time.Time { return c.now }}, count, zones...)
 	return c
 }
 
-func (c *clocked) pass(time time.Duration) { c.now = c.now.Add(time) }
+func (c *clockedRegistry) advance(time time.Duration) { c.now = c.now.Add(time) }
 
-func TestSamplesTellWhatWasSeenSinceTheLast(t *testing.T) {
-	registry := clockedOf(3)
+// Guards against reporting observations twice, or with those of another service.
+func TestTakeSamplesReturnsNewObservations(t *testing.T) {
+	registry := newClockedRegistry(3)
 	registry.Put(Record{ID: "other", Service: "t", Zone: "z"})
 	require.Empty(t, registry.TakeSamples("s"))
 	worker := registry.get("w1")
@@ -44,11 +45,11 @@
 	require.Len(t, registry.TakeSamples("t"), 1)
 }
 
-// TestSamplesThatNobodyTakes are dropped, as are those of workers that are gone.
-func TestSamplesThatNobodyTakes(t *testing.T) {
-	registry := clockedOf(3)
+// Guards against reporting samples that are too old or of removed workers, and against keeping them.
+func TestStaleSamplesAreDropped(t *testing.T) {
+	registry := newClockedRegistry(3)
 	registry.get("w0").Broke(registry.now)
-	registry.pass(sampleLasts + 1)
+	registry.advance(sampleTTL + 1)
 	registry.get("w0").Answered()
 	registry.get("w1").Answered()
 	gone := registry.get("w1")
@@ -56,16 +57,16 @@
 	gone.Broke(registry.now)
 	require.Equal(t, []experience.Sample{{Worker: "w0", Requests: 1}}, registry.TakeSamples("s"))
 	registry.get("w0").Answered()
-	registry.pass(sampleLasts + 1)
+	registry.advance(sampleTTL + 1)
 	require.Empty(t, registry.TakeSamples("s"))
-	require.Empty(t, registry.untold.services)
+	require.Empty(t, registry.unreported.services)
 }
 
-// chosen is how often each worker is chosen for programs' first turns.
-func (c *clocked) chosen(t *testing.T, change func(*Query)) map[string]int {
+// chosen counts how often each worker is chosen for first turns of programs.
+func (c *clockedRegistry) chosen(t *testing.T, change func(*Query)) map[string]int {
 	counts := map[string]int{}
 	for program := range 300 {
-		counts[choose(t, c.Registry, turn(func(q *Query) {
+		counts[choose(t, c.Registry, modelCall(func(q *Query) {
 			q.Key = fmt.Sprint(program)
 			if change != nil {
 				change(q)
@@ -75,94 +76,96 @@
 	return counts
 }
 
-func TestVerdictsKeepRequestsAway(t *testing.T) {
-	for name, said := range map[string]experience.Verdict{
+// Guards against verdicts that have no effect, outlive their time or cannot be revoked.
+func TestVerdictsDivertRequests(t *testing.T) {
+	for name, verdict := range map[string]experience.Verdict{
 		"ejected": {Until: time.Second},
 		"slow":    {Slow: 5},
 		"costly":  {Cost: 100 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			registry := clockedOf(4)
-			said.Worker = "w1"
-			registry.NoteVerdicts([]experience.Verdict{said, {Worker: "unknown", Until: time.Second}})
+			registry := newClockedRegistry(4)
+			verdict.Worker = "w1"
+			registry.NoteVerdicts([]experience.Verdict{verdict, {Worker: "unknown", Until: time.Second}})
 			require.Zero(t, registry.chosen(t, nil)["w1"])
-			require.Equal(t, said.Until > 0, registry.get("w1").Ejected(registry.now))
-			registry.pass(longestVerdict)
+			require.Equal(t, verdict.Until > 0, registry.get("w1").Ejected(registry.now))
+			registry.advance(maxVerdictTTL)
 			require.False(t, registry.get("w1").Ejected(registry.now))
-			require.Positive(t, registry.chosen(t, nil)["w1"], "it has lapsed")
-			registry.NoteVerdicts([]experience.Verdict{said})
+			require.Positive(t, registry.chosen(t, nil)["w1"], "the verdict has expired")
+			registry.NoteVerdicts([]experience.Verdict{verdict})
 			require.Zero(t, registry.chosen(t, nil)["w1"])
 			registry.NoteVerdicts([]experience.Verdict{{Worker: "w1"}})
-			require.Positive(t, registry.chosen(t, nil)["w1"], "it was taken back")
+			require.Positive(t, registry.chosen(t, nil)["w1"], "the verdict was revoked")
 		})
 	}
 }
 
-func TestEjectedWorkersAreUsedForWantOfOthers(t *testing.T) {
-	registry := clockedOf(2)
+// Guards against refusing requests when all workers are ejected.
+func TestEjectedWorkersAreUsedAsLastResort(t *testing.T) {
+	registry := newClockedRegistry(2)
 	registry.NoteVerdicts([]experience.Verdict{{Worker: "w0", Until: time.Second}, {Worker: "w1", Until: time.Second}})
 	require.Len(t, registry.chosen(t, nil), 2)
 }
 
-// TestOwnNewestWordComesBeforeAnOldVerdict, and a fresh verdict before that.
-func TestOwnNewestWordComesBeforeAnOldVerdict(t *testing.T) {
-	registry := clockedOf(4)
-	registry.NoteVerdicts([]experience.Verdict{{Worker: "w1", Until: longestVerdict}})
-	registry.pass(time.Millisecond)
+// A verdict must win over this node's observations while it is fresh, and lose to newer ones after.
+func TestNewerObservationOverridesOldVerdict(t *testing.T) {
+	registry := newClockedRegistry(4)
+	registry.NoteVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
+	registry.advance(time.Millisecond)
 	registry.get("w1").Answered()
 	require.Zero(t, registry.chosen(t, nil)["w1"])
-	registry.pass(freshVerdict)
+	registry.advance(verdictPrecedence)
 	require.Positive(t, registry.chosen(t, nil)["w1"])
-	registry.NoteVerdicts([]experience.Verdict{{Worker: "w1", Until: longestVerdict}})
+	registry.NoteVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
 	require.Zero(t, registry.chosen(t, nil)["w1"])
-	registry.pass(freshVerdict)
-	require.Zero(t, registry.chosen(t, nil)["w1"], "nothing was seen since")
+	registry.advance(verdictPrecedence)
+	require.Zero(t, registry.chosen(t, nil)["w1"], "there is no newer observation")
 }
 
-// TestPaceOfATimeOfTroubleIsForgotten with the verdict that takes that back.
-func TestPaceOfATimeOfTroubleIsForgotten(t *testing.T) {
-	registry := clockedOf(4)
-	slow("w3")(registry.Registry)
+// Guards against avoiding a recovered worker because of token times measured while it was slow.
+func TestClearVerdictResetsTokenTime(t *testing.T) {
+	registry := newClockedRegistry(4)
+	slowed("w3")(registry.Registry)
 	require.Zero(t, registry.chosen(t, nil)["w3"])
 	registry.NoteVerdicts([]experience.Verdict{{Worker: "w3", Slow: 5}})
 	registry.NoteVerdicts([]experience.Verdict{{Worker: "w3"}})
 	require.Positive(t, registry.chosen(t, nil)["w3"])
 }
 
-// TestTrialIsMadeOnce by a request that may fail there, and has no context elsewhere.
-func TestTrialIsMadeOnce(t *testing.T) {
-	registry := clockedOf(4)
-	may := experience.Verdict{Worker: "w1", Until: longestVerdict, Trial: true}
-	registry.NoteVerdicts([]experience.Verdict{may})
+// Guards against trials that reach the worker more than once or by an unsuitable request.
+func TestTrialIsHandedOutOnce(t *testing.T) {
+	registry := newClockedRegistry(4)
+	trial := experience.Verdict{Worker: "w1", Until: maxVerdictTTL, Trial: true}
+	registry.NoteVerdicts([]experience.Verdict{trial})
 	spare := func(q *Query) { q.Spare = true }
-	require.Zero(t, registry.chosen(t, nil)["w1"], "none that may not fail")
+	require.Zero(t, registry.chosen(t, nil)["w1"], "a request that cannot be retried makes no trial")
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Spare, q.Home = true, "w2" })["w1"])
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Spare, q.Only = true, []string{"w2"} })["w1"])
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Spare, q.Exclude = true, []string{"w1"} })["w1"])
 	require.Equal(t, 1, registry.chosen(t, spare)["w1"])
-	registry.NoteVerdicts([]experience.Verdict{may})
-	registry.pass(trialLasts)
-	require.Zero(t, registry.chosen(t, spare)["w1"], "it was for a moment")
-	registry.NoteVerdicts([]experience.Verdict{may})
+	registry.NoteVerdicts([]experience.Verdict{trial})
+	registry.advance(trialTTL)
+	require.Zero(t, registry.chosen(t, spare)["w1"], "the trial has expired")
+	registry.NoteVerdicts([]experience.Verdict{trial})
 	begins := func(q *Query) { q.Begins = true }
-	require.Zero(t, registry.chosen(t, begins)["w1"], "others come first")
-	registry.pass(spareOnly)
+	require.Zero(t, registry.chosen(t, begins)["w1"], "requests that can be retried come first")
+	registry.advance(spareOnlyPeriod)
 	require.Equal(t, 1, registry.chosen(t, begins)["w1"])
-	registry.NoteVerdicts([]experience.Verdict{may})
-	drains("w1")(registry.Registry)
+	registry.NoteVerdicts([]experience.Verdict{trial})
+	draining("w1")(registry.Registry)
 	require.Zero(t, registry.chosen(t, spare)["w1"])
 }
 
-// TestVerdictsAreBounded: they come from another process.
+// Verdicts come from another process, so out-of-range values must be bounded.
 func TestVerdictsAreBounded(t *testing.T) {
-	registry := clockedOf(4)
+	registry := newClockedRegistry(4)
 	registry.NoteVerdicts([]experience.Verdict{
 		{Worker: "w0", Until: time.Hour, Cost: time.Hour, Slow: math.Inf(1)},
 		{Worker: "w1", Until: -time.Hour, Cost: -time.Hour, Slow: math.NaN()},
 	})
 	bounded := registry.get("w0").verdict
-	require.Equal(t, registry.now.Add(longestVerdict), bounded.lapses)
-	require.Equal(t, largestCost, bounded.cost)
-	require.Equal(t, float64(largestSlowness), bounded.slowness)
+	require.Equal(t, registry.now.Add(maxVerdictTTL), bounded.expiresAt)
+	require.Equal(t, maxCost, bounded.cost)
+	require.Equal(t, float64(maxSlowness), bounded.slowness)
 	require.Positive(t, registry.chosen(t, nil)["w1"])
 }
--- a/internal/backend/group.go
+++ b/internal/backend/group.go
@@ -7,16 +7,16 @@
 	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
-// ID names the worker's entry in the list.
+// ID returns the worker's ID in the worker list.
 func (w *Worker) ID() string { return w.id }
 
-// Zone is where the worker stands.
+// Zone returns the worker's zone.
 func (w *Worker) Zone() string { return w.zone }
 
-// Service is whose worker it is.
+// Service returns the worker's service.
 func (w *Worker) Service() string { return w.service }
 
-// OfZone lists the workers of a service on the list that stand in a zone.
+// OfZone returns the listed workers of a service that are in a zone.
 func (r *Registry) OfZone(service, zone string) []*Worker {
 	r.mutex.Lock()
 	known := r.services[service]
@@ -30,7 +30,7 @@
 	return there
 }
 
-// ZonesOf lists the zones in which workers of a service stand or have stood. The slice must not be
+// ZonesOf returns the zones in which a service has workers or has had them. The slice must not be
 // changed.
 func (r *Registry) ZonesOf(service string) []string {
 	r.mutex.Lock()
@@ -38,24 +38,25 @@
 	return r.services[service].zones
 }
 
-// WorkerOf is the worker of a key on the list.
+// WorkerOf returns the listed worker with a key.
 func (r *Registry) WorkerOf(key string) (*Worker, bool) { return r.byKey(key) }
 
-// Takes reports whether a worker may get any request that its region may serve.
+// Takes reports whether a worker may get requests, regions of the request apart.
 func (r *Registry) Takes(worker *Worker) bool { return r.Check(worker, nil) == permit.Allowed }
 
-// RoundTripTo is how long a message to a zone and its answer are taken to last; 0 to the node's.
-func (r *Registry) RoundTripTo(zone string) time.Duration { return r.ways.RoundTrip(zone) }
+// RoundTripTo returns the estimated round trip to a zone; 0 to the node's own.
+func (r *Registry) RoundTripTo(zone string) time.Duration { return r.roundTrips.RoundTrip(zone) }
 
-// Shunned reports whether this node has just seen the worker fail, or heard that it is full, or all
-// nodes together keep requests from it.
+// Shunned reports whether the worker is being avoided after failures or a refusal at this node, or is
+// ejected by the verdict of all nodes.
 func (w *Worker) Shunned(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return now.Before(w.avoidUntil) || now.Before(w.busyUntil) || w.ejected(now)
 }
 
-// Opens returns whether a zone's workers may get a request that may be served in regions.
+// Opens returns a function that reports whether a zone's workers may get a request that may be served in
+// the given regions.
 func (r *Registry) Opens(regions locality.Regions) func(zone string) bool {
 	return func(zone string) bool { return !r.zoneVerdict(zone, regions).Refused() }
 }
--- a/internal/backend/keepers_test.go
+++ b/internal/backend/keepers_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keepersRegistry has workers in two zones of the node's region and in one of another; of each, four
-// are keepers.
-func keepersRegistry() (registry *Registry, keepers []string) {
-	updates := fleet(200, "z", "a2", "b1")
+// newKeepersRegistry has workers in two zones of the node's region and in one zone of another region.
+// Four workers of each zone are assigned to cache the shared prefix.
+func newKeepersRegistry() (registry *Registry, keepers []string) {
+	updates := fleetUpdates(200, "z", "a2", "b1")
 	registry = NewRegistry(Options{Zone: "z", Places: testPlaces()})
 	registry.Apply(updates)
 	for _, update := range updates[:12] {
@@ -20,10 +20,10 @@
 	return registry, keepers
 }
 
-// TestFirstTurnsGoToKeepers of what their prompts share: to those of the zone first, to others of the
-// region while these are full, and to workers that must read it only once all are.
-func TestFirstTurnsGoToKeepers(t *testing.T) {
-	registry, keepers := keepersRegistry()
+// First turns must go to prefix workers of the node's zone, then of its region while those are full, and
+// to workers that must prefill the prefix only when all are.
+func TestFirstTurnsGoToPrefixWorkers(t *testing.T) {
+	registry, keepers := newKeepersRegistry()
 	zoneOf := func(worker *Worker) string { return worker.zone }
 	first := func(program int) *Worker {
 		query := Query{Service: "s", Key: fmt.Sprint("program", program), Prompt: 14_000, Shared: 12_600, Output: 100, Keepers: keepers}
@@ -38,7 +38,7 @@
 		require.Equal(t, "z", zoneOf(worker))
 		seen[worker.id] = true
 	}
-	require.Len(t, seen, 4, "all of the zone's share the work")
+	require.Len(t, seen, 4, "all prefix workers of the zone share the load")
 	for _, id := range keepers {
 		if worker := registry.get(id); worker.zone == "z" {
 			worker.Declined(time.Now().Add(time.Minute))
@@ -47,7 +47,7 @@
 	for program := range 20 {
 		worker := first(program)
 		require.Contains(t, keepers, worker.id)
-		require.Equal(t, "a2", zoneOf(worker), "no other region's")
+		require.Equal(t, "a2", zoneOf(worker), "workers of other regions are not used")
 	}
 	for _, id := range keepers {
 		registry.get(id).Declined(time.Now().Add(time.Minute))
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestHomeComesBeforeKeepers: it has more of the context.
-func TestHomeComesBeforeKeepers(t *testing.T) {
-	registry, keepers := keepersRegistry()
+// Guards against moving a program from its cached context, which is larger than the shared prefix.
+func TestHomeComesBeforePrefixWorkers(t *testing.T) {
+	registry, keepers := newKeepersRegistry()
 	home := registry.Of("s")[50].key
 	worker, err := registry.Choose(Query{Service: "s", Key: "p", Prompt: 14_000, Shared: 12_600, Home: home, Keepers: keepers})
 	require.NoError(t, err)
--- a/internal/backend/patience.go
+++ b/internal/backend/latency.go
@@ -2,13 +2,13 @@
 
 import "github.com/cloverwheel/cloverwheel/internal/wait"
 
-// Silences are how long the workers of a service usually say nothing.
+// Silences estimates how long the workers of a service usually send nothing.
 type Silences struct {
-	First wait.Estimate // from the request to the first piece of its answer
-	Next  wait.Estimate // between two pieces
+	First wait.Estimate // from the request to the first chunk of its answer
+	Next  wait.Estimate // between two chunks
 }
 
-// Silences returns those of a service's workers.
+// Silences returns the estimates for a service, creating them on first use.
 func (r *Registry) Silences(service string) *Silences {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/patience_test.go
+++ b/internal/backend/latency_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSilencesAreOfOneService(t *testing.T) {
+// Guards against mixing the latencies of services.
+func TestLatencyEstimatesArePerService(t *testing.T) {
 	registry := NewRegistry(Options{})
 	registry.Silences("a").First.Observe(time.Second)
 	require.Equal(t, time.Second, registry.Silences("a").First.Longest(0, time.Second))
--- /dev/null
+++ b/internal/backend/reconnect.go
@@ -0,0 +1,72 @@
+package backend
+
+import (
+	"context"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"github.com/cloverwheel/cloverwheel/internal/wait"
+)
+
+const (
+	// unreachableBacklog bounds the queue of workers to reconnect to. Workers that do not fit in
+	// are only avoided for a time.
+	unreachableBacklog = 64
+	// reconnectInterval is the time between two attempts to connect to an unreachable worker.
+	reconnectInterval = 300 * time.Millisecond
+	// reconnectTimeout bounds one attempt.
+	reconnectTimeout = 150 * time.Millisecond
+)
+
+// reportUnreachable queues a worker for Run. It does nothing if the queue is full.
+func (r *Registry) reportUnreachable(worker *Worker) {
+	select {
+	case r.unreachable <- worker:
+	default:
+	}
+}
+
+// Run monitors unreachable workers until ctx ends. Requests avoid such a worker until a connection
+// to it can be opened again.
+func (r *Registry) Run(ctx context.Context) {
+	var group errgroup.Group
+	defer func() { _ = group.Wait() }()
+	watched := map[*Worker]bool{}
+	back := make(chan *Worker)
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case worker := <-back:
+			delete(watched, worker)
+		case worker := <-r.unreachable:
+			if watched[worker] {
+				continue
+			}
+			watched[worker] = true
+			group.Go(func() error {
+				r.reconnect(ctx, worker)
+				select {
+				case back <- worker:
+				case <-ctx.Done():
+				}
+				return nil
+			})
+		}
+	}
+}
+
+// reconnect returns when the worker accepts connections again, is draining or removed, or ctx ends.
+func (r *Registry) reconnect(ctx context.Context, worker *Worker) {
+	for wait.For(ctx, reconnectInterval) == nil && !worker.Leaving() {
+		limited, cancel := context.WithTimeout(ctx, reconnectTimeout)
+		err := worker.Pool().Reach(limited)
+		cancel()
+		if err == nil {
+			worker.markReachable()
+			return
+		}
+		worker.extendAvoidance(r.options.Now().Add(2 * (reconnectInterval + reconnectTimeout)))
+	}
+}
--- a/internal/backend/record.go
+++ b/internal/backend/record.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// Record is what the list of workers says of one.
+// Record is a worker's entry in the worker list.
 type Record struct {
-	// ID names the worker. One that starts again may have the ID that it had before; it knows
-	// nothing of before then.
+	// ID identifies the worker. A restarted worker may keep its ID, but it has lost all cached
+	// state.
 	ID string
-	// Born is when the worker's process started, by its own clock; zero: it does not say.
+	// Born is when the worker's process started, by the worker's clock; zero: not announced.
 	Born     time.Time
 	Service  string
 	Address  string // IP:PORT
 	Zone     string
 	Slots    int
 	Draining bool
-	// ColdLeft is how much longer the worker bore little when the list last took its word.
+	// ColdLeft is the remaining cold start, during which the worker can take little load, as of
+	// its last report to the list.
 	ColdLeft time.Duration
-	// Revision of the entry rises with each change; older entries are passed over.
+	// Revision rises with each change of the entry. Entries with a lower one are ignored.
 	Revision uint64
 }
 
-// Key names the incarnation, in the same way on all nodes: by the worker's ID and its start,
-// where it tells that. What is remembered of a worker is remembered under its key.
+// Key identifies one process of the worker, in the same way on all nodes: by the worker's ID and,
+// if it is announced, the start time. Cached context is recorded under this key.
 func (r Record) Key() string {
 	if r.Born.IsZero() {
 		return r.ID
@@ -33,10 +34,10 @@
 	return r.ID + "@" + strconv.FormatInt(r.Born.UnixMilli(), 10)
 }
 
-// IDOf is the ID of the worker that a key names an incarnation of.
+// IDOf returns the worker ID that a key was made from.
 func IDOf(key string) string {
-	id, born, ok := cutLast(key, "@")
-	if _, err := strconv.ParseInt(born, 10, 64); !ok || err != nil {
+	id, startTime, ok := cutLast(key, "@")
+	if _, err := strconv.ParseInt(startTime, 10, 64); !ok || err != nil {
 		return key
 	}
 	return id
@@ -50,13 +51,14 @@
 	return text[:index], text[index+len(separator):], true
 }
 
-// sameProcess reports whether two entries of a worker's ID are of the same process. One that
-// does not say when it started is known by its place alone.
+// sameProcess reports whether two entries with the same ID describe the same process. Without a
+// start time, address, service and zone decide.
 func (r Record) sameProcess(other Record) bool {
 	return r.Born.Equal(other.Born) && r.Address == other.Address && r.Service == other.Service && r.Zone == other.Zone
 }
 
-// precedes reports whether an entry is of a process that had started before another's.
+// precedes reports whether r's process started before that of other. It is false if a start time
+// is missing.
 func (r Record) precedes(other Record) bool {
 	return !r.Born.IsZero() && !other.Born.IsZero() && r.Born.Before(other.Born)
 }
--- /dev/null
+++ b/internal/backend/region.go
@@ -0,0 +1,73 @@
+package backend
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cloverwheel/cloverwheel/internal/locality"
+	"github.com/cloverwheel/cloverwheel/internal/permit"
+)
+
+// Reason is why a request goes to a worker of another region.
+type Reason string
+
+// The reasons. A request that stays in its region has none (the zero value).
+const (
+	ReasonHome Reason = "home" // the worker has the request's context cached
+	ReasonFull Reason = "full" // no worker of the region has capacity now
+	ReasonNone Reason = "none" // the region has no worker of the service that may get the request
+	// ReasonFree means that a worker of the region had capacity. It is expected only when one became
+	// free a moment ago, or when a request resumes at the worker that ran it.
+	ReasonFree Reason = "free"
+)
+
+// Way returns the distance to a worker and, if it is in another region, the reason for choosing it.
+func (r *Registry) Way(worker *Worker, query Query) (locality.Distance, Reason) {
+	distance := worker.distance
+	if distance != locality.OtherRegion {
+		return distance, ""
+	}
+	known := r.rosterOf(query.Service)
+	near := known.workers[:known.sameRegion]
+	switch {
+	case query.Home == worker.key:
+		return distance, ReasonHome
+	case !slices.ContainsFunc(near, func(w *Worker) bool { return !r.Check(w, query.Regions).Refused() }):
+		return distance, ReasonNone
+	case r.anyFree(near, query):
+		return distance, ReasonFree
+	default:
+		return distance, ReasonFull
+	}
+}
+
+// RoundTrip returns the estimated round trip to a worker; 0 in the node's own zone.
+func (r *Registry) RoundTrip(worker *Worker) time.Duration {
+	return r.roundTrips.RoundTrip(worker.zone)
+}
+
+// homeInRegion returns the worker that has the request's context cached if it is in this node's region.
+// A worker of another region gets no preference beyond its cost of round trip and prefill, since a
+// program that stays there pays the round trip for each of its turns.
+func (r *Registry) homeInRegion(query Query) string {
+	if home, ok := r.byKey(query.Home); ok && home.distance == locality.OtherRegion {
+		return ""
+	}
+	return query.Home
+}
+
+// anyFree reports whether some worker is believed to have capacity for a request now.
+func (r *Registry) anyFree(workers []*Worker, query Query) bool {
+	now := r.options.Now()
+	return slices.ContainsFunc(workers, func(w *Worker) bool {
+		return w.free(now) && !slices.Contains(query.Exclude, w.key) && r.Check(w, query.Regions) == permit.Allowed
+	})
+}
+
+// free reports whether the worker is neither at capacity nor avoided, as far as this node knows.
+func (w *Worker) free(now time.Time) bool {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	hasPlace := w.record.Slots == 0 || w.running < w.record.Slots
+	return hasPlace && !w.removed && !now.Before(w.busyUntil) && !now.Before(w.avoidUntil)
+}
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -15,56 +15,57 @@
 	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
-// Options of a Registry.
+// Options configures a Registry.
 type Options struct {
-	Zone   string // of this node
+	Zone   string // zone of this node
 	Places *locality.Map
-	// Evacuated reports whether a zone's workers must get no new work; nil: none.
+	// Evacuated reports whether a zone's workers must get no new work; nil: no zone is evacuated.
 	Evacuated func(zone string) bool
-	// Cold tells whether cold workers of a service get less than others, and for how long
-	// they stay cold when nothing says otherwise. Nil: they get as much.
+	// Cold returns whether cold workers of a service get less work than warm ones, and how long
+	// a cold start lasts by default. Nil: cold workers get as much work as others.
 	Cold        func(service string) (less bool, start time.Duration)
-	Node        string // its name; nodes prefer different workers by it
+	Node        string // name of this node; it decides which workers the node prefers
 	DialTimeout time.Duration
-	Guard       silence.Guard // of the connections to workers
+	Guard       silence.Guard // detects unresponsive connections to workers
 	OnDial      func()
-	// OnWay is told how long a round trip to a zone is taken to last, when that is news;
-	// may be nil.
+	// OnWay is called when the estimated round trip to a zone changes; may be nil.
 	OnWay  func(zone string, roundTrip time.Duration)
-	OnLook func() // counts looks whether a worker takes connections; may be nil
-	// Dial opens a connection to an address; nil dials by TCP.
+	OnLook func() // counts the attempts to connect to an unreachable worker; may be nil
+	// Dial opens a connection to an address; nil: plain TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Now is the clock; nil is time.Now.
+	// Now returns the current time; nil: time.Now.
 	Now func() time.Time
 }
 
-// Idle connections kept to each worker, and how long without a word of it.
+// Limits on idle connections, per worker. defaultIdleTimeout applies where the worker does not
+// announce a keep-alive timeout.
 const (
-	idlePerWorker   = 8
-	idleWithoutWord = 4 * time.Second
-	// longestIdle is how long one rests where its worker announces as much.
-	longestIdle = 15 * time.Second
+	maxIdlePerWorker   = 8
+	defaultIdleTimeout = 4 * time.Second
+	// maxIdleTimeout caps the keep-alive timeout that a worker announces.
+	maxIdleTimeout = 15 * time.Second
 )
 
-// Registry is the set of workers. It is safe for concurrent use.
+// Registry is the set of workers that this node lists. It is safe for concurrent use.
 type Registry struct {
-	options  Options
-	vantage  locality.Vantage
-	ways     *Ways
-	lapse    time.Duration // for how long a word of a worker's warmth counts at this node
-	mutex    sync.Mutex
-	workers  map[string]*Worker // by key
-	keys     map[string]string  // by ID, of workers whose key is another
-	services map[string]roster
-	vanished map[string][]vanished
-	silences map[string]*Silences
-	untold   untold
-	trials   trials
-	lost     chan *Worker              // workers that took no connection
-	heard    atomic.Pointer[time.Time] // when the list of workers was last heard of
-}
-
-type vanished struct {
+	options       Options
+	vantage       locality.Vantage
+	roundTrips    *RoundTripEstimator
+	warmthTTL     time.Duration // how long information that a worker is warm stays valid at this node
+	mutex         sync.Mutex
+	workers       map[string]*Worker // by key
+	keys          map[string]string  // key by ID, for workers whose key differs from their ID
+	services      map[string]roster
+	lingering     map[string][]lingeringWorker
+	silences      map[string]*Silences
+	unreported    unreportedWorkers
+	trials        trials
+	unreachable   chan *Worker              // workers that accepted no connection
+	listConfirmed atomic.Pointer[time.Time] // when the worker list was last confirmed to be current
+}
+
+// lingeringWorker is a worker that has left the list but may still be used until a given time.
+type lingeringWorker struct {
 	worker *Worker
 	until  time.Time
 }
@@ -82,31 +83,31 @@
 		options.Cold = func(string) (bool, time.Duration) { return false, 0 }
 	}
 	return &Registry{
-		options:  options,
-		vantage:  vantage,
-		ways:     NewWays(vantage, options.Now),
-		lapse:    wordLasts + time.Duration(xxhash.Sum64String(options.Node)%uint64(lapseSpread)),
-		workers:  map[string]*Worker{},
-		keys:     map[string]string{},
-		services: map[string]roster{},
-		vanished: map[string][]vanished{},
-		silences: map[string]*Silences{},
-		untold:   untold{services: map[string]map[*Worker]struct{}{}},
-		lost:     make(chan *Worker, lostBacklog),
+		options:     options,
+		vantage:     vantage,
+		roundTrips:  NewRoundTripEstimator(vantage, options.Now),
+		warmthTTL:   minWarmthTTL + time.Duration(xxhash.Sum64String(options.Node)%uint64(warmthTTLJitter)),
+		workers:     map[string]*Worker{},
+		keys:        map[string]string{},
+		services:    map[string]roster{},
+		lingering:   map[string][]lingeringWorker{},
+		silences:    map[string]*Silences{},
+		unreported:  unreportedWorkers{services: map[string]map[*Worker]struct{}{}},
+		unreachable: make(chan *Worker, unreachableBacklog),
 	}
 }
 
-// newWorker is one of which nothing but its entry is known.
+// newWorker returns a worker with no observations.
 func (r *Registry) newWorker(record Record, now time.Time) *Worker {
 	worker := &Worker{
 		registry: r, id: record.ID, key: record.Key(), service: record.Service, zone: record.Zone,
 		distance: r.vantage.To(record.Zone), record: record,
 	}
-	worker.warmth.learnRow(record, now)
+	worker.warmth.updateFromEntry(record, now)
 	return worker
 }
 
-// byID is the worker of an entry. The caller holds the mutex.
+// byID returns the worker with an ID. The caller holds the mutex.
 func (r *Registry) byID(id string) (*Worker, bool) {
 	key, ok := r.keys[id]
 	if !ok {
@@ -116,40 +117,40 @@
 	return worker, ok
 }
 
-// worker is the worker of an entry.
+// worker returns the worker with an ID.
 func (r *Registry) worker(id string) (*Worker, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.byID(id)
 }
 
-// Knows reports whether the list has an entry of an ID, as far as this node keeps it.
+// Knows reports whether the part of the worker list that this node keeps has an entry with an ID.
 func (r *Registry) Knows(id string) bool {
 	_, ok := r.worker(id)
 	return ok
 }
 
-// KnowsKey reports whether the worker of a key is on the list, as far as this node keeps it.
+// KnowsKey reports whether the part of the worker list that this node keeps has a worker with a key.
 func (r *Registry) KnowsKey(key string) bool {
 	_, ok := r.byKey(key)
 	return ok
 }
 
-// Len is how many workers are on the list, as far as this node keeps it.
+// Len returns the number of workers in the part of the worker list that this node keeps.
 func (r *Registry) Len() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.workers)
 }
 
-// Count is how many workers of a service are on the list, as far as this node keeps it.
+// Count returns the number of a service's workers in the part of the worker list that this node keeps.
 func (r *Registry) Count(service string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.services[service].workers)
 }
 
-// byKey is the worker of a key.
+// byKey returns the worker with a key.
 func (r *Registry) byKey(key string) (*Worker, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -157,16 +158,17 @@
 	return worker, ok
 }
 
+// pool creates the connection pool of a worker.
 func (r *Registry) pool(record Record) *httpconn.Pool {
 	address := record.Address
 	options := httpconn.Options{
 		Address:     address,
 		OnConnected: func(took time.Duration) { r.noteConnected(record.Zone, took) },
 		DialTimeout: r.options.DialTimeout,
-		MaxIdle:     idlePerWorker,
-		IdleTimeout: idleWithoutWord,
+		MaxIdle:     maxIdlePerWorker,
+		IdleTimeout: defaultIdleTimeout,
 		Guard:       r.options.Guard,
-		LongestIdle: longestIdle,
+		LongestIdle: maxIdleTimeout,
 		OnDial:      r.options.OnDial,
 		OnLook:      r.options.OnLook,
 	}
@@ -176,21 +178,21 @@
 	return httpconn.NewPool(options)
 }
 
-// noteConnected takes in how long a connection to a zone took to open.
+// noteConnected records how long opening a connection to a zone took.
 func (r *Registry) noteConnected(zone string, took time.Duration) {
-	if roundTrip, news := r.ways.Observe(zone, took); news && r.options.OnWay != nil {
+	if roundTrip, changed := r.roundTrips.Observe(zone, took); changed && r.options.OnWay != nil {
 		r.options.OnWay(zone, roundTrip)
 	}
 }
 
-// stillLingering drops the vanished workers of a service whose time is over and
+// stillLingering drops the removed workers of a service whose linger period is over and
 // returns the others.
-func (r *Registry) stillLingering(service string) []vanished {
+func (r *Registry) stillLingering(service string) []lingeringWorker {
 	now := r.options.Now()
-	return slices.DeleteFunc(r.vanished[service], func(v vanished) bool { return !now.Before(v.until) })
+	return slices.DeleteFunc(r.lingering[service], func(v lingeringWorker) bool { return !now.Before(v.until) })
 }
 
-// Revision is that of a worker's entry, as it was last taken over; 0: it has none.
+// Revision returns the revision of a worker's current entry; 0: it has none.
 func (r *Registry) Revision(id string) uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -200,7 +202,7 @@
 	return 0
 }
 
-// IDs lists all workers.
+// IDs returns the IDs of all workers, in no particular order.
 func (r *Registry) IDs() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -211,22 +213,22 @@
 	return ids
 }
 
-// Of lists the workers of a service, or those that vanished a moment ago when it
-// has no other. The slice must not be changed.
+// Of returns the workers of a service. If it has none, it returns those that were removed
+// within the linger period. The slice must not be changed.
 func (r *Registry) Of(service string) []*Worker {
-	return r.of(service).workers
+	return r.rosterOf(service).workers
 }
 
-// of is Of with what is known of where the workers stand.
-func (r *Registry) of(service string) roster {
+// rosterOf is Of, with the boundaries between zones and regions.
+func (r *Registry) rosterOf(service string) roster {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if known := r.services[service]; len(known.workers) > 0 {
 		return known
 	}
-	r.vanished[service] = r.stillLingering(service)
+	r.lingering[service] = r.stillLingering(service)
 	var workers []*Worker
-	for _, candidate := range r.vanished[service] {
+	for _, candidate := range r.lingering[service] {
 		workers = append(workers, candidate.worker)
 	}
 	known := newRoster(workers)
@@ -234,7 +236,7 @@
 	return known
 }
 
-// member is the worker of a key, if it is one of a service's, whose roster is known.
+// member returns the worker with a key if it belongs to the service, whose roster is given.
 func (r *Registry) member(known roster, service, key string) (*Worker, bool) {
 	if known.lingering {
 		index := slices.IndexFunc(known.workers, func(w *Worker) bool { return w.key == key })
@@ -247,7 +249,7 @@
 	return worker, ok && worker.service == service
 }
 
-// Has reports whether the worker of a key is one of the service's and takes new work.
+// Has reports whether the worker with a key belongs to the service and accepts new work.
 func (r *Registry) Has(service, key string) bool {
 	worker, ok := r.byKey(key)
 	return ok && worker.service == service && !worker.Leaving()
--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -8,35 +8,37 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 )
 
-// roster lists the workers of a service: those of the node's zone first, then those of its
-// region, else by key. Its slices are replaced, never changed in place.
+// roster lists the workers of a service, sorted by distance from this node and then by key.
+// Its slices are replaced, never changed in place.
 type roster struct {
-	workers []*Worker
-	near    int      // of the node's zone
-	region  int      // of its region, with those
-	zones   []string // in which the workers stand
-	// lingering: none of them is on the list any more.
+	workers    []*Worker
+	sameZone   int      // number of workers in the node's zone; they come first
+	sameRegion int      // number of workers in the node's region, those of its zone included
+	zones      []string // zones of the workers
+	// lingering says that all workers were removed from the worker list and are in their linger period.
 	lingering bool
 }
 
-// newRoster lists workers, which it puts in order.
+// newRoster sorts workers in place and returns their roster.
 func newRoster(workers []*Worker) roster {
 	slices.SortFunc(workers, compareWorkers)
-	return rosterInOrder(workers)
+	return rosterFromSorted(workers)
 }
 
-// rosterInOrder lists workers that are in order.
-func rosterInOrder(workers []*Worker) roster { return rosterOfZones(workers, zonesOf(nil, workers)) }
+// rosterFromSorted returns the roster of sorted workers.
+func rosterFromSorted(workers []*Worker) roster {
+	return rosterWithZones(workers, zonesOf(nil, workers))
+}
 
-// rosterOfZones lists workers that are in order and stand in zones.
-func rosterOfZones(workers []*Worker, zones []string) roster {
+// rosterWithZones returns the roster of sorted workers, given their zones.
+func rosterWithZones(workers []*Worker, zones []string) roster {
 	from := func(w *Worker, distance locality.Distance) int { return cmp.Compare(w.distance, distance) }
 	near, _ := slices.BinarySearchFunc(workers, locality.SameRegion, from)
 	region, _ := slices.BinarySearchFunc(workers, locality.OtherRegion, from)
-	return roster{workers: workers, near: near, region: region, zones: zones}
+	return roster{workers: workers, sameZone: near, sameRegion: region, zones: zones}
 }
 
-// zonesOf appends the zones of workers to others, which it does not change.
+// zonesOf returns zones with those of workers added. It does not change its argument.
 func zonesOf(zones []string, workers []*Worker) []string {
 	zones = slices.Clone(zones)
 	for _, worker := range workers {
@@ -47,22 +49,21 @@
 	return zones
 }
 
-// compareWorkers orders workers. What it looks at does not change.
+// compareWorkers orders workers by distance and key, both of which are constant.
 func compareWorkers(a, b *Worker) int {
 	return cmp.Or(cmp.Compare(a.distance, b.distance), strings.Compare(a.key, b.key))
 }
 
-// changed is the roster without some workers and with others. All of a service's changes that came
-// together cost one copy of the list: a first reading of 10,000 workers takes 6.6 s of a core if
-// the list is sorted anew for each of them, and 35 ms so (BenchmarkFirstReading). A zone whose
-// last worker is gone stays among zones, which only costs time.
-func (r roster) changed(removed, added []*Worker) roster {
+// withChanges returns the roster without the removed workers and with the added ones. A batch of changes
+// costs one copy of the list, where sorting for each change would make the first load quadratic. A zone
+// whose last worker was removed stays in zones, which is harmless.
+func (r roster) withChanges(removed, added []*Worker) roster {
 	slices.SortFunc(removed, compareWorkers)
 	slices.SortFunc(added, compareWorkers)
 	zones := zonesOf(r.zones, added)
 	merged := make([]*Worker, 0, len(r.workers)+len(added))
 	rest := r.workers
-	// keepUntil takes over the workers before the place of another.
+	// keepUntil copies the workers that sort before the given one.
 	keepUntil := func(worker *Worker) {
 		index, _ := slices.BinarySearchFunc(rest, worker, compareWorkers)
 		merged = append(merged, rest[:index]...)
@@ -81,16 +82,16 @@
 		merged = append(merged, added[0])
 		added = added[1:]
 	}
-	return rosterOfZones(append(merged, rest...), zones)
+	return rosterWithZones(append(merged, rest...), zones)
 }
 
-// only lists those of the workers that may be kept.
-func (r roster) only(keep func(*Worker) bool) roster {
+// filter returns the roster of the workers for which keep is true.
+func (r roster) filter(keep func(*Worker) bool) roster {
 	kept := make([]*Worker, 0, len(r.workers))
 	for _, worker := range r.workers {
 		if keep(worker) {
 			kept = append(kept, worker)
 		}
 	}
-	return rosterInOrder(kept)
+	return rosterFromSorted(kept)
 }
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -11,8 +11,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 )
 
-// fleet are entries of one service, spread over zones.
-func fleet(size int, zones ...string) []Update {
+// fleetUpdates returns entries of one service, spread over zones.
+func fleetUpdates(size int, zones ...string) []Update {
 	updates := make([]Update, size)
 	for index := range updates {
 		updates[index].Record = Record{
@@ -23,8 +23,8 @@
 	return updates
 }
 
-// TestRosterIsAsIfItWereSorted: whatever came together in which order.
-func TestRosterIsAsIfItWereSorted(t *testing.T) {
+// Guards against rosters that depend on how changes were batched or ordered.
+func TestRosterStaysSorted(t *testing.T) {
 	places := locality.NewMap(map[string]string{"z": "one", "y": "one", "x": "other"})
 	rapid.Check(t, func(t *rapid.T) {
 		registry := NewRegistry(Options{Zone: "z", Places: places})
@@ -36,7 +36,7 @@
 				revision++
 				record := Record{
 					ID: fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "id")), Service: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service"),
-					Zone: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "zone"), Born: born(int64(revision)), Revision: revision,
+					Zone: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "zone"), Born: startTime(int64(revision)), Revision: revision,
 				}
 				end := rapid.SampledFrom([]End{Stays, Stays, Removed, Unusable}).Draw(t, "end")
 				updates = append(updates, Update{Record: record, End: end})
@@ -62,42 +62,40 @@
 				return keys
 			}
 			require.Equal(t, keys(expected), keys(got))
-			require.Equal(t, []int{expected.near, expected.region}, []int{got.near, got.region})
+			require.Equal(t, []int{expected.sameZone, expected.sameRegion}, []int{got.sameZone, got.sameRegion})
 			require.Subset(t, got.zones, expected.zones)
 		}
 	})
 }
 
-// pageOfList is how many entries of the list come together.
-const pageOfList = 500
+// listPageSize is the number of entries that are read at a time.
+const listPageSize = 500
 
-func readFirst(registry *Registry, updates []Update) {
-	for page := range slices.Chunk(updates, pageOfList) {
+func loadInPages(registry *Registry, updates []Update) {
+	for page := range slices.Chunk(updates, listPageSize) {
 		registry.Apply(page)
 	}
 }
 
-// BenchmarkFirstReading takes over the list of workers page by page. Sorting the list anew for
-// each entry took 0.8 ms for 100 workers, 73 ms for 1,000 and 6.6 s for 10,000.
+// BenchmarkFirstReading applies the initial worker list page by page.
 func BenchmarkFirstReading(b *testing.B) {
 	for _, size := range []int{1000, 10_000, 20_000} {
-		updates := fleet(size, "a", "b", "c", "d", "e")
+		updates := fleetUpdates(size, "a", "b", "c", "d", "e")
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				readFirst(NewRegistry(Options{Zone: "a"}), updates)
+				loadInPages(NewRegistry(Options{Zone: "a"}), updates)
 			}
 		})
 	}
 }
 
-// BenchmarkOneReplaced takes over that one worker is replaced by another. It took 1.2 ms at
-// 10,000 workers.
+// BenchmarkOneReplaced replaces one worker by another.
 func BenchmarkOneReplaced(b *testing.B) {
 	for _, size := range []int{1000, 10_000, 20_000} {
-		updates := fleet(size, "a", "b", "c", "d", "e")
+		updates := fleetUpdates(size, "a", "b", "c", "d", "e")
 		registry := NewRegistry(Options{Zone: "a"})
-		readFirst(registry, updates)
+		loadInPages(registry, updates)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for round := 0; b.Loop(); round++ {
 				gone, come := updates[round%2], updates[(round+1)%2]
@@ -108,14 +106,13 @@
 	}
 }
 
-// BenchmarkChoose chooses workers for turns, of which half have a home. With passes over all
-// workers it took 110 us at 1,000 workers and 162 us at 10,000, 282 us with a home.
+// BenchmarkChoose chooses workers for first turns and for turns with cached context, half each.
 func BenchmarkChoose(b *testing.B) {
 	places := locality.NewMap(map[string]string{"a": "r", "b": "r", "c": "r", "d": "r", "e": "r"})
 	for _, size := range []int{100, 1000, 10_000, 20_000} {
-		updates := fleet(size, "a", "b", "c", "d", "e")
+		updates := fleetUpdates(size, "a", "b", "c", "d", "e")
 		registry := NewRegistry(Options{Zone: "a", Places: places})
-		readFirst(registry, updates)
+		loadInPages(registry, updates)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for round := 0; b.Loop(); round++ {
 				query := Query{Service: "s", Key: fmt.Sprint("program", round), Prompt: 14000, Shared: 12600, Output: 100}
--- a/internal/backend/shortlist_test.go
+++ b/internal/backend/shortlist_test.go
@@ -8,18 +8,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFirstTurnsSpreadEvenly: beyond lookAtAll workers, those of one zone get the
-// first turns of its programs in like measure, wherever they stand in the list.
-func TestFirstTurnsSpreadEvenly(t *testing.T) {
+// Guards against shortlists that favor workers by their position in the list, with more than
+// maxFullRanking workers.
+func TestFirstTurnsAreSpreadEvenly(t *testing.T) {
 	const workers, programs = 45, 9000
 	zones := make([]string, workers)
 	for index := range zones {
 		zones[index] = []string{"z", "z", "y", "x", "z", "y", "y", "x", "x"}[index%9]
 	}
-	registry := registryOf(Options{}, workers, zones...)
+	registry := newTestRegistry(Options{}, workers, zones...)
 	chosen := map[string]int{}
 	for program := range programs {
-		chosen[choose(t, registry, turn(func(q *Query) { q.Key = fmt.Sprint("p", program) }))]++
+		chosen[choose(t, registry, modelCall(func(q *Query) { q.Key = fmt.Sprint("p", program) }))]++
 	}
 	const near = workers / 3
 	require.Len(t, chosen, near, "only workers of the zone")
@@ -28,27 +28,27 @@
 	}
 }
 
-// TestShortlistReachesBeyondTheZone: when the zone's workers may not be asked,
-// others are, and the home is always among those looked at.
-func TestShortlistReachesBeyondTheZone(t *testing.T) {
+// Other zones must be used when the workers of the node's zone are excluded, and the home must
+// always be considered.
+func TestShortlistIncludesOtherZonesAndHome(t *testing.T) {
 	zones := make([]string, 40)
 	for index := range zones {
 		zones[index] = "y"
 	}
 	zones[7], zones[21] = "z", "z"
-	registry := registryOf(Options{}, len(zones), zones...)
-	require.Contains(t, []string{"w7", "w21"}, choose(t, registry, turn(nil)))
-	away := choose(t, registry, turn(func(q *Query) { q.Exclude = []string{"w7", "w21"} }))
+	registry := newTestRegistry(Options{}, len(zones), zones...)
+	require.Contains(t, []string{"w7", "w21"}, choose(t, registry, modelCall(nil)))
+	away := choose(t, registry, modelCall(func(q *Query) { q.Exclude = []string{"w7", "w21"} }))
 	require.NotContains(t, []string{"w7", "w21"}, away)
 	for index := range zones {
 		home := fmt.Sprint("w", index)
-		require.Equal(t, home, choose(t, registry, turn(func(q *Query) { q.Home = home })))
+		require.Equal(t, home, choose(t, registry, modelCall(func(q *Query) { q.Home = home })))
 	}
 }
 
-// zonesSeenFrom names the zones of workers that lie in three zones by turns, as a node
-// of one of them sees it: its own is "z".
-func zonesSeenFrom(zone, workers int) []string {
+// alternatingZones returns the zones of workers that alternate between three zones, as seen from
+// the given one, which is named "z".
+func alternatingZones(zone, workers int) []string {
 	zones := make([]string, workers)
 	for index := range zones {
 		zones[index] = []string{"z", "y", "x"}[(index+zone)%3]
@@ -56,14 +56,13 @@
 	return zones
 }
 
-// TestNodeSendsPlainRequestsToFewWorkers: its connections are used again. Many nodes
-// together use most workers, none of them too much; requests for one object are
-// spread by that.
+// Plain requests of a node must go to few workers, so that connections are reused, while many nodes
+// together load most workers evenly. Requests for the same object are spread by object.
 func TestNodeSendsPlainRequestsToFewWorkers(t *testing.T) {
 	const workers, nodes, requests = 99, 66, 200
 	total := map[string]int{}
 	for node := range nodes {
-		registry := registryOf(Options{Node: fmt.Sprint("node", node)}, workers, zonesSeenFrom(node%3, workers)...)
+		registry := newTestRegistry(Options{Node: fmt.Sprint("node", node)}, workers, alternatingZones(node%3, workers)...)
 		mine, objects := map[string]int{}, map[string]int{}
 		for request := range requests {
 			query := Query{Service: "s", Key: fmt.Sprint("r", request)}
@@ -71,8 +70,8 @@
 			query.SameObject = true
 			objects[choose(t, registry, query)]++
 		}
-		require.Len(t, mine, shortlisted, "of the zone, all alike")
-		require.Greater(t, len(objects), workers/4, "most of the zone")
+		require.Len(t, mine, shortlistSize, "equal workers of the zone")
+		require.Greater(t, len(objects), workers/4, "most workers of the zone")
 		for worker, count := range mine {
 			total[worker] += count
 		}
@@ -83,11 +82,10 @@
 	}
 }
 
-// TestWorkersThatDeclineMakeRoom: a node is not bound to the workers that it prefers,
-// whatever their number.
-func TestWorkersThatDeclineMakeRoom(t *testing.T) {
-	for workers := lookAtAll + 1; workers < 4*lookAtAll; workers++ {
-		registry := registryOf(Options{Node: "n"}, workers, zonesSeenFrom(0, workers)...)
+// Guards against nodes that use only their preferred workers even when these refuse requests.
+func TestRefusingWorkersAreReplaced(t *testing.T) {
+	for workers := maxFullRanking + 1; workers < 4*maxFullRanking; workers++ {
+		registry := newTestRegistry(Options{Node: "n"}, workers, alternatingZones(0, workers)...)
 		var declined []string
 		for range workers {
 			declined = append(declined, choose(t, registry, Query{Service: "s", Key: "r", Exclude: declined}))
--- a/internal/backend/update.go
+++ b/internal/backend/update.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Update is a change of the list of workers: an entry as it is now, or the end of one.
+// Update is a change to the worker list: a new or changed entry, or the end of one.
 type Update struct {
-	Record Record // with an end, its ID alone
+	Record Record // only its ID is set if the entry has ended
 	End    End
 }
 
-// End is how an entry ended.
+// End says whether and how an entry has ended.
 type End int
 
-// Ends.
+// The values of End.
 const (
-	// Stays: it has not ended.
+	// Stays means that the entry has not ended.
 	Stays End = iota
-	// Removed: the list has no entry of this ID any more.
+	// Removed means that the list has no entry with this ID any more.
 	Removed
-	// Unusable: the list has one that names no worker. Nothing is sent to the worker of the
-	// entry before it any more.
+	// Unusable means that the entry no longer describes a valid worker. Nothing more is sent to
+	// the worker of the previous entry.
 	Unusable
-	// Unkept: it is outside the part of the list that this node keeps.
+	// Unkept means that the entry is outside the part of the list that this node keeps.
 	Unkept
 )
 
@@ -32,49 +32,49 @@
 	return [...]string{"stays", "removed", "unusable", "unkept"}[e]
 }
 
-// lingering is how long a worker that left the list may still be used when its
-// service has no other: entries also vanish while the list's keeper is down.
-const lingering = 1500 * time.Millisecond
+// lingerPeriod is how long a removed worker may still be used when its service has no other.
+// Entries may also disappear because the list is temporarily unavailable.
+const lingerPeriod = 1500 * time.Millisecond
 
-// Put takes over an entry. It reports whether that is news.
+// Put adds or updates an entry. It reports whether anything changed.
 func (r *Registry) Put(record Record) bool {
 	return r.Apply([]Update{{Record: record}})[0]
 }
 
-// Remove takes a worker off the list. What it is running goes on.
+// Remove removes a worker from the list. Its running requests continue.
 func (r *Registry) Remove(id string) {
 	r.Apply([]Update{{Record: Record{ID: id}, End: Removed}})
 }
 
-// Apply takes over changes of the list, in order. It reports of each whether that is news.
-func (r *Registry) Apply(updates []Update) (news []bool) {
+// Apply applies changes to the list, in order. For each it reports whether anything changed.
+func (r *Registry) Apply(updates []Update) (changed []bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	batch := &batch{registry: r, now: r.options.Now(), rosters: map[string]*rosterChange{}}
-	news = make([]bool, len(updates))
+	changed = make([]bool, len(updates))
 	for index, update := range updates {
 		if update.End == Stays {
-			news[index] = batch.put(update.Record)
+			changed[index] = batch.put(update.Record)
 		} else {
-			news[index] = batch.end(update.Record.ID, update.End)
+			changed[index] = batch.end(update.Record.ID, update.End)
 		}
 	}
 	batch.finish()
-	return news
+	return changed
 }
 
-// batch are changes that are taken over together. The caller holds the registry's mutex.
+// batch is a set of changes that are applied together. The caller holds the registry's mutex.
 type batch struct {
 	registry *Registry
 	now      time.Time
 	rosters  map[string]*rosterChange // by service
 }
 
-// rosterChange is what changes in the roster of a service.
+// rosterChange collects the changes to the roster of one service.
 type rosterChange struct {
-	added    []*Worker
-	removed  []*Worker
-	vanished []*Worker // of the removed, those that may still be used for a while
+	added     []*Worker
+	removed   []*Worker
+	lingering []*Worker // removed workers that may be used during the linger period
 }
 
 func (b *batch) roster(service string) *rosterChange {
@@ -86,22 +86,22 @@
 	return change
 }
 
-// put takes over an entry. One of another process under the same ID begins a new worker: of
-// connections, running requests, failures, pace, cold time and context of the one before,
-// nothing holds for it.
+// put adds or updates an entry. An entry of another process with the same ID creates a new worker,
+// since connections, running requests, failures, token times, cold start and cached context of the
+// previous process do not apply to it.
 func (b *batch) put(record Record) bool {
 	r := b.registry
 	known, ok := r.byID(record.ID)
 	if ok {
 		before := known.Record()
 		if record.Revision < before.Revision || record.precedes(before) {
-			return false // older than what is known
+			return false // stale
 		}
 		if record.sameProcess(before) {
 			return known.update(record, b.now)
 		}
 		if before.precedes(record) {
-			known.noteSuccessor()
+			known.markReplaced()
 		}
 		b.drop(known)
 	}
@@ -115,7 +115,7 @@
 	return true
 }
 
-// end takes over the end of an entry.
+// end applies the end of an entry.
 func (b *batch) end(id string, end End) bool {
 	worker, ok := b.registry.byID(id)
 	if !ok {
@@ -125,30 +125,30 @@
 	b.drop(worker)
 	if end == Removed && !draining {
 		change := b.roster(worker.service)
-		change.vanished = append(change.vanished, worker)
+		change.lingering = append(change.lingering, worker)
 	}
 	return true
 }
 
-// drop lets a worker get nothing more.
+// drop removes a worker, so that it gets no new work.
 func (b *batch) drop(worker *Worker) {
 	delete(b.registry.workers, worker.key)
 	delete(b.registry.keys, worker.id)
 	change := b.roster(worker.service)
 	change.added = slices.DeleteFunc(change.added, func(w *Worker) bool { return w == worker })
 	change.removed = append(change.removed, worker)
-	worker.leave()
+	worker.markRemoved()
 }
 
-// finish takes over what has become of the rosters.
+// finish applies the collected changes to the rosters.
 func (b *batch) finish() {
 	r := b.registry
 	for service, change := range b.rosters {
-		r.services[service] = r.services[service].changed(change.removed, change.added)
-		lingers := r.stillLingering(service)
-		for _, worker := range change.vanished {
-			lingers = append(lingers, vanished{worker: worker, until: b.now.Add(lingering)})
+		r.services[service] = r.services[service].withChanges(change.removed, change.added)
+		lingering := r.stillLingering(service)
+		for _, worker := range change.lingering {
+			lingering = append(lingering, lingeringWorker{worker: worker, until: b.now.Add(lingerPeriod)})
 		}
-		r.vanished[service] = lingers
+		r.lingering[service] = lingering
 	}
 }
--- a/internal/backend/warmth.go
+++ b/internal/backend/warmth.go
@@ -2,82 +2,82 @@
 
 import "time"
 
-// Source says by whose word a worker is cold or warm.
+// Source says where the information that a worker is cold or warm comes from.
 type Source string
 
-// The sources.
+// The sources. Their values appear in logs.
 const (
-	SourceRow    Source = "row"    // the worker's entry in the list
-	SourceZone   Source = "zone"   // its zone was evacuated until a moment ago
-	SourceHealth Source = "health" // its own answer
+	SourceEntry  Source = "row"    // the worker's entry in the worker list
+	SourceZone   Source = "zone"   // its zone's evacuation was recently revoked
+	SourceHealth Source = "health" // the worker's health response
 )
 
 const (
-	// wordLasts is for how long a worker counts as warm without a word of the list of workers
-	// or its own. The list answers within 6 s where nothing changes and all is well.
-	wordLasts = 8 * time.Second
-	// lapseSpread is how much longer it may count at some nodes: each of them asks workers how they
-	// are once it has lapsed, and 100 nodes at once are more than a cold worker bears.
-	lapseSpread = 8 * time.Second
-	// askPause is the least time between two questions to a worker how it is.
-	askPause = time.Second
+	// minWarmthTTL is how long a worker counts as warm without confirmation by the worker list or its
+	// own health response. An idle, healthy list is confirmed every 6 s.
+	minWarmthTTL = 8 * time.Second
+	// warmthTTLJitter is the range of extra time by which nodes differ. When the information has expired,
+	// nodes send health checks, and those of 100 nodes at once would overload a cold worker.
+	warmthTTLJitter = 8 * time.Second
+	// minHealthCheckInterval is the least time between two health checks of a worker by this node.
+	minHealthCheckInterval = time.Second
 )
 
-// Warmth is what is known of whether a worker is cold.
+// Warmth says whether a worker is cold.
 type Warmth struct {
-	Left   time.Duration // for how much longer it is taken to be cold; 0: it is warm
+	Left   time.Duration // remaining cold start; 0: none
 	Source Source
-	Age    time.Duration // since that was learnt
-	// Lapsed says that nothing was heard for so long that it may be cold again.
+	Age    time.Duration // time since Source reported it
+	// Lapsed says that the information has expired: the worker may be cold again.
 	Lapsed bool
 }
 
-// warmth is until when a worker is taken to be cold, by this process's steady clock.
+// warmth is the state behind Warmth. Its times are those of this process's clock.
 type warmth struct {
-	until  time.Time
-	source Source
-	learnt time.Time
-	asked  time.Time // when the worker was last asked how it is
-	// reopened is the revision at which its zone's evacuation was taken back: an entry
-	// that is older does not tell what has become of the worker meanwhile.
-	reopened uint64
+	coldUntil       time.Time
+	source          Source
+	learnedAt       time.Time
+	lastHealthCheck time.Time // when this node last sent a health check
+	// reopenedRevision is the revision at which the zone's evacuation was revoked. Entries with a lower
+	// revision say nothing about the worker's state since.
+	reopenedRevision uint64
 }
 
-// learnRow takes in an entry of the list that arrived at a moment. What is left is counted
-// from its arrival: that is later than the worker meant, never earlier.
-func (w *warmth) learnRow(record Record, now time.Time) {
-	if record.Revision <= w.reopened && w.reopened > 0 {
+// updateFromEntry applies an entry that arrived at the given time. Counting the remaining cold start
+// from the arrival may prolong it, but never shortens it.
+func (w *warmth) updateFromEntry(record Record, now time.Time) {
+	if record.Revision <= w.reopenedRevision && w.reopenedRevision > 0 {
 		return
 	}
-	w.until, w.source, w.learnt = now.Add(record.ColdLeft), SourceRow, now
+	w.coldUntil, w.source, w.learnedAt = now.Add(record.ColdLeft), SourceEntry, now
 }
 
-// learnHealth takes in the worker's answer to a question sent at a moment. What is known
-// from after the question stays.
-func (w *warmth) learnHealth(left time.Duration, sent, now time.Time) {
-	if w.learnt.After(sent) {
+// updateFromHealth applies the response to a health check that was sent at the given time. It is
+// ignored if newer information has arrived meanwhile.
+func (w *warmth) updateFromHealth(left time.Duration, sent, now time.Time) {
+	if w.learnedAt.After(sent) {
 		return
 	}
-	w.until, w.source, w.learnt = now.Add(left), SourceHealth, now
+	w.coldUntil, w.source, w.learnedAt = now.Add(left), SourceHealth, now
 }
 
-// reopen takes in that the worker's zone may get work again.
-func (w *warmth) reopen(revision uint64, coldStart time.Duration, now time.Time) {
-	w.reopened = max(w.reopened, revision)
-	if until := now.Add(coldStart); until.After(w.until) {
-		w.until, w.source, w.learnt = until, SourceZone, now
+// zoneReopened records that the zone's evacuation was revoked at a revision.
+func (w *warmth) zoneReopened(revision uint64, coldStart time.Duration, now time.Time) {
+	w.reopenedRevision = max(w.reopenedRevision, revision)
+	if until := now.Add(coldStart); until.After(w.coldUntil) {
+		w.coldUntil, w.source, w.learnedAt = until, SourceZone, now
 	}
 }
 
-// Warmth tells what is known of whether the worker is cold.
+// Warmth returns whether the worker is cold, and the source and age of that information.
 func (r *Registry) Warmth(worker *Worker) Warmth {
 	now := r.options.Now()
 	worker.mutex.Lock()
 	defer worker.mutex.Unlock()
 	known := worker.warmth
-	warmth := Warmth{Source: known.source, Age: now.Sub(known.learnt)}
-	left := known.until.Sub(now)
-	lapsed := now.Sub(known.learnt) > r.lapse && now.Sub(r.heardAt()) > r.lapse
+	warmth := Warmth{Source: known.source, Age: now.Sub(known.learnedAt)}
+	left := known.coldUntil.Sub(now)
+	lapsed := now.Sub(known.learnedAt) > r.warmthTTL && now.Sub(r.listConfirmedAt()) > r.warmthTTL
 	if left <= 0 && !lapsed {
 		return warmth
 	}
@@ -87,28 +87,28 @@
 	return warmth
 }
 
-// cold reports whether a worker is not known to be warm.
+// cold reports whether the worker is cold or may be.
 func (r *Registry) cold(worker *Worker) bool {
 	warmth := r.Warmth(worker)
 	return warmth.Left > 0 || warmth.Lapsed
 }
 
-// Heard notes that the list of workers was heard of, be it without news.
+// Heard records that the worker list was confirmed to be current, even if nothing changed.
 func (r *Registry) Heard() {
 	now := r.options.Now()
-	r.heard.Store(&now)
+	r.listConfirmed.Store(&now)
 }
 
-// heardAt is when the list was last heard of.
-func (r *Registry) heardAt() time.Time {
-	if heard := r.heard.Load(); heard != nil {
+// listConfirmedAt returns when the list was last confirmed; zero: never.
+func (r *Registry) listConfirmedAt() time.Time {
+	if heard := r.listConfirmed.Load(); heard != nil {
 		return *heard
 	}
 	return time.Time{}
 }
 
-// MayAskHealth reports whether a worker whose word has lapsed may be asked how it is now,
-// and notes that it is: few ask, since a worker's answer takes a place of a request.
+// MayAskHealth reports whether a health check of a worker is due because the information about it
+// has expired. If so, it records one as sent. Checks are limited because each takes up worker capacity.
 func (r *Registry) MayAskHealth(worker *Worker) bool {
 	if !r.Warmth(worker).Lapsed {
 		return false
@@ -116,16 +116,16 @@
 	now := r.options.Now()
 	worker.mutex.Lock()
 	defer worker.mutex.Unlock()
-	if now.Sub(worker.warmth.asked) < askPause {
+	if now.Sub(worker.warmth.lastHealthCheck) < minHealthCheckInterval {
 		return false
 	}
-	worker.warmth.asked = now
+	worker.warmth.lastHealthCheck = now
 	return true
 }
 
-// ZoneReopened notes that the evacuation of a zone was taken back at a revision of the
-// table: its workers are taken to be cold until an entry that is newer says otherwise, or
-// a cold start is over. It returns how many are.
+// ZoneReopened records that the evacuation of a zone was revoked at a revision of the table. The
+// zone's workers count as cold until a newer entry says otherwise or a cold start has passed. It
+// returns their number.
 func (r *Registry) ZoneReopened(zone string, revision uint64) (cold int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -137,7 +137,7 @@
 		worker.mutex.Lock()
 		less, start := r.options.Cold(worker.record.Service)
 		if worker.record.Revision <= revision && less {
-			worker.warmth.reopen(revision, start, now)
+			worker.warmth.zoneReopened(revision, start, now)
 			cold++
 		}
 		worker.mutex.Unlock()
@@ -145,10 +145,10 @@
 	return cold
 }
 
-// NoteHealth notes what a worker answered to a question of its health sent at a moment:
-// for how much longer it is cold.
+// NoteHealth records the response to a health check that was sent at the given time: the worker's
+// remaining cold start.
 func (r *Registry) NoteHealth(worker *Worker, left time.Duration, sent time.Time) {
 	worker.mutex.Lock()
 	defer worker.mutex.Unlock()
-	worker.warmth.learnHealth(left, sent, r.options.Now())
+	worker.warmth.updateFromHealth(left, sent, r.options.Now())
 }
--- a/internal/backend/warmth_test.go
+++ b/internal/backend/warmth_test.go
@@ -10,9 +10,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
-// coldClock is a registry of one worker, w0, of a service whose cold workers get less, and
-// a clock that stands still.
-func coldClock(t *testing.T, record Record) (registry *Registry, worker *Worker, pass func(time.Duration)) {
+// newColdRegistry returns a registry with a manual clock and one worker, w0, of a service whose cold
+// workers get less work.
+func newColdRegistry(t *testing.T, record Record) (registry *Registry, worker *Worker, advance func(time.Duration)) {
 	now := time.Unix(1000, 0)
 	registry = NewRegistry(Options{
 		Zone: "z", Now: func() time.Time { return now },
@@ -24,58 +24,61 @@
 	return registry, registry.get("w0"), func(by time.Duration) { now = now.Add(by) }
 }
 
-// put puts w0's next entry.
+// put applies a new entry of w0.
 func put(registry *Registry, revision uint64, left time.Duration) {
 	registry.Put(Record{ID: "w0", Zone: "z", Service: "s", Revision: revision, ColdLeft: left})
 }
 
-func TestWorkerIsColdForAsLongAsItsEntrySays(t *testing.T) {
-	registry, worker, pass := coldClock(t, Record{Revision: 1, ColdLeft: 2 * time.Second})
+// Guards against overloading a cold worker, and against holding it back for too long.
+func TestWorkerIsColdUntilEntryExpires(t *testing.T) {
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 1, ColdLeft: 2 * time.Second})
 	require.Equal(t, permit.Metered, registry.Check(worker, nil))
-	pass(2 * time.Second)
+	advance(2 * time.Second)
 	require.Equal(t, permit.Allowed, registry.Check(worker, nil))
 }
 
+// Guards against ignoring a later entry that announces a cold start.
 func TestWarmWorkerMayTurnCold(t *testing.T) {
-	registry, worker, _ := coldClock(t, Record{Revision: 1})
+	registry, worker, _ := newColdRegistry(t, Record{Revision: 1})
 	require.False(t, registry.cold(worker))
 	put(registry, 2, time.Second)
 	require.True(t, registry.cold(worker))
 }
 
-// TestEntryReadAgainDoesNotWarmOrCool: what is left counts from the first time it was seen.
-func TestEntryReadAgainDoesNotWarmOrCool(t *testing.T) {
-	registry, worker, pass := coldClock(t, Record{Revision: 2, ColdLeft: time.Second})
-	pass(500 * time.Millisecond)
+// Guards against restarting the countdown when the same revision is read again.
+func TestRepeatedEntryDoesNotExtendColdStart(t *testing.T) {
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 2, ColdLeft: time.Second})
+	advance(500 * time.Millisecond)
 	put(registry, 2, time.Second)
 	require.Equal(t, 500*time.Millisecond, registry.Warmth(worker).Left)
 }
 
-func TestOlderEntryTellsNothing(t *testing.T) {
-	registry, worker, _ := coldClock(t, Record{Revision: 5, ColdLeft: time.Second})
+// Guards against entries that arrive out of order.
+func TestOlderEntryIsIgnored(t *testing.T) {
+	registry, worker, _ := newColdRegistry(t, Record{Revision: 5, ColdLeft: time.Second})
 	put(registry, 4, 0)
 	require.True(t, registry.cold(worker))
 }
 
-func TestZoneThatIsTakenBackIsColdUntilToldOtherwise(t *testing.T) {
-	registry, worker, pass := coldClock(t, Record{Revision: 5})
+// Guards against full load on workers that have gone cold during an evacuation.
+func TestReopenedZoneIsColdUntilNewerEntry(t *testing.T) {
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 5})
 	registry.ZoneReopened("z", 10)
 	require.Equal(t, Warmth{Left: 3 * time.Second, Source: SourceZone}, registry.Warmth(worker))
-	put(registry, 8, 0) // written before
+	put(registry, 8, 0) // written before the zone was reopened
 	require.True(t, registry.cold(worker))
 	put(registry, 11, 0)
 	require.False(t, registry.cold(worker))
-	registry.ZoneReopened("z", 10) // heard of late, by another way
-	require.False(t, registry.cold(worker), "the worker's newer word holds")
+	registry.ZoneReopened("z", 10) // a late duplicate
+	require.False(t, registry.cold(worker), "the worker's newer entry applies")
 	registry.ZoneReopened("z", 12)
-	pass(3 * time.Second)
-	require.False(t, registry.cold(worker), "a cold start is over")
+	advance(3 * time.Second)
+	require.False(t, registry.cold(worker), "a cold start has passed")
 }
 
-// TestZoneTakenBackWhileAWorkerIsCheckedIsCold: its workers are taken to be cold before the
-// zone opens, so who sees it open sees that, too.
-func TestZoneTakenBackWhileAWorkerIsCheckedIsCold(t *testing.T) {
-	registry, worker, _ := coldClock(t, Record{Revision: 5})
+// Guards against a race in which a zone is seen as open before its workers are marked cold.
+func TestZoneReopenedDuringCheckIsCold(t *testing.T) {
+	registry, worker, _ := newColdRegistry(t, Record{Revision: 5})
 	registry.options.Evacuated = func(string) bool {
 		registry.ZoneReopened("z", 10)
 		return false
@@ -83,32 +86,36 @@
 	require.Equal(t, permit.Metered, registry.Check(worker, nil))
 }
 
-func TestZoneThatIsTakenBackDoesNotShortenAnEntry(t *testing.T) {
-	registry, worker, _ := coldClock(t, Record{Revision: 5, ColdLeft: 9 * time.Second})
+// Guards against replacing a longer cold start by the default one.
+func TestReopenedZoneDoesNotShortenColdStart(t *testing.T) {
+	registry, worker, _ := newColdRegistry(t, Record{Revision: 5, ColdLeft: 9 * time.Second})
 	registry.ZoneReopened("z", 10)
 	require.Equal(t, 9*time.Second, registry.Warmth(worker).Left)
 }
 
-func TestWorkersOwnAnswerHoldsUnlessSomethingNewerIsKnown(t *testing.T) {
-	registry, worker, pass := coldClock(t, Record{Revision: 5, ColdLeft: 2 * time.Second})
-	pass(time.Second)
+// Guards against a late health response overriding a newer entry.
+func TestHealthResponseAppliesUnlessOutdated(t *testing.T) {
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 5, ColdLeft: 2 * time.Second})
+	advance(time.Second)
 	sent := registry.options.Now()
 	registry.NoteHealth(worker, 0, sent)
 	require.False(t, registry.cold(worker))
-	pass(time.Second)
+	advance(time.Second)
 	put(registry, 6, time.Second)
 	registry.NoteHealth(worker, 0, sent)
 	require.True(t, registry.cold(worker), "the answer is older than the entry")
 }
 
-func TestColdWorkersOfOtherServicesGetAsMuch(t *testing.T) {
-	registry, _, _ := coldClock(t, Record{})
+// Guards against limiting services for which cold starts are not configured.
+func TestColdStartAppliesOnlyToConfiguredServices(t *testing.T) {
+	registry, _, _ := newColdRegistry(t, Record{})
 	registry.Put(Record{ID: "w1", Zone: "z", Service: "other", ColdLeft: time.Second})
 	require.False(t, registry.cold(registry.get("w1")))
 }
 
+// Guards against choosing a cold worker because it has fewer requests.
 func TestWarmWorkersComeBeforeColdOnes(t *testing.T) {
-	registry, _, _ := coldClock(t, Record{Revision: 1, ColdLeft: time.Second})
+	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdLeft: time.Second})
 	registry.Put(Record{ID: "w1", Zone: "z", Service: "s"})
 	for range 30 {
 		registry.get("w1").Begin()
@@ -116,17 +123,17 @@
 	require.Equal(t, "w1", choose(t, registry, Query{Key: "k"}))
 }
 
-// TestColdWorkersTakeWhatFullOnesDecline: they are there for want of a warm one with room.
-func TestColdWorkersTakeWhatFullOnesDecline(t *testing.T) {
-	registry, _, _ := coldClock(t, Record{Revision: 1, ColdLeft: time.Second})
+// Guards against refusing requests when all warm workers are full.
+func TestColdWorkersAreUsedWhenWarmOnesAreFull(t *testing.T) {
+	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdLeft: time.Second})
 	registry.Put(Record{ID: "w1", Zone: "z", Service: "s"})
 	registry.get("w1").Declined(registry.options.Now())
 	require.Equal(t, "w0", choose(t, registry, Query{Key: "k"}))
 }
 
-// TestWarmWorkersOfOtherZonesAreOnTheShortlist where all of the own zone are cold.
+// Guards against shortlists without a warm worker when all workers of the node's zone are cold.
 func TestWarmWorkersOfOtherZonesAreOnTheShortlist(t *testing.T) {
-	registry, _, _ := coldClock(t, Record{Revision: 1, ColdLeft: time.Second})
+	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdLeft: time.Second})
 	for index := range 40 {
 		registry.Put(Record{ID: string(rune('a' + index)), Zone: "z", Service: "s", ColdLeft: time.Second})
 	}
@@ -134,41 +141,44 @@
 	require.Equal(t, "warm", choose(t, registry, Query{Key: "k", Warm: true}))
 }
 
-func TestWarmIsNotBelievedForEver(t *testing.T) {
-	registry, worker, pass := coldClock(t, Record{Revision: 1})
-	pass(registry.lapse + time.Millisecond)
+// Guards against full load on a worker whose state has not been confirmed for long.
+func TestWarmthExpires(t *testing.T) {
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
+	advance(registry.warmthTTL + time.Millisecond)
 	require.True(t, registry.Warmth(worker).Lapsed)
 	require.Equal(t, permit.Metered, registry.Check(worker, nil))
 	registry.Heard()
-	require.Equal(t, permit.Allowed, registry.Check(worker, nil), "the list was heard of without news")
+	require.Equal(t, permit.Allowed, registry.Check(worker, nil), "the list was confirmed without changes")
 }
 
-func TestOwnAnswerRenewsWhatHasLapsed(t *testing.T) {
-	registry, worker, pass := coldClock(t, Record{Revision: 1})
-	pass(registry.lapse + time.Millisecond)
+// Guards against limiting a worker that has just reported that it is warm.
+func TestHealthResponseRenewsExpiredWarmth(t *testing.T) {
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
+	advance(registry.warmthTTL + time.Millisecond)
 	registry.NoteHealth(worker, 0, registry.options.Now())
 	require.Equal(t, permit.Allowed, registry.Check(worker, nil))
 }
 
-func TestWorkersAreSeldomAskedHowTheyAre(t *testing.T) {
-	registry, worker, pass := coldClock(t, Record{Revision: 1})
-	require.False(t, registry.MayAskHealth(worker), "it is known")
-	pass(registry.lapse + time.Millisecond)
+// Guards against health checks for every request, or while the information is current.
+func TestHealthChecksAreRateLimited(t *testing.T) {
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
+	require.False(t, registry.MayAskHealth(worker), "the information is current")
+	advance(registry.warmthTTL + time.Millisecond)
 	require.True(t, registry.MayAskHealth(worker))
 	require.False(t, registry.MayAskHealth(worker))
-	pass(askPause)
+	advance(minHealthCheckInterval)
 	require.True(t, registry.MayAskHealth(worker))
 }
 
-// TestNodesDoNotAskAllAtOnce: what they know lapses at different times after a feed was lost.
-func TestNodesDoNotAskAllAtOnce(t *testing.T) {
-	lapse := map[int]int{} // nodes by second
+// Guards against health checks by all nodes at once after they lose the worker list.
+func TestWarmthExpiryIsSpreadOverNodes(t *testing.T) {
+	expiring := map[int]int{} // number of nodes by second
 	for node := range 100 {
-		registry := registryOf(Options{Node: fmt.Sprint("node", node)}, 1)
-		require.GreaterOrEqual(t, registry.lapse, wordLasts)
-		lapse[int(registry.lapse.Seconds())]++
+		registry := newTestRegistry(Options{Node: fmt.Sprint("node", node)}, 1)
+		require.GreaterOrEqual(t, registry.warmthTTL, minWarmthTTL)
+		expiring[int(registry.warmthTTL.Seconds())]++
 	}
-	for second, nodes := range lapse {
+	for second, nodes := range expiring {
 		require.Less(t, nodes, 25, "second %d", second)
 	}
 }
--- a/internal/backend/ways.go
+++ b/internal/backend/ways.go
@@ -8,109 +8,107 @@
 )
 
 const (
-	// What a round trip is taken to last while it was not measured, between zones of a region
-	// and between regions: what networks of a country usually take.
+	// Round trips that are assumed until they are measured, between zones of a region and between
+	// regions. They are typical of networks within one country.
 	priorSameRegion  = 2 * time.Millisecond
 	priorOtherRegion = 20 * time.Millisecond
-	// enoughSeen is how many connections must have been opened before they are believed: a
-	// few may all have met busy workers.
-	enoughSeen = 4
-	// wayWindow is how long the shortest time seen counts at least; twice that at most.
-	wayWindow = 30 * time.Second
-	// wayLapses is after how long without a new connection the prior is taken again: a way
-	// that seemed long is not used, and would not be measured again.
-	wayLapses = 2 * time.Minute
-	// shortestWay is the least that another zone counts as away, however fast its
-	// connections come up: between workers that are alike the one of the own zone is taken,
-	// since bytes between zones cost. The own zone itself is no way at all: what opening a
-	// connection takes there, it takes everywhere.
-	shortestWay = time.Millisecond
+	// minSamples is the number of connections that must have been opened before the estimate is
+	// used. Fewer may all have met busy workers.
+	minSamples = 4
+	// estimateWindow is the least time for which the shortest sample counts; the most is twice that.
+	estimateWindow = 30 * time.Second
+	// estimateTTL is the time without a new connection after which the default is assumed again.
+	// Otherwise a zone that seemed far away would not be used and never be measured again.
+	estimateTTL = 2 * time.Minute
+	// minZoneRoundTrip is the least round trip to another zone, however fast its connections open.
+	// Equal workers of the own zone are preferred this way, since traffic between zones is
+	// charged. The own zone's round trip is 0: opening a connection has that overhead anywhere.
+	minZoneRoundTrip = time.Millisecond
 )
 
-// Ways are how long round trips to the zones take, from what new connections to their
-// workers are seen to take. It is safe for concurrent use.
-type Ways struct {
+// RoundTripEstimator estimates the round trip to each zone from the time that opening connections
+// to its workers takes. It is safe for concurrent use.
+type RoundTripEstimator struct {
 	vantage locality.Vantage
 	now     func() time.Time
 
 	mutex sync.RWMutex
-	zones map[string]*way
+	zones map[string]*zoneEstimate
 }
 
-// way is what was seen of a zone. The shortest time counts: longer ones tell of busy
-// machines.
-type way struct {
-	least  time.Duration // since begun
-	before time.Duration // in the window before; 0: there was none
-	seen   int
-	begun  time.Time
-	newest time.Time
-	told   time.Duration // the level that Observe told last
+// zoneEstimate holds the samples of one zone. The minimum counts, since longer samples include
+// delays of busy machines.
+type zoneEstimate struct {
+	minimum         time.Duration // since windowStart
+	previousMinimum time.Duration // of the window before; 0: none
+	samples         int
+	windowStart     time.Time
+	lastSample      time.Time
+	reported        time.Duration // result of the last call of Observe
 }
 
-// NewWays are ways from a vantage, of which none was measured. now is the clock.
-func NewWays(vantage locality.Vantage, now func() time.Time) *Ways {
-	return &Ways{vantage: vantage, now: now, zones: map[string]*way{}}
+// NewRoundTripEstimator returns an estimator without samples for a node at vantage. now is the clock.
+func NewRoundTripEstimator(vantage locality.Vantage, now func() time.Time) *RoundTripEstimator {
+	return &RoundTripEstimator{vantage: vantage, now: now, zones: map[string]*zoneEstimate{}}
 }
 
-// Observe takes in how long opening a connection to a zone took. One that did not come up
-// says nothing. It returns how long a round trip is taken to last from now on, and whether
-// that is news.
-func (w *Ways) Observe(zone string, took time.Duration) (roundTrip time.Duration, news bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	now := w.now()
-	known, ok := w.zones[zone]
-	if !ok || now.Sub(known.newest) > wayLapses {
-		known = &way{least: took, begun: now}
-		w.zones[zone] = known
+// Observe adds a sample: how long opening a connection to a zone took. Failed attempts must not be
+// passed in. It returns the new estimate and whether it has changed.
+func (e *RoundTripEstimator) Observe(zone string, took time.Duration) (roundTrip time.Duration, changed bool) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	now := e.now()
+	estimate, ok := e.zones[zone]
+	if !ok || now.Sub(estimate.lastSample) > estimateTTL {
+		estimate = &zoneEstimate{minimum: took, windowStart: now}
+		e.zones[zone] = estimate
 	}
-	if now.Sub(known.begun) > wayWindow {
-		known.before, known.least, known.begun = known.least, took, now
+	if now.Sub(estimate.windowStart) > estimateWindow {
+		estimate.previousMinimum, estimate.minimum, estimate.windowStart = estimate.minimum, took, now
 	}
-	known.least = min(known.least, took)
-	known.newest = now
-	known.seen++
-	before := known.told
-	known.told = w.roundTrip(zone)
-	return known.told, known.told != before
+	estimate.minimum = min(estimate.minimum, took)
+	estimate.lastSample = now
+	estimate.samples++
+	previous := estimate.reported
+	estimate.reported = e.roundTrip(zone)
+	return estimate.reported, estimate.reported != previous
 }
 
-// RoundTrip is how long a message to a zone and its answer take, as a level: ways that
-// differ by less than the measuring count as alike.
-func (w *Ways) RoundTrip(zone string) time.Duration {
-	w.mutex.RLock()
-	defer w.mutex.RUnlock()
-	return w.roundTrip(zone)
+// RoundTrip returns the estimated round trip to a zone. Estimates are rounded to a few levels, so that
+// differences within the measurement error do not count.
+func (e *RoundTripEstimator) RoundTrip(zone string) time.Duration {
+	e.mutex.RLock()
+	defer e.mutex.RUnlock()
+	return e.roundTrip(zone)
 }
 
 // roundTrip is RoundTrip. The caller holds the mutex.
-func (w *Ways) roundTrip(zone string) time.Duration {
-	if w.vantage.To(zone) == locality.SameZone {
+func (e *RoundTripEstimator) roundTrip(zone string) time.Duration {
+	if e.vantage.To(zone) == locality.SameZone {
 		return 0
 	}
-	known, ok := w.zones[zone]
-	if !ok || known.seen < enoughSeen || w.now().Sub(known.newest) > wayLapses {
-		return level(w.prior(zone))
+	estimate, ok := e.zones[zone]
+	if !ok || estimate.samples < minSamples || e.now().Sub(estimate.lastSample) > estimateTTL {
+		return level(e.prior(zone))
 	}
-	if known.before > 0 {
-		return level(min(known.before, known.least))
+	if estimate.previousMinimum > 0 {
+		return level(min(estimate.previousMinimum, estimate.minimum))
 	}
-	return level(known.least)
+	return level(estimate.minimum)
 }
 
-// prior is what a round trip is taken to last without a measurement.
-func (w *Ways) prior(zone string) time.Duration {
-	if w.vantage.To(zone) == locality.SameRegion {
+// prior is the round trip that is assumed without samples.
+func (e *RoundTripEstimator) prior(zone string) time.Duration {
+	if e.vantage.To(zone) == locality.SameRegion {
 		return priorSameRegion
 	}
 	return priorOtherRegion
 }
 
-// level is the middle of the powers of two, times shortestWay, between which a time lies; the
-// lowest one for all that is shorter.
+// level rounds a time to the middle of its power-of-two interval, in multiples of minZoneRoundTrip.
+// Shorter times are in the lowest interval.
 func level(took time.Duration) time.Duration {
-	floor := shortestWay
+	floor := minZoneRoundTrip
 	for 2*floor <= took {
 		floor *= 2
 	}
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -1,7 +1,7 @@
-// Package backend knows the workers of each service: which there are, how they
-// have answered this node lately, and the connections to them. What it knows of
-// their load it learns from its own requests alone; nothing is asked. What all
-// nodes together have seen of a worker is told to it, and counts beside that.
+// Package backend tracks the workers of each service: the worker list, this node's
+// recent outcomes and latencies with each worker, and the connection pools. Load is
+// inferred from the node's own requests; workers are not polled for it. Verdicts that
+// combine the observations of all nodes are received separately and weighed in.
 package backend
 
 import (
@@ -13,80 +13,83 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 )
 
-// Tuning of how a worker's past answers weigh.
+// Weights and limits for a worker's recent outcomes.
 const (
-	failureWeight   = 0.2 // of the newest answer in the share of failures
-	failureHalfLife = 1500 * time.Millisecond
-	paceWeight      = 0.2 // of the newest measurement in a pace
-	firstAvoid      = 800 * time.Millisecond
-	longestAvoid    = 3 * time.Second
-	declinedFor     = 60 * time.Millisecond
-	failuresToAvoid = 3 // broken answers in a row
+	failureWeight           = 0.2 // of the newest outcome in the failure rate
+	failureHalfLife         = 1500 * time.Millisecond
+	tokenTimeWeight         = 0.2 // of the newest sample in the time per token
+	minAvoidance            = 800 * time.Millisecond
+	maxAvoidance            = 3 * time.Second
+	busyPeriod              = 60 * time.Millisecond
+	failuresBeforeAvoidance = 3 // consecutive failures
 )
 
-// Worker is one incarnation of a worker as this node has experienced it.
+// Worker is one process of a worker, with this node's observations of it. A restarted
+// worker gets a new Worker. It is safe for concurrent use.
 type Worker struct {
 	registry *Registry
-	// Of its first entry; an entry in which one differs is another process's.
+	// Taken from its first entry. An entry in which one of them differs describes another
+	// process.
 	id, key, service, zone string
 	distance               locality.Distance
 
-	mutex      sync.Mutex
-	record     Record
-	warmth     warmth
-	pool       *httpconn.Pool // nil: nothing was sent to it yet
-	gone       bool           // it is not on the list any more
-	succeeded  bool           // another process has started under its ID since
-	running    int
-	failures   float64 // share of broken answers, as of failedAt; it halves with time
-	failedAt   time.Time
-	inARow     int
-	avoidFor   time.Duration
-	avoidUntil time.Time
-	busyUntil  time.Time
-	step       time.Duration // between two tokens; 0: unknown
-	answeredAt time.Time     // when the newest request ended whose outcome tells of the worker
-	pacedAt    time.Time     // when its pace was last measured
-	seen       seen          // and not told to a keeper of its group
-	verdict    verdict
-	// served is by priority when the newest request that was answered had been sent; nil: none was.
-	served *[Priorities]time.Time
+	mutex               sync.Mutex
+	record              Record
+	warmth              warmth
+	pool                *httpconn.Pool // nil: no request was sent to it yet
+	removed             bool           // no longer on the worker list
+	replaced            bool           // another process has started under the same ID
+	running             int
+	failureRate         float64 // exponentially weighted, as of failureRateAt; it decays with time
+	failureRateAt       time.Time
+	consecutiveFailures int
+	avoidFor            time.Duration
+	avoidUntil          time.Time
+	busyUntil           time.Time
+	tokenTime           time.Duration // average time per output token; 0: unknown
+	lastOutcomeAt       time.Time     // end of the newest request whose outcome says something about the worker
+	tokenTimeAt         time.Time     // when tokenTime was last updated
+	unreported          observations  // not yet reported to the group's owner
+	verdict             verdict
+	// lastServed holds, by priority, the newest send time among the requests that the worker
+	// has begun to answer; nil: none.
+	lastServed *[Priorities]time.Time
 }
 
-// Priorities is the number of priorities that a worker knows; 0 is the most urgent.
+// Priorities is the number of request priorities; 0 is the most urgent.
 const Priorities = 10
 
-// Record returns what the list says of the worker now.
+// Record returns the worker's current entry in the worker list.
 func (w *Worker) Record() Record {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.record
 }
 
-// Key names this incarnation of the worker, alike on all nodes.
+// Key identifies this process of the worker. It is the same on all nodes.
 func (w *Worker) Key() string { return w.key }
 
-// Pool holds the connections to the worker. It is made when it is first needed: a node sends to
-// few of the workers that it knows, and pools of 10,000 take 4 MB.
+// Pool returns the worker's connection pool, creating it on first use: a node sends to few of the
+// workers that it lists, and 10,000 pools take 4 MB.
 func (w *Worker) Pool() *httpconn.Pool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.pool == nil {
 		w.pool = w.registry.pool(w.record)
-		if w.gone {
+		if w.removed {
 			w.pool.Close()
 		}
 	}
 	return w.pool
 }
 
-// update takes over an entry that is not older than what is known. It reports whether that is
-// news.
+// update applies an entry that is not older than the current one. It reports whether anything
+// but the revision changed.
 func (w *Worker) update(record Record, now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if record.Revision > w.record.Revision || record != w.record {
-		w.warmth.learnRow(record, now)
+		w.warmth.updateFromEntry(record, now)
 	}
 	before := w.record
 	w.record = record
@@ -94,37 +97,37 @@
 	return before != record
 }
 
-// leave notes that the worker is not on the list any more.
-func (w *Worker) leave() {
+// markRemoved records that the worker is no longer on the worker list and closes its pool.
+func (w *Worker) markRemoved() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.gone = true
-	w.registry.untold.drop(w)
+	w.removed = true
+	w.registry.unreported.drop(w)
 	if w.pool != nil {
 		w.pool.Close()
 	}
 }
 
-// noteSuccessor notes that another process has started under the worker's ID.
-func (w *Worker) noteSuccessor() {
+// markReplaced records that another process has started under the worker's ID.
+func (w *Worker) markReplaced() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.succeeded = true
+	w.replaced = true
 }
 
-// Succeeded reports whether another process has started under the worker's ID since: this one
-// has ended, then.
+// Succeeded reports whether another process has started under the worker's ID, so that this one
+// has ended.
 func (w *Worker) Succeeded() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.succeeded
+	return w.replaced
 }
 
-// Leaving reports whether the worker must get no new work.
+// Leaving reports whether the worker is draining or off the worker list and must get no new work.
 func (w *Worker) Leaving() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.gone || w.record.Draining
+	return w.removed || w.record.Draining
 }
 
 // Begin counts a request as running until the returned function is called.
@@ -139,40 +142,40 @@
 	})
 }
 
-// Answered notes a whole answer.
+// Answered records a complete, successful answer.
 func (w *Worker) Answered() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.registry.options.Now()
-	w.answeredAt = now
-	w.noteEnded(now, 0)
-	w.failures -= w.failures * failureWeight
-	w.inARow = 0
+	w.lastOutcomeAt = now
+	w.recordOutcome(now, 0)
+	w.failureRate -= w.failureRate * failureWeight
+	w.consecutiveFailures = 0
 	w.avoidFor = 0
 	w.avoidUntil = time.Time{}
 }
 
-// Serves notes that a request sent at that time begins to be answered.
+// Serves records that the worker has begun to answer a request that was sent at the given time.
 func (w *Worker) Serves(sent time.Time, priority int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.served == nil {
-		w.served = new([Priorities]time.Time)
+	if w.lastServed == nil {
+		w.lastServed = new([Priorities]time.Time)
 	}
-	if sent.After(w.served[priority]) {
-		w.served[priority] = sent
+	if sent.After(w.lastServed[priority]) {
+		w.lastServed[priority] = sent
 	}
 }
 
-// Overtaken reports whether the worker answers requests that were sent after this
-// one and are no more urgent: it does not queue then, it has forgotten this one.
+// Overtaken reports whether the worker has begun to answer a request of the same or a lower
+// priority that was sent later. The earlier request is then lost rather than queued.
 func (w *Worker) Overtaken(sent time.Time, priority int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.served == nil {
+	if w.lastServed == nil {
 		return false
 	}
-	for _, other := range w.served[priority:] {
+	for _, other := range w.lastServed[priority:] {
 		if other.After(sent) {
 			return true
 		}
@@ -180,47 +183,47 @@
 	return false
 }
 
-// Paced notes how long a token of a stream took.
+// Paced records the time that one token of a stream took.
 func (w *Worker) Paced(step time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.registry.options.Now()
-	w.pacedAt = now
-	known := w.note(now)
-	known.paced++
-	known.spent += step
-	w.step = average(w.step, step)
+	w.tokenTimeAt = now
+	observed := w.observe(now)
+	observed.tokenSamples++
+	observed.tokenTimeTotal += step
+	w.tokenTime = average(w.tokenTime, step)
 }
 
-// Declined notes that the worker said it is full.
+// Declined records that the worker refused a request because it is at capacity.
 func (w *Worker) Declined(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.busyUntil = now.Add(declinedFor)
+	w.busyUntil = now.Add(busyPeriod)
 }
 
-// Broke notes an answer that was cut off, garbled or a failure.
+// Broke records an answer that was truncated, malformed or an error.
 func (w *Worker) Broke(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.addFailure(now)
-	w.inARow++
-	if w.inARow >= failuresToAvoid {
+	w.consecutiveFailures++
+	if w.consecutiveFailures >= failuresBeforeAvoidance {
 		w.avoid(now)
 	}
 }
 
-// Unreachable notes that no connection came up, or that one fell silent.
+// Unreachable records a failed connection attempt, or a connection that stopped responding.
 func (w *Worker) Unreachable(now time.Time) {
 	w.mutex.Lock()
 	w.addFailure(now)
 	w.avoid(now)
 	w.mutex.Unlock()
-	w.registry.noteLost(w)
+	w.registry.reportUnreachable(w)
 }
 
-// stayAway lets other workers come first for at least so long.
-func (w *Worker) stayAway(until time.Time) {
+// extendAvoidance passes the worker over until at least the given time, unless there is no other.
+func (w *Worker) extendAvoidance(until time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if until.After(w.avoidUntil) {
@@ -228,8 +231,8 @@
 	}
 }
 
-// reached notes that a connection came up again.
-func (w *Worker) reached() {
+// markReachable records that a connection could be opened again.
+func (w *Worker) markReachable() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.avoidFor = 0
@@ -237,28 +240,29 @@
 }
 
 func (w *Worker) addFailure(now time.Time) {
-	share := w.failureShare(now)
-	w.failures = share + (1-share)*failureWeight
-	w.failedAt = now
-	w.answeredAt = now
-	w.noteEnded(now, 1)
+	share := w.currentFailureRate(now)
+	w.failureRate = share + (1-share)*failureWeight
+	w.failureRateAt = now
+	w.lastOutcomeAt = now
+	w.recordOutcome(now, 1)
 }
 
-// failureShare is the share of broken answers now: without it halving, a worker
-// that is passed over could not show that it is well again.
-func (w *Worker) failureShare(now time.Time) float64 {
-	if w.failures == 0 {
+// currentFailureRate is the failure rate decayed to now. Without the decay a worker that is
+// passed over would have no chance to show that it has recovered.
+func (w *Worker) currentFailureRate(now time.Time) float64 {
+	if w.failureRate == 0 {
 		return 0
 	}
-	return w.failures * math.Exp2(-float64(now.Sub(w.failedAt))/float64(failureHalfLife))
+	return w.failureRate * math.Exp2(-float64(now.Sub(w.failureRateAt))/float64(failureHalfLife))
 }
 
-// avoid lengthens the time for which other workers come first.
+// avoid passes the worker over for a time that doubles with each call, up to maxAvoidance. It does
+// nothing while the worker is being avoided.
 func (w *Worker) avoid(now time.Time) {
 	if now.Before(w.avoidUntil) {
 		return
 	}
-	w.avoidFor = min(max(2*w.avoidFor, firstAvoid), longestAvoid)
+	w.avoidFor = min(max(2*w.avoidFor, minAvoidance), maxAvoidance)
 	w.avoidUntil = now.Add(w.avoidFor)
 }
 
@@ -266,5 +270,5 @@
 	if old == 0 {
 		return newest
 	}
-	return old + time.Duration(paceWeight*float64(newest-old))
+	return old + time.Duration(tokenTimeWeight*float64(newest-old))
 }
--- a/internal/backend/closed.go
+++ b/internal/backend/zones.go
@@ -7,10 +7,10 @@
 	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
-// open leaves out the workers of zones that are evacuated or lie outside the regions of a
-// request, so that a shortlist is drawn from all that remain: the work of such a zone falls
-// on all others alike. The order stays, and workers is not changed.
-func (r *Registry) open(regions locality.Regions, known roster) roster {
+// withOpenZones removes the workers of zones that are evacuated or outside the request's regions. The
+// shortlist is then drawn from all remaining workers, so that the load of an evacuated zone is spread
+// over all of them. The order is kept and the given roster is not changed.
+func (r *Registry) withOpenZones(regions locality.Regions, known roster) roster {
 	var closed []string
 	for _, zone := range known.zones {
 		if r.zoneVerdict(zone, regions).Refused() {
@@ -20,10 +20,10 @@
 	if len(closed) == 0 {
 		return known
 	}
-	return known.only(func(worker *Worker) bool { return !slices.Contains(closed, worker.zone) })
+	return known.filter(func(worker *Worker) bool { return !slices.Contains(closed, worker.zone) })
 }
 
-// zoneVerdict is what a request that may be served in regions may do in a zone.
+// zoneVerdict decides whether a request that may be served in the given regions may go to a zone.
 func (r *Registry) zoneVerdict(zone string, regions locality.Regions) permit.Verdict {
 	return permit.Check(permit.Request{Regions: regions}, permit.Worker{
 		Region:    r.options.Places.Region(zone),
@@ -31,10 +31,10 @@
 	})
 }
 
-// Closed tells why the zones of all workers of a service are closed to a request that may be
-// served in regions, and which zones would serve it were they not evacuated. It is
-// permit.Allowed if one is open, or if the service has no workers; leaving ones do not
-// count. With only, just these workers are looked at.
+// Closed returns why no zone with workers of a service accepts a request that may be served in the given
+// regions, and which of these zones would but for an evacuation. The verdict is permit.Allowed if one
+// accepts it or if the service has no workers. Draining workers do not count. If only is not empty,
+// just the workers with these keys are considered.
 func (r *Registry) Closed(service string, regions locality.Regions, only []string) (why permit.Verdict, evacuated []string) {
 	workers := r.Of(service)
 	for _, worker := range workers {
--- a/internal/backend/closed_test.go
+++ b/internal/backend/zones_test.go
@@ -12,24 +12,24 @@
 	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
-// evacuatedZones is an Options.Evacuated.
-func evacuatedZones(zones ...string) func(string) bool {
+// evacuatedFunc returns an Options.Evacuated for the given zones.
+func evacuatedFunc(zones ...string) func(string) bool {
 	return func(zone string) bool { return slices.Contains(zones, zone) }
 }
 
-// TestEvacuatedZonesWorkFallsOnAllOthers: on those of every zone that remains, be the list
-// ranked whole or a shortlist, and be it the node's own zone that is evacuated.
-func TestEvacuatedZonesWorkFallsOnAllOthers(t *testing.T) {
+// Guards against loading only some of the remaining workers, whether all are ranked or a shortlist is,
+// and also when the node's own zone is evacuated.
+func TestEvacuatedZonesLoadIsSpreadOverAllOthers(t *testing.T) {
 	const programs = 6000
 	for _, c := range []struct {
 		workers   int
 		evacuated []string
 	}{{12, []string{"z"}}, {90, []string{"z"}}, {90, []string{"z", "y"}}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			registry := registryOf(Options{Evacuated: evacuatedZones(c.evacuated...)}, c.workers, zonesSeenFrom(0, c.workers)...)
+			registry := newTestRegistry(Options{Evacuated: evacuatedFunc(c.evacuated...)}, c.workers, alternatingZones(0, c.workers)...)
 			chosen := map[string]int{}
 			for program := range programs {
-				chosen[choose(t, registry, turn(func(q *Query) { q.Key = fmt.Sprint("p", program) }))]++
+				chosen[choose(t, registry, modelCall(func(q *Query) { q.Key = fmt.Sprint("p", program) }))]++
 			}
 			remaining := c.workers * (3 - len(c.evacuated)) / 3
 			require.Len(t, chosen, remaining)
@@ -41,13 +41,15 @@
 	}
 }
 
-func TestProgramLeavesAnEvacuatedHome(t *testing.T) {
-	registry := registryOf(Options{Evacuated: evacuatedZones("y")}, 3, "y", "z", "z")
-	require.NotEqual(t, "w0", choose(t, registry, turn(func(q *Query) { q.Home = "w0" })))
+// Guards against sending requests to an evacuated zone because their context is cached there.
+func TestProgramLeavesEvacuatedHome(t *testing.T) {
+	registry := newTestRegistry(Options{Evacuated: evacuatedFunc("y")}, 3, "y", "z", "z")
+	require.NotEqual(t, "w0", choose(t, registry, modelCall(func(q *Query) { q.Home = "w0" })))
 }
 
-func TestVanishedWorkerOfAnEvacuatedZoneGetsNothing(t *testing.T) {
-	registry := registryOf(Options{Evacuated: evacuatedZones("z")}, 1)
+// A lingering worker must not be used while its zone is evacuated.
+func TestRemovedWorkerOfEvacuatedZoneIsNotUsed(t *testing.T) {
+	registry := newTestRegistry(Options{Evacuated: evacuatedFunc("z")}, 1)
 	registry.Remove("w0")
 	_, err := registry.Choose(Query{Service: "s"})
 	require.Error(t, err)
@@ -55,19 +57,20 @@
 	require.Equal(t, permit.Evacuated, why)
 }
 
-// TestShortlistIsOfAllowedRegions: however few of many workers stand there.
-func TestShortlistIsOfAllowedRegions(t *testing.T) {
-	zones := zonesSeenFrom(0, 60)
+// Guards against missing the only worker of an allowed region among many others.
+func TestShortlistHonorsRegions(t *testing.T) {
+	zones := alternatingZones(0, 60)
 	zones[17] = "w"
 	places := locality.NewMap(map[string]string{"z": "one", "y": "one", "x": "one", "w": "other"})
-	registry := registryOf(Options{Places: places}, len(zones), zones...)
+	registry := newTestRegistry(Options{Places: places}, len(zones), zones...)
 	for program := range 50 {
-		query := turn(func(q *Query) { q.Key, q.Regions = fmt.Sprint(program), locality.Regions{"other"} })
+		query := modelCall(func(q *Query) { q.Key, q.Regions = fmt.Sprint(program), locality.Regions{"other"} })
 		require.Equal(t, "w17", choose(t, registry, query))
 	}
 }
 
-func TestWhyAServiceIsClosed(t *testing.T) {
+// The reason and the zones decide what a refused caller is told to do.
+func TestClosed(t *testing.T) {
 	places := locality.NewMap(map[string]string{"z": "one", "y": "one", "x": "other"})
 	for _, c := range []struct {
 		name      string
@@ -83,11 +86,11 @@
 		{name: "all of the region", evacuated: []string{"y", "z"}, regions: locality.Regions{"one"}, why: permit.Evacuated, zones: []string{"y", "z"}},
 		{name: "no worker in the region", regions: locality.Regions{"third"}, why: permit.OutsideRegions},
 		{name: "no region", regions: locality.Regions{}, why: permit.OutsideRegions},
-		{name: "all that may be asked", evacuated: []string{"z"}, only: []string{"w0"}, why: permit.Evacuated, zones: []string{"z"}},
+		{name: "all allowed workers", evacuated: []string{"z"}, only: []string{"w0"}, why: permit.Evacuated, zones: []string{"z"}},
 		{name: "an unknown zone", evacuated: []string{"nowhere"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			registry := registryOf(Options{Places: places, Evacuated: evacuatedZones(c.evacuated...)}, 3, "z", "y", "x")
+			registry := newTestRegistry(Options{Places: places, Evacuated: evacuatedFunc(c.evacuated...)}, 3, "z", "y", "x")
 			why, zones := registry.Closed("s", c.regions, c.only)
 			require.Equal(t, c.why, why)
 			require.Equal(t, c.zones, zones)
@@ -95,10 +98,10 @@
 	}
 }
 
-// TestEmptyServiceIsNotClosed: its workers may come, so a request waits its moment.
+// A service without workers may get some soon, so requests wait instead of failing.
 func TestEmptyServiceIsNotClosed(t *testing.T) {
 	now := time.Now()
-	registry := registryOf(Options{Now: func() time.Time { return now }}, 0)
+	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 0)
 	why, _ := registry.Closed("s", nil, nil)
 	require.Equal(t, permit.Allowed, why)
 }
