--- a/internal/place/feasible.go
+++ b/internal/place/feasible.go
@@ -6,9 +6,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// Feasible drops the candidates that cannot or must not serve the query:
-// excluded, leaving, or too small. Unhealthy ones stay only when no healthy one
-// is left, because a doubtful worker is better than a sure refusal.
+// Feasible returns the candidates that can serve the query: not excluded, not leaving and
+// large enough. Unhealthy ones are returned only if no healthy one is left, since they may
+// still succeed. It fails with fault.Unavailable if there is none.
 func Feasible(query Query, candidates []Candidate) ([]Candidate, error) {
 	usable := make([]Candidate, 0, len(candidates))
 	healthy := 0
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -12,22 +12,22 @@
 	Program id.Program
 	Model   id.Model
 	Adapter id.Adapter
-	Tokens  int       // of KV memory that the call may come to need
+	Tokens  int       // KV cache that the call may need, in tokens
 	Home    id.Worker // where the program's last call ran; empty if unknown
 	Zone    string    // of the program's leader
 	Exclude []id.Worker
-	// Key, if given, breaks ties: calls with the same key prefer the same worker,
-	// whichever node decides. Without it ties are broken by random.
+	// Key, if set, breaks ties: calls with the same key prefer the same worker on every
+	// node. Without it ties are broken at random.
 	Key string
-	// Sequence numbers the decisions of one placer; round robin counts by it.
+	// Sequence numbers the decisions of one placer. Round robin uses it as its counter.
 	Sequence uint64
 }
 
-// Candidate is a probed worker.
+// Candidate is a worker that may run the call, with the estimates that it is ranked by.
 type Candidate struct {
 	Worker       id.Worker
 	Zone         string
-	Distance     time.Duration // of a message to the worker and its answer; alike for workers that are as near
+	Distance     time.Duration // round trip to the worker, rounded so that equally distant workers are equal
 	Healthy      bool
 	Leaving      bool
 	ModelLoaded  bool
@@ -35,14 +35,14 @@
 	Queued       int
 	Running      int
 	Wait         time.Duration // until admission
-	Prefill      time.Duration // of what is not cached there
-	Decode       time.Duration // at the batch's size
-	Step         time.Duration // of one token at the batch's size; zero: not known yet
-	Compute      time.Duration // of the call's own prefill, without what is ahead of it
-	Load         time.Duration // of the model or adapter, if it is not ready
+	Prefill      time.Duration // of the tokens that are not cached at the worker
+	Decode       time.Duration // time to generate the output at the current batch size
+	Step         time.Duration // time per output token at the current batch size; 0: unknown
+	Compute      time.Duration // prefill of this call alone, without the work queued ahead of it
+	Load         time.Duration // time to load the model or adapter; 0: it is loaded
 	CachedTokens int
-	Capacity     int // KV memory in tokens; zero: unknown
-	// Connected says that a connection to the worker is open and free.
+	Capacity     int // KV cache in tokens; 0: unknown
+	// Connected says that an idle connection to the worker is open.
 	Connected bool
 }
 
@@ -55,14 +55,14 @@
 type Decision struct {
 	Worker   id.Worker
 	Expected time.Duration
-	// Runner-up and how much longer it was expected to take; empty if there was
-	// no other feasible candidate.
+	// Second is the runner-up and Margin how much longer it was expected to take. Both are zero
+	// if there was no other feasible candidate.
 	Second id.Worker
 	Margin time.Duration
 }
 
-// Choose picks a worker for the call. It fails with fault.Unavailable and
-// RanNo when no candidate is feasible.
+// Choose picks a worker for the call. It fails with fault.Unavailable and fault.RanNo if no
+// candidate is feasible.
 func Choose(query Query, candidates []Candidate, policy Policy, random *rand.Rand) (Decision, error) {
 	feasible, err := Feasible(query, candidates)
 	if err != nil {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -29,6 +29,7 @@
 	return workers
 }
 
+// Guards against calls sent to workers that cannot serve them, and refused while one still could.
 func TestFeasible(t *testing.T) {
 	healthy := ready("a")
 	unhealthy := with(ready("b"), func(c *Candidate) { c.Healthy = false })
@@ -44,8 +45,8 @@
 		"excluded is left out":             {Query{Exclude: []id.Worker{"a"}}, []Candidate{healthy, small}, []id.Worker{"d"}},
 		"healthy before unhealthy":         {Query{}, []Candidate{unhealthy, healthy}, []id.Worker{"a"}},
 		"unhealthy if there is no other":   {Query{}, []Candidate{unhealthy, leaving}, []id.Worker{"b"}},
-		"nobody":                           {Query{Tokens: 100}, []Candidate{leaving, small}, nil},
-		"nobody asked":                     {Query{}, nil, nil},
+		"none usable":                      {Query{Tokens: 100}, []Candidate{leaving, small}, nil},
+		"no candidates":                    {Query{}, nil, nil},
 		"a leaving worker is never chosen": {Query{Home: "c"}, []Candidate{leaving}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -60,6 +61,7 @@
 	}
 }
 
+// Each case guards one term of a policy's ranking.
 func TestRank(t *testing.T) {
 	second := time.Second
 	near := with(ready("near"), func(c *Candidate) { c.Decode = second })
@@ -96,6 +98,7 @@
 	}
 }
 
+// Guards against uneven choices among equal workers and against choosing worse ones.
 func TestSelect(t *testing.T) {
 	candidates := func(costs ...time.Duration) []Candidate {
 		var ranked []Candidate
@@ -104,7 +107,7 @@
 		}
 		return ranked
 	}
-	ours := Policy{Name: ExpectedCompletion}
+	expected := Policy{Name: ExpectedCompletion}
 	random := rand.New(rand.NewPCG(1, 1))
 
 	t.Run("round robin takes turns", func(t *testing.T) {
@@ -117,7 +120,7 @@
 	t.Run("ties are spread and others never taken", func(t *testing.T) {
 		seen := map[id.Worker]int{}
 		for range 200 {
-			seen[Select(Query{}, candidates(1000, 1010, 2000), ours, random).Worker]++
+			seen[Select(Query{}, candidates(1000, 1010, 2000), expected, random).Worker]++
 		}
 		require.Greater(t, seen["0"], 50)
 		require.Greater(t, seen["1"], 50)
@@ -125,32 +128,33 @@
 	})
 	t.Run("home wins a tie and only a tie", func(t *testing.T) {
 		for range 50 {
-			require.Equal(t, id.Worker("1"), Select(Query{Home: "1"}, candidates(1000, 1010), ours, random).Worker)
-			require.Equal(t, id.Worker("0"), Select(Query{Home: "1"}, candidates(1000, 2000), ours, random).Worker)
+			require.Equal(t, id.Worker("1"), Select(Query{Home: "1"}, candidates(1000, 1010), expected, random).Worker)
+			require.Equal(t, id.Worker("0"), Select(Query{Home: "1"}, candidates(1000, 2000), expected, random).Worker)
 		}
 	})
 	t.Run("an open connection wins a tie, and only a tie, after the home", func(t *testing.T) {
 		connected := candidates(1000, 1010, 1010, 2000)
 		connected[2].Connected, connected[3].Connected = true, true
 		for key := range 50 {
-			require.Equal(t, id.Worker("2"), Select(Query{Key: fmt.Sprint(key)}, connected, ours, random).Worker)
-			require.Equal(t, id.Worker("1"), Select(Query{Key: fmt.Sprint(key), Home: "1"}, connected, ours, random).Worker)
+			require.Equal(t, id.Worker("2"), Select(Query{Key: fmt.Sprint(key)}, connected, expected, random).Worker)
+			require.Equal(t, id.Worker("1"), Select(Query{Key: fmt.Sprint(key), Home: "1"}, connected, expected, random).Worker)
 		}
 	})
 	t.Run("the margin is over the runner-up", func(t *testing.T) {
-		decision := Select(Query{}, candidates(1000, 5000), ours, random)
+		decision := Select(Query{}, candidates(1000, 5000), expected, random)
 		require.Equal(t, Decision{Worker: "0", Expected: 1000, Second: "1", Margin: 4000}, decision)
 	})
 }
 
-func TestShortlistIsShortAndDistinct(t *testing.T) {
+// Guards against shortlists that are long, hold duplicates or excluded workers, or never sample some.
+func TestShortlist(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	pool := []id.Worker{"a", "b", "c", "d", "e", "f", "g", "h"}
 	seen := map[id.Worker]bool{}
 	for range 200 {
 		list := Shortlist("a", []id.Worker{"a", "b", "c", "d"}, pool, []id.Worker{"b", "h"}, random)
 		require.Len(t, list, 5)
-		require.Equal(t, []id.Worker{"a", "c", "d"}, list[:3], "home, then two that share the template's prefix")
+		require.Equal(t, []id.Worker{"a", "c", "d"}, list[:3], "home, then two with the template prefix cached")
 		require.NotContains(t, list, id.Worker("b"))
 		require.NotContains(t, list, id.Worker("h"))
 		require.NotEqual(t, list[3], list[4])
@@ -161,8 +165,8 @@
 	require.Empty(t, Shortlist("", nil, nil, nil, random))
 }
 
-// BenchmarkDecision is the whole pure decision of a placer: the shortlist out of
-// a model's workers, and the choice among the probed candidates.
+// BenchmarkDecision measures a whole decision: the shortlist from a model's workers and the choice among
+// the candidates.
 func BenchmarkDecision(b *testing.B) {
 	for _, size := range []int{76, 760, 7600} {
 		b.Run(fmt.Sprintf("workers=%d", size), func(b *testing.B) {
--- a/internal/place/policy.go
+++ b/internal/place/policy.go
@@ -1,39 +1,39 @@
 package place
 
-// Name is a placement policy's stable name.
+// Name identifies a placement policy. The values appear in settings and reports.
 type Name string
 
-// The placement policies. The first three are baselines and stay for ever.
+// The placement policies. The first three are baselines for comparison.
 const (
 	// RoundRobin takes the workers in turn.
 	RoundRobin Name = "round_robin"
 	// LeastRequests takes the worker with the fewest queued and running calls.
 	LeastRequests Name = "least_requests"
-	// Sticky keeps a program at its first worker, chosen by least requests.
+	// Sticky keeps a program at its first worker, which LeastRequests chooses.
 	Sticky Name = "sticky"
-	// ExpectedCompletion takes the worker where the call should end first.
+	// ExpectedCompletion takes the worker where the call is expected to complete first.
 	ExpectedCompletion Name = "expected_completion"
 )
 
 // Names lists all policies, baselines first.
 var Names = []Name{RoundRobin, LeastRequests, Sticky, ExpectedCompletion}
 
-// Policy is a placement policy with its single mechanisms switched off.
+// Policy is a placement policy. For ablation studies, parts of it can be switched off.
 type Policy struct {
 	Name Name
-	// IgnoreCache leaves cached prefixes out of the expected completion.
+	// IgnoreCache leaves the prefill of uncached tokens out of the expected completion.
 	IgnoreCache bool
-	// IgnoreWait leaves queues out of the expected completion.
+	// IgnoreWait leaves the queueing time out of the expected completion.
 	IgnoreWait bool
-	// IgnoreOthers leaves out the delay that the call's own prefill brings to
-	// the calls that run there already.
+	// IgnoreOthers leaves out the delay that the call's prefill causes for other calls at the
+	// worker.
 	IgnoreOthers bool
-	// IgnoreZones leaves the distance between zones out.
+	// IgnoreZones leaves out the round trip to the worker.
 	IgnoreZones bool
 }
 
-// Probes reports whether the policy looks at load, so that candidates must be
-// probed, and whether it needs every worker of the model rather than a few.
+// Probes reports whether the policy uses load, so that candidates must be probed, and
+// whether it needs all workers of the model rather than a shortlist.
 func (p Policy) Probes() (load, all bool) {
 	switch p.Name {
 	case RoundRobin:
--- a/internal/place/rank.go
+++ b/internal/place/rank.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// heldUp is how many calls, besides those that run, a later call's own prefill
-// is taken to hold up: those that come while it lasts, and those for which there
-// is no memory because the context now lies at two workers.
-const heldUp = 40
+// delayedArrivals is the number of calls, besides the running ones, that a later call's
+// prefill is assumed to delay: those that arrive during it, and those that find no memory
+// because the context is then cached at two workers.
+const delayedArrivals = 40
 
-// Rank orders candidates by the policy, best first.
+// Rank returns the candidates sorted by the policy, best first.
 func Rank(query Query, candidates []Candidate, policy Policy) []Candidate {
 	ranked := slices.Clone(candidates)
-	levelDecode(ranked)
+	normalizeDecode(ranked)
 	slices.SortFunc(ranked, func(a, b Candidate) int {
 		if order := compare(query, a, b, policy); order != 0 {
 			return order
@@ -45,22 +45,21 @@
 }
 
 func compareSticky(query Query, a, b Candidate) int {
-	if home := cmp.Compare(atHome(query, b), atHome(query, a)); home != 0 {
+	if home := cmp.Compare(isHome(query, b), isHome(query, a)); home != 0 {
 		return home
 	}
 	return compareRequests(a, b)
 }
 
-func atHome(query Query, candidate Candidate) int {
+func isHome(query Query, candidate Candidate) int {
 	if query.Home != "" && candidate.Worker == query.Home {
 		return 1
 	}
 	return 0
 }
 
-// cost is the expected completion with the policy's switched-off parts left out,
-// and the delay that the call brings to others: every token that is computed
-// again holds up the whole batch.
+// cost is the expected completion plus the delay that the call causes for others, without the
+// parts that the policy ignores. Recomputing tokens delays the whole batch.
 func (p Policy) cost(query Query, c Candidate) time.Duration {
 	cost := c.Load + c.Decode
 	if !p.IgnoreWait {
@@ -70,7 +69,7 @@
 		cost += c.Prefill
 	}
 	if !p.IgnoreCache && !p.IgnoreOthers {
-		cost += time.Duration(othersHeldUp(query, c)) * c.Compute
+		cost += time.Duration(delayedCalls(query, c)) * c.Compute
 	}
 	if !p.IgnoreZones {
 		cost += c.Distance
@@ -78,21 +77,19 @@
 	return cost
 }
 
-// othersHeldUp is how many calls the call's own prefill is taken to hold up. A
-// first call makes no context a second time: what it computes of its
-// template's prompt is there for the programs after it.
-func othersHeldUp(query Query, c Candidate) int {
+// delayedCalls is the number of calls that the call's own prefill is assumed to delay. A first
+// call duplicates no context: the template prefix that it computes is reused by later programs.
+func delayedCalls(query Query, c Candidate) int {
 	if query.Home == "" {
 		return c.Running
 	}
-	return c.Running + heldUp
+	return c.Running + delayedArrivals
 }
 
-// levelDecode makes the candidates' times to decode comparable: the answer is
-// as long at one worker as at another, so they differ by the time of a step
-// alone. A worker that has not shown its speed is taken for as fast as the
-// fastest, or it would never be tried.
-func levelDecode(candidates []Candidate) {
+// normalizeDecode makes the candidates' times to decode comparable. The output has the same
+// length at each worker, so they may differ only by the time per token. A worker without a
+// measurement counts as fast as the fastest, or it would never be tried.
+func normalizeDecode(candidates []Candidate) {
 	output, known := 0.0, 0
 	fastest := time.Duration(0)
 	for _, c := range candidates {
--- a/internal/place/select.go
+++ b/internal/place/select.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// retryAfter is when a caller without a feasible worker should come back.
+	// retryAfter is when a caller should retry if no worker is feasible.
 	retryAfter = time.Second
-	// tieShare of the best expected completion counts as a tie: estimates are no
-	// better than that, and a herd of placers should not pick the same worker.
-	tieShare = 0.02
+	// tieTolerance is the share of the best cost within which candidates are tied. Estimates
+	// are no more precise, and nodes should not all pick the same worker.
+	tieTolerance = 0.02
 )
 
-// Select takes one of the best ranked candidates, of which there is at least
-// one. Ties are broken by random, except in a program's favour: the worker that
-// ran its last call wins a tie.
+// Select picks one of the best of the ranked candidates, which must not be empty. Among tied
+// candidates the worker that ran the program's last call wins; else the query's key decides,
+// or random if there is none.
 func Select(query Query, ranked []Candidate, policy Policy, random *rand.Rand) Decision {
 	chosen := 0
 	switch policy.Name {
@@ -34,7 +34,7 @@
 
 func selectTied(query Query, ranked []Candidate, policy Policy, random *rand.Rand) int {
 	best := policy.cost(query, ranked[0])
-	limit := best + time.Duration(float64(best)*tieShare)
+	limit := best + time.Duration(float64(best)*tieTolerance)
 	tied := 1
 	for tied < len(ranked) && policy.cost(query, ranked[tied]) <= limit && ranked[tied].Distance == ranked[0].Distance {
 		tied++
@@ -53,9 +53,8 @@
 	return random.IntN(tied)
 }
 
-// preferred is the index of the worker that ranks first by rendezvous hashing, among
-// those with an open connection if there is one: a new connection takes a worker's and a
-// node's time, and says nothing against the workers that have one.
+// preferred returns the index of the worker that ranks first by rendezvous hashing. If any have
+// an open connection only those are considered, since opening one costs time at both ends.
 func preferred(key string, tied []Candidate) int {
 	connected := slices.ContainsFunc(tied, func(c Candidate) bool { return c.Connected })
 	best, highest := 0, uint64(0)
--- a/internal/place/shortlist.go
+++ b/internal/place/shortlist.go
@@ -7,17 +7,17 @@
 	"github.com/cloverwheel/cloverwheel/internal/id"
 )
 
-// Sampled is how many random workers a shortlist adds to those that may hold
-// cached context.
-const Sampled = 2
+// SampleSize is the number of random workers that a shortlist adds to those that may have
+// the context cached.
+const SampleSize = 2
 
-// maxShared bounds how many workers with the template's prefix are shortlisted.
+// maxShared bounds the number of shortlisted workers that have the template's prefix cached.
 const maxShared = 2
 
-// Shortlist names the few workers to probe: the program's home, at most two
-// that hold its template's shared prefix, and two at random out of pool.
+// Shortlist returns the workers to probe: the program's home, at most two that have its
+// template's prefix cached, and SampleSize random ones from pool.
 func Shortlist(home id.Worker, shared, pool, exclude []id.Worker, random *rand.Rand) []id.Worker {
-	list := make([]id.Worker, 0, 1+maxShared+Sampled)
+	list := make([]id.Worker, 0, 1+maxShared+SampleSize)
 	add := func(worker id.Worker) bool {
 		if worker == "" || slices.Contains(list, worker) || slices.Contains(exclude, worker) {
 			return false
@@ -31,21 +31,22 @@
 			taken++
 		}
 	}
-	addSampled(pool, random, add)
+	addRandom(pool, random, add)
 	return list
 }
 
-// addSampled adds up to Sampled random workers of pool that add accepts.
-func addSampled(pool []id.Worker, random *rand.Rand, add func(id.Worker) bool) {
-	for range Sampled {
-		if !addFrom(pool, random, add) {
+// addRandom adds up to SampleSize random workers of pool that add accepts.
+func addRandom(pool []id.Worker, random *rand.Rand, add func(id.Worker) bool) {
+	for range SampleSize {
+		if !addOneRandom(pool, random, add) {
 			return
 		}
 	}
 }
 
-// addFrom adds the first worker that add accepts after a random start.
-func addFrom(pool []id.Worker, random *rand.Rand, add func(id.Worker) bool) bool {
+// addOneRandom adds the first worker that add accepts, from a random start. It reports whether
+// there was one.
+func addOneRandom(pool []id.Worker, random *rand.Rand, add func(id.Worker) bool) bool {
 	if len(pool) == 0 {
 		return false
 	}
