--- a/internal/backend/group.go
+++ b/internal/backend/accessors.go
@@ -21,13 +21,13 @@
 	r.mutex.Lock()
 	known := r.services[service]
 	r.mutex.Unlock()
-	var there []*Worker
+	var found []*Worker
 	for _, worker := range known.workers {
 		if worker.zone == zone {
-			there = append(there, worker)
+			found = append(found, worker)
 		}
 	}
-	return there
+	return found
 }
 
 // ZonesOf returns the zones in which a service has workers or has had them. The slice must not be
@@ -41,10 +41,11 @@
 // WorkerOf returns the listed worker with a key.
 func (r *Registry) WorkerOf(key string) (*Worker, bool) { return r.byKey(key) }
 
-// Takes reports whether a worker may get requests, regions of the request apart.
+// Takes reports whether a worker may get any request that its region may serve: it is neither draining
+// nor cold, and its zone is not evacuated.
 func (r *Registry) Takes(worker *Worker) bool { return r.Check(worker, nil) == permit.Allowed }
 
-// RoundTripTo returns the estimated round trip to a zone; 0 to the node's own.
+// RoundTripTo returns the estimated round trip to a zone; 0 for the node's own zone.
 func (r *Registry) RoundTripTo(zone string) time.Duration { return r.roundTrips.RoundTrip(zone) }
 
 // Shunned reports whether the worker is being avoided after failures or a refusal at this node, or is
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -16,8 +16,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// newTestRegistry returns a registry with workers w0, w1 ... of service s. They are in zone z
-// except for the first ones, whose zones are given.
+// newTestRegistry returns a registry of zone z with workers w0, w1 ... of service s. zones are the
+// zones of the first workers; the others are in zone z.
 func newTestRegistry(options Options, count int, zones ...string) *Registry {
 	options.Zone = "z"
 	if options.Dial == nil {
@@ -40,6 +40,7 @@
 	return r.workers[id]
 }
 
+// choose returns the ID of the worker that is chosen for a request of service s.
 func choose(t *testing.T, registry *Registry, query Query) string {
 	t.Helper()
 	query.Service = "s"
@@ -57,7 +58,7 @@
 	return query
 }
 
-// Each case guards one rule that Choose prefers or avoids workers by.
+// Each case guards one rule by which Choose prefers or avoids workers.
 func TestChoose(t *testing.T) {
 	now := time.Now
 	for name, test := range map[string]struct {
@@ -110,6 +111,7 @@
 	}
 }
 
+// slowed makes one worker's tokens take five times as long as those of the others.
 func slowed(id string) func(*Registry) {
 	return func(r *Registry) {
 		for _, worker := range []string{"w0", "w1", "w2", "w3"} {
@@ -158,8 +160,8 @@
 	require.True(t, fault.Is(err, fault.Unavailable))
 }
 
-// Guards against losing a service whose worker list is lost for a moment, and against using removed
-// workers otherwise.
+// Guards against failing requests when all entries of a service disappear for a moment, and against
+// using removed workers otherwise.
 func TestRemovedWorkerIsUsedOnlyAsLastResort(t *testing.T) {
 	now := time.Now()
 	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 2)
@@ -192,8 +194,8 @@
 	require.Len(t, seen, 2)
 }
 
-// Guards against sending requests to an unreachable worker before a connection to it could be
-// opened again, however long that takes.
+// Guards against choosing an unreachable worker before a connection to it could be opened again,
+// however long that takes.
 func TestUnreachableWorkerIsAvoidedUntilReconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reachable atomic.Bool
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -52,8 +52,8 @@
 	failurePenalty = 200 * time.Millisecond
 	// busyPenalty is added for a worker that has just refused a request for lack of capacity.
 	busyPenalty = 100 * time.Millisecond
-	// coldPenalty is added for a cold worker, so that warm workers with capacity come first.
-	// Moving a program away from its cached context costs more.
+	// coldPenalty is added for a cold worker, so that warm workers with capacity come first. It is
+	// usually less than the cost of moving a program away from its cached context.
 	coldPenalty = 50 * time.Millisecond
 	// newConnectionPenalty is the expected time to open a connection.
 	newConnectionPenalty = 8 * time.Millisecond
@@ -115,9 +115,10 @@
 	return permit.Check(permit.Request{Regions: regions}, r.permitFacts(worker))
 }
 
-// permitFacts collects the facts about a worker that decide whether requests may be sent to it.
+// permitFacts returns the facts about a worker that decide whether requests may be sent to it.
 func (r *Registry) permitFacts(worker *Worker) permit.Worker {
-	// Read before cold: a zone's workers are marked cold before its evacuation ends.
+	// Must be read before cold: a zone's workers are marked cold before its evacuation ends, so a zone
+	// that has just reopened is not seen with warm workers.
 	evacuated := r.options.Evacuated(worker.zone)
 	return permit.Worker{
 		Region:    r.options.Places.Region(worker.zone),
@@ -127,7 +128,7 @@
 	}
 }
 
-// shortlist lists the workers to rank for a request.
+// shortlist returns the workers to rank for a request.
 func (r *Registry) shortlist(query Query) []*Worker {
 	known := r.rosterOf(query.Service)
 	if len(query.Only) > 0 {
@@ -142,13 +143,13 @@
 	if !r.anyFree(short, query) {
 		short = known.appendOtherRegions(short, query, spread)
 	}
-	return r.appendHome(r.appendKeepers(short, query), known, query)
+	return r.appendHome(r.appendPrefixWorkers(short, query), known, query)
 }
 
-// appendKeepers appends the workers of the node's region that are assigned to cache the shared part
-// of the prompt. Those of the node's zone rank first because of their shorter round trip. Those of
+// appendPrefixWorkers appends the workers of the node's region that are assigned to cache the shared
+// part of the prompt. Those of the node's zone rank first because of their shorter round trip. Those of
 // other zones rank before a worker without the prefix, whose prefill would take longer.
-func (r *Registry) appendKeepers(short []*Worker, query Query) []*Worker {
+func (r *Registry) appendPrefixWorkers(short []*Worker, query Query) []*Worker {
 	for _, id := range query.Keepers {
 		worker, ok := r.worker(id)
 		usable := ok && worker.service == query.Service && worker.distance != locality.OtherRegion && !worker.Leaving()
@@ -234,6 +235,7 @@
 	return visit%perRound*stride + visit/perRound
 }
 
+// candidate returns the worker's estimates for a request, without those that need the registry.
 func (w *Worker) candidate(query Query, now time.Time) place.Candidate {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -280,8 +282,8 @@
 }
 
 // normalizeTokenTimes sets the candidates' times to decode. Token times within slowTokenTimeRatio of
-// the median count as equal, so that noise does not draw all requests to one worker. A slowness that
-// is reported by all nodes together replaces this node's own measurement.
+// the median count as equal, so that noise does not draw all requests to one worker. Where slowness is
+// not 0, all nodes together have measured it, and it replaces this node's own token time.
 func normalizeTokenTimes(candidates []place.Candidate, slowness []float64, output int) {
 	steps := make([]time.Duration, 0, len(candidates))
 	for index, candidate := range candidates {
--- a/internal/backend/experience.go
+++ b/internal/backend/experience.go
@@ -14,9 +14,9 @@
 const (
 	// sampleTTL is the age at which unreported observations are dropped.
 	sampleTTL = 2 * time.Second
-	// verdictTTL is how long a verdict that names no time stays valid.
-	verdictTTL = time.Second
-	// maxVerdictTTL bounds the validity of any verdict, since the node that issues them may be lost.
+	// minVerdictTTL is the least time for which a verdict stays valid.
+	minVerdictTTL = time.Second
+	// maxVerdictTTL is the longest time, since the node that issues verdicts may be lost.
 	maxVerdictTTL = 3 * time.Second
 	// verdictPrecedence is the age up to which a verdict overrides newer observations of this node.
 	verdictPrecedence = 500 * time.Millisecond
@@ -34,7 +34,7 @@
 	since          time.Time // time of the first one; zero: none
 	requests       int
 	failures       int
-	silences       int
+	silences       int // requests whose first event was overdue
 	tokenSamples   int
 	tokenTimeTotal time.Duration // sum over tokenSamples
 }
@@ -42,7 +42,7 @@
 // verdict is the current assessment of a worker by all nodes together.
 type verdict struct {
 	receivedAt   time.Time // zero: there is no verdict
-	ejectedUntil time.Time // until then the worker gets no requests but trials
+	ejectedUntil time.Time // until then the worker gets only trials
 	expiresAt    time.Time
 	slowness     float64 // time per token as a multiple of the usual one; 0: not slow
 	cost         time.Duration
@@ -110,13 +110,13 @@
 	t.count.Store(int32(len(t.all)))
 }
 
-// take removes and returns the first trial for which may is true. It drops expired trials.
-func (t *trials) take(now time.Time, may func(trial) bool) (*Worker, bool) {
+// take removes the first trial for which suitable is true and returns its worker. It drops expired trials.
+func (t *trials) take(now time.Time, suitable func(trial) bool) (*Worker, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.all = slices.DeleteFunc(t.all, func(known trial) bool { return !now.Before(known.until) })
 	var worker *Worker
-	if index := slices.IndexFunc(t.all, may); index >= 0 {
+	if index := slices.IndexFunc(t.all, suitable); index >= 0 {
 		worker = t.all[index].worker
 		t.all = slices.Delete(t.all, index, index+1)
 	}
@@ -169,7 +169,7 @@
 	return sample, true
 }
 
-// TakeSamples returns what was observed of a service's workers since the last call. Observations older
+// TakeSamples returns the observations of a service's workers since the last call. Observations older
 // than sampleTTL are dropped.
 func (r *Registry) TakeSamples(service string) []experience.Sample {
 	now := r.options.Now()
@@ -197,6 +197,7 @@
 	}
 }
 
+// noteVerdict replaces the worker's verdict. Out-of-range values are limited.
 func (w *Worker) noteVerdict(received experience.Verdict, now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -208,7 +209,7 @@
 		return
 	}
 	until := min(max(received.Until, 0), maxVerdictTTL)
-	next := verdict{receivedAt: now, ejectedUntil: now.Add(until), expiresAt: now.Add(max(until, verdictTTL))}
+	next := verdict{receivedAt: now, ejectedUntil: now.Add(until), expiresAt: now.Add(max(until, minVerdictTTL))}
 	if received.Slow > 1 {
 		next.slowness = min(received.Slow, maxSlowness)
 	}
@@ -216,7 +217,8 @@
 	w.verdict = next
 }
 
-// ejected reports whether the worker gets no requests but trials. The caller holds its mutex.
+// ejected reports whether a verdict excludes the worker from all requests except trials. The caller
+// holds its mutex.
 func (w *Worker) ejected(now time.Time) bool {
 	return now.Before(w.verdict.ejectedUntil) && w.verdict.inForce(w.lastOutcomeAt, now)
 }
@@ -234,7 +236,8 @@
 	return cost, slowness
 }
 
-// slowness returns the second result of cost.
+// slowness returns the worker's time per token as a multiple of the usual one, by the verdict of all
+// nodes; 0: no verdict applies.
 func (w *Worker) slowness(now time.Time) float64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -242,7 +245,7 @@
 	return slowness
 }
 
-// Ejected reports whether the verdict of all nodes excludes the worker from requests other than trials.
+// Ejected reports whether the verdict of all nodes excludes the worker from all requests except trials.
 func (w *Worker) Ejected(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -251,7 +254,7 @@
 
 // Trial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
 // cached context at another worker and can be retried elsewhere. If none comes within spareOnlyPeriod,
-// a program's first turn is used, which loses least. Each trial is handed out once.
+// a program's first turn is used, which has least to lose. Each trial is handed out once.
 func (r *Registry) Trial(query Query) (*Worker, bool) {
 	if r.trials.count.Load() == 0 || !query.Spare && !query.Begins || len(query.Only) > 0 {
 		return nil, false
@@ -266,7 +269,8 @@
 	})
 }
 
-// triable reports whether the worker is on the list and this node does not avoid it or see it at capacity.
+// triable reports whether the worker is listed and this node neither avoids it nor was refused by it
+// within busyPeriod.
 func (w *Worker) triable(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/backend/experience_test.go
+++ b/internal/backend/experience_test.go
@@ -52,9 +52,9 @@
 	registry.advance(sampleTTL + 1)
 	registry.get("w0").Answered()
 	registry.get("w1").Answered()
-	gone := registry.get("w1")
+	removed := registry.get("w1")
 	registry.Remove("w1")
-	gone.Broke(registry.now)
+	removed.Broke(registry.now)
 	require.Equal(t, []experience.Sample{{Worker: "w0", Requests: 1}}, registry.TakeSamples("s"))
 	registry.get("w0").Answered()
 	registry.advance(sampleTTL + 1)
@@ -107,7 +107,7 @@
 	require.Len(t, registry.chosen(t, nil), 2)
 }
 
-// A verdict must win over this node's observations while it is fresh, and lose to newer ones after.
+// A fresh verdict must override this node's newer observations; an old one must not.
 func TestNewerObservationOverridesOldVerdict(t *testing.T) {
 	registry := newClockedRegistry(4)
 	registry.NoteVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
--- a/internal/backend/latency.go
+++ b/internal/backend/latency.go
@@ -2,7 +2,7 @@
 
 import "github.com/cloverwheel/cloverwheel/internal/wait"
 
-// Silences estimates how long the workers of a service usually send nothing.
+// Silences holds the latency estimates of a service: how long its workers usually send nothing.
 type Silences struct {
 	First wait.Estimate // from the request to the first chunk of its answer
 	Next  wait.Estimate // between two chunks
--- a/internal/backend/reconnect.go
+++ b/internal/backend/reconnect.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// unreachableBacklog bounds the queue of workers to reconnect to. Workers that do not fit in
-	// are only avoided for a time.
+	// unreachableBacklog bounds the queue of workers to reconnect to. A worker that finds
+	// it full is only avoided for a limited period.
 	unreachableBacklog = 64
 	// reconnectInterval is the time between two attempts to connect to an unreachable worker.
 	reconnectInterval = 300 * time.Millisecond
@@ -27,8 +27,8 @@
 	}
 }
 
-// Run monitors unreachable workers until ctx ends. Requests avoid such a worker until a connection
-// to it can be opened again.
+// Run tries to reconnect to unreachable workers until ctx ends. Such a worker is avoided until a
+// connection to it can be opened.
 func (r *Registry) Run(ctx context.Context) {
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
@@ -57,7 +57,8 @@
 	}
 }
 
-// reconnect returns when the worker accepts connections again, is draining or removed, or ctx ends.
+// reconnect attempts to open a connection until it succeeds, the worker is draining or removed, or
+// ctx ends. The worker is avoided meanwhile.
 func (r *Registry) reconnect(ctx context.Context, worker *Worker) {
 	for wait.For(ctx, reconnectInterval) == nil && !worker.Leaving() {
 		limited, cancel := context.WithTimeout(ctx, reconnectTimeout)
--- a/internal/backend/record.go
+++ b/internal/backend/record.go
@@ -19,7 +19,7 @@
 	Slots    int
 	Draining bool
 	// ColdLeft is the remaining cold start, during which the worker can take little load, as of
-	// its last report to the list.
+	// the worker's last report.
 	ColdLeft time.Duration
 	// Revision rises with each change of the entry. Entries with a lower one are ignored.
 	Revision uint64
@@ -43,6 +43,7 @@
 	return id
 }
 
+// cutLast cuts text around the last separator; ok is false if there is none.
 func cutLast(text, separator string) (before, after string, ok bool) {
 	index := strings.LastIndex(text, separator)
 	if index < 0 {
--- a/internal/backend/region.go
+++ b/internal/backend/region.go
@@ -14,10 +14,10 @@
 // The reasons. A request that stays in its region has none (the zero value).
 const (
 	ReasonHome Reason = "home" // the worker has the request's context cached
-	ReasonFull Reason = "full" // no worker of the region has capacity now
+	ReasonFull Reason = "full" // no worker of the region is available now: at capacity, avoided, cold or excluded
 	ReasonNone Reason = "none" // the region has no worker of the service that may get the request
-	// ReasonFree means that a worker of the region had capacity. It is expected only when one became
-	// free a moment ago, or when a request resumes at the worker that ran it.
+	// ReasonFree means that a worker of the region was available. It is expected only when one became
+	// available a moment ago, or when a request resumes at the worker that ran it.
 	ReasonFree Reason = "free"
 )
 
@@ -28,27 +28,27 @@
 		return distance, ""
 	}
 	known := r.rosterOf(query.Service)
-	near := known.workers[:known.sameRegion]
+	inRegion := known.workers[:known.sameRegion]
 	switch {
 	case query.Home == worker.key:
 		return distance, ReasonHome
-	case !slices.ContainsFunc(near, func(w *Worker) bool { return !r.Check(w, query.Regions).Refused() }):
+	case !slices.ContainsFunc(inRegion, func(w *Worker) bool { return !r.Check(w, query.Regions).Refused() }):
 		return distance, ReasonNone
-	case r.anyFree(near, query):
+	case r.anyFree(inRegion, query):
 		return distance, ReasonFree
 	default:
 		return distance, ReasonFull
 	}
 }
 
-// RoundTrip returns the estimated round trip to a worker; 0 in the node's own zone.
+// RoundTrip returns the estimated round trip to a worker; 0 for one in the node's own zone.
 func (r *Registry) RoundTrip(worker *Worker) time.Duration {
 	return r.roundTrips.RoundTrip(worker.zone)
 }
 
 // homeInRegion returns the worker that has the request's context cached if it is in this node's region.
-// A worker of another region gets no preference beyond its cost of round trip and prefill, since a
-// program that stays there pays the round trip for each of its turns.
+// A worker of another region is compared only by its round trip and saved prefill, since a program
+// that stays there pays the round trip for each of its turns.
 func (r *Registry) homeInRegion(query Query) string {
 	if home, ok := r.byKey(query.Home); ok && home.distance == locality.OtherRegion {
 		return ""
@@ -56,7 +56,8 @@
 	return query.Home
 }
 
-// anyFree reports whether some worker is believed to have capacity for a request now.
+// anyFree reports whether, as far as this node knows, some worker can take the request now. Workers
+// that are excluded, cold or not permitted to get the request do not count.
 func (r *Registry) anyFree(workers []*Worker, query Query) bool {
 	now := r.options.Now()
 	return slices.ContainsFunc(workers, func(w *Worker) bool {
@@ -64,10 +65,10 @@
 	})
 }
 
-// free reports whether the worker is neither at capacity nor avoided, as far as this node knows.
+// free reports whether the worker is listed, below capacity and not avoided, as far as this node knows.
 func (w *Worker) free(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	hasPlace := w.record.Slots == 0 || w.running < w.record.Slots
-	return hasPlace && !w.removed && !now.Before(w.busyUntil) && !now.Before(w.avoidUntil)
+	hasCapacity := w.record.Slots == 0 || w.running < w.record.Slots
+	return hasCapacity && !w.removed && !now.Before(w.busyUntil) && !now.Before(w.avoidUntil)
 }
--- a/internal/backend/region_test.go
+++ b/internal/backend/region_test.go
@@ -26,7 +26,7 @@
 func distanceOf(r *Registry, worker string) locality.Distance { return r.get(worker).distance }
 
 // regionWorkers returns the workers of the registry's region.
-func (r *Registry) regionWorkers() (near []*Worker) {
+func (r *Registry) regionWorkers() (workers []*Worker) {
 	return r.services["s"].workers[:r.services["s"].sameRegion]
 }
 
@@ -77,7 +77,7 @@
 	}
 }
 
-// Guards against losing requests when the node's whole region is evacuated.
+// Guards against failing requests when the node's whole region is evacuated.
 func TestRequestsLeaveEvacuatedRegion(t *testing.T) {
 	registry := newMultiRegionRegistry(Options{Evacuated: func(zone string) bool { return zone == "z" || zone == "a2" }}, 12)
 	query := modelCall(func(q *Query) { q.Service = "s" })
@@ -92,8 +92,8 @@
 func TestRemoteContextIsRecomputedIfFaster(t *testing.T) {
 	for _, workers := range sizes {
 		registry := newMultiRegionRegistry(Options{}, workers)
-		home := func(fresh int) Query {
-			return Query{Service: "s", Key: "p", Home: "w1", Prompt: 12_000 + fresh, Shared: 12_000, Output: 500}
+		home := func(unshared int) Query {
+			return Query{Service: "s", Key: "p", Home: "w1", Prompt: 12_000 + unshared, Shared: 12_000, Output: 500}
 		}
 		require.NotEqual(t, "w1", choose(t, registry, home(700)), "prefill takes about 4 ms")
 		stays := home(40_000) // prefill of about 200 ms
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -27,7 +27,7 @@
 	Node        string // name of this node; it decides which workers the node prefers
 	DialTimeout time.Duration
 	Guard       silence.Guard // detects unresponsive connections to workers
-	OnDial      func()
+	OnDial      func()        // counts new connections to workers
 	// OnWay is called when the estimated round trip to a zone changes; may be nil.
 	OnWay  func(zone string, roundTrip time.Duration)
 	OnLook func() // counts the attempts to connect to an unreachable worker; may be nil
@@ -189,7 +189,7 @@
 // returns the others.
 func (r *Registry) stillLingering(service string) []lingeringWorker {
 	now := r.options.Now()
-	return slices.DeleteFunc(r.lingering[service], func(v lingeringWorker) bool { return !now.Before(v.until) })
+	return slices.DeleteFunc(r.lingering[service], func(l lingeringWorker) bool { return !now.Before(l.until) })
 }
 
 // Revision returns the revision of a worker's current entry; 0: it has none.
@@ -214,12 +214,12 @@
 }
 
 // Of returns the workers of a service. If it has none, it returns those that were removed
-// within the linger period. The slice must not be changed.
+// within lingerPeriod. The slice must not be changed.
 func (r *Registry) Of(service string) []*Worker {
 	return r.rosterOf(service).workers
 }
 
-// rosterOf is Of, with the boundaries between zones and regions.
+// rosterOf returns the workers that Of returns, as a roster.
 func (r *Registry) rosterOf(service string) roster {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/restart_test.go
+++ b/internal/backend/restart_test.go
@@ -18,15 +18,15 @@
 }
 
 // newRestartRegistry returns a registry with one worker, and the number of dials by address.
-func newRestartRegistry(record Record) (registry *Registry, dialled map[string]int) {
-	dialled = map[string]int{}
+func newRestartRegistry(record Record) (registry *Registry, dials map[string]int) {
+	dials = map[string]int{}
 	registry = NewRegistry(Options{Zone: "z", Dial: func(_ context.Context, address string) (net.Conn, error) {
-		dialled[address]++
+		dials[address]++
 		client, _ := net.Pipe()
 		return client, nil
 	}})
 	registry.Put(record)
-	return registry, dialled
+	return registry, dials
 }
 
 // single returns the only worker of a service.
@@ -48,7 +48,7 @@
 		"while draining":      func(r *Record) { r.Revision = 3 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			registry, dialled := newRestartRegistry(entryStartedAt(1, 1))
+			registry, dials := newRestartRegistry(entryStartedAt(1, 1))
 			old := registry.single(t, "s")
 			require.NoError(t, old.Pool().Reach(t.Context()))
 			old.Begin()
@@ -77,7 +77,7 @@
 			require.False(t, restarted.Succeeded())
 			require.True(t, old.Leaving())
 			require.NoError(t, restarted.Pool().Reach(t.Context()))
-			require.Positive(t, dialled[next.Address])
+			require.Positive(t, dials[next.Address])
 			require.False(t, registry.Has(next.Service, old.Key()), "its cached context is lost")
 			require.True(t, registry.Has(next.Service, restarted.Key()))
 			_, err := registry.Choose(Query{Service: next.Service, Key: "k", Only: []string{old.Key()}})
@@ -110,7 +110,7 @@
 func TestWorkerWithoutStartTime(t *testing.T) {
 	unstamped := entryStartedAt(1, 1)
 	unstamped.Born = time.Time{}
-	registry, dialled := newRestartRegistry(unstamped)
+	registry, dials := newRestartRegistry(unstamped)
 	old := registry.single(t, "s")
 	require.Equal(t, "w", old.Key())
 	again := unstamped
@@ -124,7 +124,7 @@
 	require.NotSame(t, old, restarted)
 	require.False(t, old.Succeeded())
 	require.NoError(t, restarted.Pool().Reach(t.Context()))
-	require.Equal(t, map[string]int{"second": 1}, dialled)
+	require.Equal(t, map[string]int{"second": 1}, dials)
 	require.Equal(t, []string{"w"}, registry.IDs())
 }
 
--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -14,8 +14,8 @@
 	workers    []*Worker
 	sameZone   int      // number of workers in the node's zone; they come first
 	sameRegion int      // number of workers in the node's region, those of its zone included
-	zones      []string // zones of the workers
-	// lingering says that all workers were removed from the worker list and are in their linger period.
+	zones      []string // zones of the workers, and perhaps zones that have none any more
+	// lingering says that all workers were removed from the worker list less than lingerPeriod ago.
 	lingering bool
 }
 
@@ -33,9 +33,9 @@
 // rosterWithZones returns the roster of sorted workers, given their zones.
 func rosterWithZones(workers []*Worker, zones []string) roster {
 	from := func(w *Worker, distance locality.Distance) int { return cmp.Compare(w.distance, distance) }
-	near, _ := slices.BinarySearchFunc(workers, locality.SameRegion, from)
-	region, _ := slices.BinarySearchFunc(workers, locality.OtherRegion, from)
-	return roster{workers: workers, sameZone: near, sameRegion: region, zones: zones}
+	sameZone, _ := slices.BinarySearchFunc(workers, locality.SameRegion, from)
+	sameRegion, _ := slices.BinarySearchFunc(workers, locality.OtherRegion, from)
+	return roster{workers: workers, sameZone: sameZone, sameRegion: sameRegion, zones: zones}
 }
 
 // zonesOf returns zones with those of workers added. It does not change its argument.
@@ -54,9 +54,9 @@
 	return cmp.Or(cmp.Compare(a.distance, b.distance), strings.Compare(a.key, b.key))
 }
 
-// withChanges returns the roster without the removed workers and with the added ones. A batch of changes
-// costs one copy of the list, where sorting for each change would make the first load quadratic. A zone
-// whose last worker was removed stays in zones, which is harmless.
+// withChanges returns the roster without the removed workers and with the added ones. It copies the
+// list once per batch: sorting it anew for each change would make the first load quadratic. A zone whose
+// last worker was removed stays in zones, which is harmless.
 func (r roster) withChanges(removed, added []*Worker) roster {
 	slices.SortFunc(removed, compareWorkers)
 	slices.SortFunc(added, compareWorkers)
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -98,9 +98,9 @@
 		loadInPages(registry, updates)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for round := 0; b.Loop(); round++ {
-				gone, come := updates[round%2], updates[(round+1)%2]
-				come.Record.Revision = uint64(size + round + 1)
-				registry.Apply([]Update{{Record: Record{ID: gone.Record.ID}, End: Removed}, come})
+				removed, added := updates[round%2], updates[(round+1)%2]
+				added.Record.Revision = uint64(size + round + 1)
+				registry.Apply([]Update{{Record: Record{ID: removed.Record.ID}, End: Removed}, added})
 			}
 		})
 	}
--- a/internal/backend/shortlist_test.go
+++ b/internal/backend/shortlist_test.go
@@ -21,10 +21,10 @@
 	for program := range programs {
 		chosen[choose(t, registry, modelCall(func(q *Query) { q.Key = fmt.Sprint("p", program) }))]++
 	}
-	const near = workers / 3
-	require.Len(t, chosen, near, "only workers of the zone")
+	const inZone = workers / 3
+	require.Len(t, chosen, inZone, "only workers of the zone")
 	for worker, count := range chosen {
-		require.InDelta(t, programs/near, count, 0.25*programs/near, worker)
+		require.InDelta(t, programs/inZone, count, 0.25*programs/inZone, worker)
 	}
 }
 
@@ -46,8 +46,8 @@
 	}
 }
 
-// alternatingZones returns the zones of workers that alternate between three zones, as seen from
-// the given one, which is named "z".
+// alternatingZones returns the zones of workers that alternate between three zones. The zone with the
+// given number, 0 to 2, is the node's own and is named "z".
 func alternatingZones(zone, workers int) []string {
 	zones := make([]string, workers)
 	for index := range zones {
@@ -63,16 +63,16 @@
 	total := map[string]int{}
 	for node := range nodes {
 		registry := newTestRegistry(Options{Node: fmt.Sprint("node", node)}, workers, alternatingZones(node%3, workers)...)
-		mine, objects := map[string]int{}, map[string]int{}
+		plain, objects := map[string]int{}, map[string]int{}
 		for request := range requests {
 			query := Query{Service: "s", Key: fmt.Sprint("r", request)}
-			mine[choose(t, registry, query)]++
+			plain[choose(t, registry, query)]++
 			query.SameObject = true
 			objects[choose(t, registry, query)]++
 		}
-		require.Len(t, mine, shortlistSize, "equal workers of the zone")
+		require.Len(t, plain, shortlistSize, "equal workers of the zone")
 		require.Greater(t, len(objects), workers/4, "most workers of the zone")
-		for worker, count := range mine {
+		for worker, count := range plain {
 			total[worker] += count
 		}
 	}
@@ -86,11 +86,11 @@
 func TestRefusingWorkersAreReplaced(t *testing.T) {
 	for workers := maxFullRanking + 1; workers < 4*maxFullRanking; workers++ {
 		registry := newTestRegistry(Options{Node: "n"}, workers, alternatingZones(0, workers)...)
-		var declined []string
+		var refusing []string
 		for range workers {
-			declined = append(declined, choose(t, registry, Query{Service: "s", Key: "r", Exclude: declined}))
+			refusing = append(refusing, choose(t, registry, Query{Service: "s", Key: "r", Exclude: refusing}))
 		}
-		slices.Sort(declined)
-		require.Len(t, slices.Compact(declined), workers)
+		slices.Sort(refusing)
+		require.Len(t, slices.Compact(refusing), workers)
 	}
 }
--- a/internal/backend/simulation_test.go
+++ b/internal/backend/simulation_test.go
@@ -18,17 +18,17 @@
 	requestTime     = 150 * time.Millisecond // from sending a request to its end
 	tokenSamples    = 3                      // token times measured per request
 	normalTokenTime = 3 * time.Millisecond
-	troubleStart    = 3 * time.Second // requests sent earlier are not counted
-	troubleEnd      = troubleStart + 6500*time.Millisecond
+	faultStart      = 3 * time.Second // requests sent earlier are not counted
+	faultEnd        = faultStart + 6500*time.Millisecond
 )
 
-// load describes the requests that nodes send to a service's workers, and the faults of these.
+// load describes the requests that nodes send to a service's workers, and the workers' faults.
 type load struct {
 	nodes, workers int
-	perSecond      int // requests of all nodes
-	fails          func(worker int, at time.Duration) float64
-	refuses        func(worker int, at time.Duration) bool // whether the worker refuses connections
-	slow           func(worker int, at time.Duration) float64
+	perSecond      int                                        // requests of all nodes
+	fails          func(worker int, at time.Duration) float64 // probability that a request fails
+	refuses        func(worker int, at time.Duration) bool    // whether the worker refuses connections
+	slow           func(worker int, at time.Duration) float64 // multiple of the normal time
 }
 
 // baseLoad is the load of 77 nodes on 45 workers.
@@ -43,7 +43,7 @@
 
 // result counts requests sent during the faults.
 type result struct {
-	sent, failed, slowed int
+	sent, failed, slowed int // slowed: sent to slow workers
 	ejected              map[string]bool
 }
 
@@ -73,7 +73,7 @@
 		run func()
 	}
 	var events []event
-	for ; at < troubleEnd; at += tick {
+	for ; at < faultEnd; at += tick {
 		events = slices.DeleteFunc(events, func(e event) bool {
 			if e.due <= at {
 				e.run()
@@ -86,7 +86,7 @@
 			require.NoError(t, err)
 			took := l.duration(chosen, at)
 			for piece := range time.Duration(tokenSamples) {
-				events = append(events, event{due: at + (piece+1)*took/(tokenSamples+1), run: l.pace(chosen, at)})
+				events = append(events, event{due: at + (piece+1)*took/(tokenSamples+1), run: l.recordTokenTime(chosen, at)})
 			}
 			events = append(events, event{due: at + took, run: l.outcome(chosen, at, random, &got)})
 		}
@@ -101,13 +101,14 @@
 	return got
 }
 
+// workerIndex returns the number in a worker's key.
 func workerIndex(worker *Worker) (index int) {
 	_, _ = fmt.Sscanf(worker.Key(), "w%d", &index)
 	return index
 }
 
-// pace returns a function that records a token time of a request sent at the given time.
-func (l load) pace(worker *Worker, sent time.Duration) func() {
+// recordTokenTime returns a function that records a token time of a request sent at the given time.
+func (l load) recordTokenTime(worker *Worker, sent time.Duration) func() {
 	if l.refuses(workerIndex(worker), sent) {
 		return func() {}
 	}
@@ -128,7 +129,7 @@
 	index := workerIndex(worker)
 	refused, failed := l.refuses(index, at), random.Float64() < l.fails(index, at)
 	slow := l.slow(index, at)
-	if at >= troubleStart {
+	if at >= faultStart {
 		got.sent++
 		if refused || failed {
 			got.failed++
@@ -154,8 +155,8 @@
 // With shared observations, faults must affect at most half as many requests as when each node detects
 // them on its own. Ejections must match the faulty workers.
 func TestSharedObservationsReduceFailures(t *testing.T) {
-	troubled := func(bad int) func(worker int, at time.Duration) bool {
-		return func(worker int, at time.Duration) bool { return worker < bad && at >= troubleStart && at < troubleEnd }
+	faulty := func(bad int) func(worker int, at time.Duration) bool {
+		return func(worker int, at time.Duration) bool { return worker < bad && at >= faultStart && at < faultEnd }
 	}
 	for name, test := range map[string]struct {
 		bad      int
@@ -165,7 +166,7 @@
 	}{
 		"14% fail 45%": {bad: 6, change: func(l *load) {
 			l.fails = func(worker int, at time.Duration) float64 {
-				if troubled(6)(worker, at) {
+				if faulty(6)(worker, at) {
 					return 0.45
 				}
 				return 0.01
@@ -173,12 +174,12 @@
 		}, affected: func(c result) float64 { return c.failureRate() - 0.01 }},
 		"10% go up and down every 1.4 s": {bad: 5, change: func(l *load) {
 			l.refuses = func(worker int, at time.Duration) bool {
-				return troubled(5)(worker, at) && (at-troubleStart)/(1400*time.Millisecond)%2 == 0
+				return faulty(5)(worker, at) && (at-faultStart)/(1400*time.Millisecond)%2 == 0
 			}
 		}, affected: func(c result) float64 { return c.failureRate() - 0.01 }},
 		"16% are five times slower": {bad: 7, slow: true, change: func(l *load) {
 			l.slow = func(worker int, at time.Duration) float64 {
-				if troubled(7)(worker, at) {
+				if faulty(7)(worker, at) {
 					return 5
 				}
 				return 1
--- a/internal/backend/update.go
+++ b/internal/backend/update.go
@@ -33,7 +33,7 @@
 }
 
 // lingerPeriod is how long a removed worker may still be used when its service has no other.
-// Entries may also disappear because the list is temporarily unavailable.
+// Entries may have disappeared only because the list is temporarily unavailable.
 const lingerPeriod = 1500 * time.Millisecond
 
 // Put adds or updates an entry. It reports whether anything changed.
@@ -74,7 +74,7 @@
 type rosterChange struct {
 	added     []*Worker
 	removed   []*Worker
-	lingering []*Worker // removed workers that may be used during the linger period
+	lingering []*Worker // removed workers that may still be used for lingerPeriod
 }
 
 func (b *batch) roster(service string) *rosterChange {
--- a/internal/backend/warmth.go
+++ b/internal/backend/warmth.go
@@ -14,7 +14,7 @@
 
 const (
 	// minWarmthTTL is how long a worker counts as warm without confirmation by the worker list or its
-	// own health response. An idle, healthy list is confirmed every 6 s.
+	// own health response. A healthy list is confirmed at least every 6 s.
 	minWarmthTTL = 8 * time.Second
 	// warmthTTLJitter is the range of extra time by which nodes differ. When the information has expired,
 	// nodes send health checks, and those of 100 nodes at once would overload a cold worker.
@@ -32,7 +32,7 @@
 	Lapsed bool
 }
 
-// warmth is the state behind Warmth. Its times are those of this process's clock.
+// warmth is the state behind Warmth. Its times are of this process's monotonic clock.
 type warmth struct {
 	coldUntil       time.Time
 	source          Source
@@ -77,12 +77,12 @@
 	known := worker.warmth
 	warmth := Warmth{Source: known.source, Age: now.Sub(known.learnedAt)}
 	left := known.coldUntil.Sub(now)
-	lapsed := now.Sub(known.learnedAt) > r.warmthTTL && now.Sub(r.listConfirmedAt()) > r.warmthTTL
-	if left <= 0 && !lapsed {
+	expired := now.Sub(known.learnedAt) > r.warmthTTL && now.Sub(r.listConfirmedAt()) > r.warmthTTL
+	if left <= 0 && !expired {
 		return warmth
 	}
 	if less, _ := r.options.Cold(worker.record.Service); less {
-		warmth.Left, warmth.Lapsed = max(0, left), lapsed
+		warmth.Left, warmth.Lapsed = max(0, left), expired
 	}
 	return warmth
 }
@@ -101,8 +101,8 @@
 
 // listConfirmedAt returns when the list was last confirmed; zero: never.
 func (r *Registry) listConfirmedAt() time.Time {
-	if heard := r.listConfirmed.Load(); heard != nil {
-		return *heard
+	if confirmed := r.listConfirmed.Load(); confirmed != nil {
+		return *confirmed
 	}
 	return time.Time{}
 }
--- a/internal/backend/warmth_test.go
+++ b/internal/backend/warmth_test.go
@@ -29,8 +29,8 @@
 	registry.Put(Record{ID: "w0", Zone: "z", Service: "s", Revision: revision, ColdLeft: left})
 }
 
-// Guards against overloading a cold worker, and against holding it back for too long.
-func TestWorkerIsColdUntilEntryExpires(t *testing.T) {
+// Guards against overloading a cold worker, and against limiting it after its cold start.
+func TestWorkerIsColdUntilColdStartEnds(t *testing.T) {
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1, ColdLeft: 2 * time.Second})
 	require.Equal(t, permit.Metered, registry.Check(worker, nil))
 	advance(2 * time.Second)
@@ -60,7 +60,7 @@
 	require.True(t, registry.cold(worker))
 }
 
-// Guards against full load on workers that have gone cold during an evacuation.
+// Guards against full load on workers that have turned cold during an evacuation.
 func TestReopenedZoneIsColdUntilNewerEntry(t *testing.T) {
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 5})
 	registry.ZoneReopened("z", 10)
--- a/internal/backend/ways.go
+++ b/internal/backend/ways.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	// Round trips that are assumed until they are measured, between zones of a region and between
-	// regions. They are typical of networks within one country.
-	priorSameRegion  = 2 * time.Millisecond
-	priorOtherRegion = 20 * time.Millisecond
+	// defaultSameRegion and defaultOtherRegion are the round trips that are assumed until they are
+	// measured. They are typical of networks within one country.
+	defaultSameRegion  = 2 * time.Millisecond
+	defaultOtherRegion = 20 * time.Millisecond
 	// minSamples is the number of connections that must have been opened before the estimate is
 	// used. Fewer may all have met busy workers.
 	minSamples = 4
-	// estimateWindow is the least time for which the shortest sample counts; the most is twice that.
+	// estimateWindow is the length of a window. The estimate is the shortest sample of the current
+	// window and the one before.
 	estimateWindow = 30 * time.Second
 	// estimateTTL is the time without a new connection after which the default is assumed again.
 	// Otherwise a zone that seemed far away would not be used and never be measured again.
 	estimateTTL = 2 * time.Minute
 	// minZoneRoundTrip is the least round trip to another zone, however fast its connections open.
-	// Equal workers of the own zone are preferred this way, since traffic between zones is
-	// charged. The own zone's round trip is 0: opening a connection has that overhead anywhere.
+	// It makes the node prefer workers of its own zone, whose round trip is 0, over equal ones
+	// elsewhere, since traffic between zones is charged.
 	minZoneRoundTrip = time.Millisecond
 )
 
@@ -89,7 +90,7 @@
 	}
 	estimate, ok := e.zones[zone]
 	if !ok || estimate.samples < minSamples || e.now().Sub(estimate.lastSample) > estimateTTL {
-		return level(e.prior(zone))
+		return level(e.defaultRoundTrip(zone))
 	}
 	if estimate.previousMinimum > 0 {
 		return level(min(estimate.previousMinimum, estimate.minimum))
@@ -97,16 +98,16 @@
 	return level(estimate.minimum)
 }
 
-// prior is the round trip that is assumed without samples.
-func (e *RoundTripEstimator) prior(zone string) time.Duration {
+// defaultRoundTrip is the round trip that is assumed without samples.
+func (e *RoundTripEstimator) defaultRoundTrip(zone string) time.Duration {
 	if e.vantage.To(zone) == locality.SameRegion {
-		return priorSameRegion
+		return defaultSameRegion
 	}
-	return priorOtherRegion
+	return defaultOtherRegion
 }
 
-// level rounds a time to the middle of its power-of-two interval, in multiples of minZoneRoundTrip.
-// Shorter times are in the lowest interval.
+// level rounds a time to the middle of its interval. The intervals begin at minZoneRoundTrip, and each
+// is twice as long as the one before. Shorter times belong to the first.
 func level(took time.Duration) time.Duration {
 	floor := minZoneRoundTrip
 	for 2*floor <= took {
--- a/internal/backend/ways_test.go
+++ b/internal/backend/ways_test.go
@@ -23,8 +23,8 @@
 func TestRoundTripDefaults(t *testing.T) {
 	estimator := newTestEstimator()
 	require.Zero(t, estimator.RoundTrip("z"))
-	require.Equal(t, level(priorSameRegion), estimator.RoundTrip("a2"))
-	require.Equal(t, level(priorOtherRegion), estimator.RoundTrip("b1"))
+	require.Equal(t, level(defaultSameRegion), estimator.RoundTrip("a2"))
+	require.Equal(t, level(defaultOtherRegion), estimator.RoundTrip("b1"))
 }
 
 // Guards against estimates that follow delays of busy machines, or that never rise or expire.
@@ -41,7 +41,7 @@
 		_, changed = estimator.Observe("b1", 70*time.Millisecond)
 		require.False(t, changed)
 		observe(300)
-		require.Equal(t, level(priorOtherRegion), estimator.RoundTrip("b1"), "there are too few samples")
+		require.Equal(t, level(defaultOtherRegion), estimator.RoundTrip("b1"), "there are too few samples")
 		observe(80)
 		require.Equal(t, level(70*time.Millisecond), estimator.RoundTrip("b1"))
 		observe(24, 500, 500)
@@ -52,7 +52,7 @@
 		}
 		require.Equal(t, level(50*time.Millisecond), estimator.RoundTrip("b1"))
 		time.Sleep(estimateTTL + time.Second)
-		require.Equal(t, level(priorOtherRegion), estimator.RoundTrip("b1"), "the estimate has expired")
+		require.Equal(t, level(defaultOtherRegion), estimator.RoundTrip("b1"), "the estimate has expired")
 	})
 }
 
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -15,13 +15,13 @@
 
 // Weights and limits for a worker's recent outcomes.
 const (
-	failureWeight           = 0.2 // of the newest outcome in the failure rate
-	failureHalfLife         = 1500 * time.Millisecond
-	tokenTimeWeight         = 0.2 // of the newest sample in the time per token
-	minAvoidance            = 800 * time.Millisecond
+	failureWeight           = 0.2                     // of the newest outcome in the failure rate
+	failureHalfLife         = 1500 * time.Millisecond // of the failure rate
+	tokenTimeWeight         = 0.2                     // of the newest sample in the time per token
+	minAvoidance            = 800 * time.Millisecond  // the first period; it doubles up to maxAvoidance
 	maxAvoidance            = 3 * time.Second
-	busyPeriod              = 60 * time.Millisecond
-	failuresBeforeAvoidance = 3 // consecutive failures
+	busyPeriod              = 60 * time.Millisecond // after a refusal for lack of capacity
+	failuresBeforeAvoidance = 3                     // consecutive
 )
 
 // Worker is one process of a worker, with this node's observations of it. A restarted
@@ -43,9 +43,9 @@
 	failureRate         float64 // exponentially weighted, as of failureRateAt; it decays with time
 	failureRateAt       time.Time
 	consecutiveFailures int
-	avoidFor            time.Duration
+	avoidFor            time.Duration // last avoidance period; 0: none since the last success
 	avoidUntil          time.Time
-	busyUntil           time.Time
+	busyUntil           time.Time     // until then it counts as at capacity
 	tokenTime           time.Duration // average time per output token; 0: unknown
 	lastOutcomeAt       time.Time     // end of the newest request whose outcome says something about the worker
 	tokenTimeAt         time.Time     // when tokenTime was last updated
@@ -69,8 +69,8 @@
 // Key identifies this process of the worker. It is the same on all nodes.
 func (w *Worker) Key() string { return w.key }
 
-// Pool returns the worker's connection pool, creating it on first use: a node sends to few of the
-// workers that it lists, and 10,000 pools take 4 MB.
+// Pool returns the worker's connection pool, creating it on first use, since a node sends requests to
+// few of the workers that it lists.
 func (w *Worker) Pool() *httpconn.Pool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -168,7 +168,8 @@
 }
 
 // Overtaken reports whether the worker has begun to answer a request of the same or a lower
-// priority that was sent later. The earlier request is then lost rather than queued.
+// priority that was sent after the given time. A request sent at that time and still unanswered is
+// then assumed to be lost rather than queued.
 func (w *Worker) Overtaken(sent time.Time, priority int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -184,15 +185,15 @@
 }
 
 // Paced records the time that one token of a stream took.
-func (w *Worker) Paced(step time.Duration) {
+func (w *Worker) Paced(took time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.registry.options.Now()
 	w.tokenTimeAt = now
 	observed := w.observe(now)
 	observed.tokenSamples++
-	observed.tokenTimeTotal += step
-	w.tokenTime = average(w.tokenTime, step)
+	observed.tokenTimeTotal += took
+	w.tokenTime = average(w.tokenTime, took)
 }
 
 // Declined records that the worker refused a request because it is at capacity.
@@ -222,7 +223,7 @@
 	w.registry.reportUnreachable(w)
 }
 
-// extendAvoidance passes the worker over until at least the given time, unless there is no other.
+// extendAvoidance avoids the worker until at least the given time.
 func (w *Worker) extendAvoidance(until time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -231,7 +232,7 @@
 	}
 }
 
-// markReachable records that a connection could be opened again.
+// markReachable records that a connection could be opened again, and ends the avoidance.
 func (w *Worker) markReachable() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -240,15 +241,15 @@
 }
 
 func (w *Worker) addFailure(now time.Time) {
-	share := w.currentFailureRate(now)
-	w.failureRate = share + (1-share)*failureWeight
+	rate := w.currentFailureRate(now)
+	w.failureRate = rate + (1-rate)*failureWeight
 	w.failureRateAt = now
 	w.lastOutcomeAt = now
 	w.recordOutcome(now, 1)
 }
 
-// currentFailureRate is the failure rate decayed to now. Without the decay a worker that is
-// passed over would have no chance to show that it has recovered.
+// currentFailureRate is the failure rate decayed to now. Without the decay a worker that gets
+// no requests because of its failures could never show that it has recovered.
 func (w *Worker) currentFailureRate(now time.Time) float64 {
 	if w.failureRate == 0 {
 		return 0
@@ -256,8 +257,8 @@
 	return w.failureRate * math.Exp2(-float64(now.Sub(w.failureRateAt))/float64(failureHalfLife))
 }
 
-// avoid passes the worker over for a time that doubles with each call, up to maxAvoidance. It does
-// nothing while the worker is being avoided.
+// avoid starts a period in which the worker gets requests only if there is no other. The period
+// doubles each time, up to maxAvoidance. avoid does nothing while such a period is running.
 func (w *Worker) avoid(now time.Time) {
 	if now.Before(w.avoidUntil) {
 		return
@@ -266,6 +267,7 @@
 	w.avoidUntil = now.Add(w.avoidFor)
 }
 
+// average returns the exponentially weighted average; old is 0 if there is none yet.
 func average(old, newest time.Duration) time.Duration {
 	if old == 0 {
 		return newest
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -55,14 +55,14 @@
 type Decision struct {
 	Worker   id.Worker
 	Expected time.Duration
-	// Second is the runner-up and Margin how much longer it was expected to take. Both are zero
-	// if there was no other feasible candidate.
+	// Second is the runner-up, and Margin its expected time minus Expected. Both are zero if there
+	// was no other feasible candidate.
 	Second id.Worker
 	Margin time.Duration
 }
 
-// Choose picks a worker for the call. It fails with fault.Unavailable and fault.RanNo if no
-// candidate is feasible.
+// Choose picks a worker for the call. random breaks the ties of calls without a key and may be nil.
+// It fails with fault.Unavailable and fault.RanNo if no candidate is feasible.
 func Choose(query Query, candidates []Candidate, policy Policy, random *rand.Rand) (Decision, error) {
 	feasible, err := Feasible(query, candidates)
 	if err != nil {
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -29,7 +29,8 @@
 	return workers
 }
 
-// Guards against calls sent to workers that cannot serve them, and refused while one still could.
+// Guards against sending calls to workers that cannot serve them, and against refusing calls that an
+// unhealthy worker might still serve.
 func TestFeasible(t *testing.T) {
 	healthy := ready("a")
 	unhealthy := with(ready("b"), func(c *Candidate) { c.Healthy = false })
--- a/internal/place/policy.go
+++ b/internal/place/policy.go
@@ -18,12 +18,14 @@
 // Names lists all policies, baselines first.
 var Names = []Name{RoundRobin, LeastRequests, Sticky, ExpectedCompletion}
 
-// Policy is a placement policy. For ablation studies, parts of it can be switched off.
+// Policy is a placement policy. For ablation studies, parts of the cost that ExpectedCompletion compares
+// can be left out.
 type Policy struct {
 	Name Name
-	// IgnoreCache leaves the prefill of uncached tokens out of the expected completion.
+	// IgnoreCache leaves out the prefill of uncached tokens, and the delay that it causes for other
+	// calls.
 	IgnoreCache bool
-	// IgnoreWait leaves the queueing time out of the expected completion.
+	// IgnoreWait leaves out the queueing time.
 	IgnoreWait bool
 	// IgnoreOthers leaves out the delay that the call's prefill causes for other calls at the
 	// worker.
@@ -32,8 +34,8 @@
 	IgnoreZones bool
 }
 
-// Probes reports whether the policy uses load, so that candidates must be probed, and
-// whether it needs all workers of the model rather than a shortlist.
+// Probes reports whether the policy uses load, so that candidates must be probed, and whether it ranks
+// all workers of the model instead of a shortlist.
 func (p Policy) Probes() (load, all bool) {
 	switch p.Name {
 	case RoundRobin:
--- a/internal/place/rank.go
+++ b/internal/place/rank.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// delayedArrivals is the number of calls, besides the running ones, that a later call's
-// prefill is assumed to delay: those that arrive during it, and those that find no memory
-// because the context is then cached at two workers.
+// delayedArrivals is the number of calls, besides the running ones, that the prefill of a call
+// after the program's first is assumed to delay: those that arrive during it, and those that find
+// no memory because the context is then cached at two workers.
 const delayedArrivals = 40
 
 // Rank returns the candidates sorted by the policy, best first.
@@ -24,6 +24,7 @@
 	return ranked
 }
 
+// compare orders candidates by the policy, better ones first; 0: they are tied.
 func compare(query Query, a, b Candidate, policy Policy) int {
 	switch policy.Name {
 	case RoundRobin:
@@ -51,6 +52,7 @@
 	return compareRequests(a, b)
 }
 
+// isHome returns 1 for the worker that ran the program's last call, else 0.
 func isHome(query Query, candidate Candidate) int {
 	if query.Home != "" && candidate.Worker == query.Home {
 		return 1
@@ -58,8 +60,8 @@
 	return 0
 }
 
-// cost is the expected completion plus the delay that the call causes for others, without the
-// parts that the policy ignores. Recomputing tokens delays the whole batch.
+// cost is the expected completion, the round trip and the delay that the call causes for others,
+// without the parts that the policy ignores. Recomputing tokens delays the whole batch.
 func (p Policy) cost(query Query, c Candidate) time.Duration {
 	cost := c.Load + c.Decode
 	if !p.IgnoreWait {
--- a/internal/place/select.go
+++ b/internal/place/select.go
@@ -17,8 +17,8 @@
 )
 
 // Select picks one of the best of the ranked candidates, which must not be empty. Among tied
-// candidates the worker that ran the program's last call wins; else the query's key decides,
-// or random if there is none.
+// candidates the worker that ran the program's last call wins, else the query's key decides.
+// Without a key the choice is random; if random is nil, the first is taken.
 func Select(query Query, ranked []Candidate, policy Policy, random *rand.Rand) Decision {
 	chosen := 0
 	switch policy.Name {
@@ -67,15 +67,16 @@
 	return best
 }
 
+// decide returns the decision for a chosen candidate. Its runner-up is the best of the others.
 func decide(ranked []Candidate, chosen int) Decision {
 	decision := Decision{Worker: ranked[chosen].Worker, Expected: ranked[chosen].Expected()}
-	second := 0
+	runnerUp := 0
 	if chosen == 0 {
-		second = 1
+		runnerUp = 1
 	}
-	if second < len(ranked) {
-		decision.Second = ranked[second].Worker
-		decision.Margin = ranked[second].Expected() - decision.Expected
+	if runnerUp < len(ranked) {
+		decision.Second = ranked[runnerUp].Worker
+		decision.Margin = ranked[runnerUp].Expected() - decision.Expected
 	}
 	return decision
 }
