--- a/internal/gather/allowance.go
+++ b/internal/gather/allowance.go
@@ -3,37 +3,38 @@
 import "time"
 
 const (
-	// loweredTo is what a refusal for the number of calls leaves of the allowance, and lowestAllowance
-	// the least: accounts and slots never take more of the calls than that leaves.
-	loweredTo       = 0.85
-	lowestAllowance = 0.5
-	// lowerPause is the least time between two reductions: what was refused in one moment is one sign.
-	lowerPause = 150 * time.Millisecond
-	// raisedPerSecond is by how much it grows again.
-	raisedPerSecond = 0.4
+	// Each throttled commit multiplies the share by decreaseFactor, down to minWriteShare.
+	// Accounts and slots use at most what that leaves.
+	decreaseFactor = 0.85
+	minWriteShare  = 0.5
+	// decreaseInterval is the minimum time between two decreases: commits throttled together count
+	// once.
+	decreaseInterval = 150 * time.Millisecond
+	// increasePerSecond is how fast the share recovers.
+	increasePerSecond = 0.4
 )
 
-// allowance follows which part of the calls that gathered rows may make the table takes beside those
-// of others: it falls fast when calls are refused for their number, and grows slowly. Its zero value
-// allows all.
-type allowance struct {
-	lacking float64   // of 1, as of a moment
-	lowered time.Time // that moment
+// writeShare is the part of the group-commit rate that the table currently accepts, from 0 to 1.
+// It falls multiplicatively when the table throttles commits and recovers linearly. The zero value
+// allows the full rate.
+type writeShare struct {
+	deficit   float64   // 1 minus the share at reducedAt
+	reducedAt time.Time // time of the last decrease
 }
 
-// at is the part that is allowed at a moment.
-func (a *allowance) at(now time.Time) float64 {
-	if a.lacking == 0 {
+// at returns the share at now.
+func (s *writeShare) at(now time.Time) float64 {
+	if s.deficit == 0 {
 		return 1
 	}
-	return min(1, 1-a.lacking+raisedPerSecond*now.Sub(a.lowered).Seconds())
+	return min(1, 1-s.deficit+increasePerSecond*now.Sub(s.reducedAt).Seconds())
 }
 
-// refused notes that a call was refused for the number of calls.
-func (a *allowance) refused(now time.Time) {
-	if now.Sub(a.lowered) < lowerPause {
+// onThrottled lowers the share after a throttled commit.
+func (s *writeShare) onThrottled(now time.Time) {
+	if now.Sub(s.reducedAt) < decreaseInterval {
 		return
 	}
-	a.lacking = 1 - max(lowestAllowance, loweredTo*a.at(now))
-	a.lowered = now
+	s.deficit = 1 - max(minWriteShare, decreaseFactor*s.at(now))
+	s.reducedAt = now
 }
--- a/internal/gather/decide_test.go
+++ b/internal/gather/decide_test.go
@@ -11,10 +11,10 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// TestCallsStayWithinTheirShare: whatever the rates, all groups together make no more calls
-// than their share, unless rows would wait too long; those of a group that has no more rows than
-// calls do not wait.
-func TestCallsStayWithinTheirShare(t *testing.T) {
+// TestWriteCallsStayWithinShare guards against groups that together exceed their share of the
+// commit rate, at any row rates below the maximum delay, and against a delay for groups with no
+// more rows than allowed commits.
+func TestWriteCallsStayWithinShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pace := Pace{Writes: rapid.Float64Range(10, 10_000).Draw(t, "writes"), Groups: Groups * rapid.IntRange(1, 4).Draw(t, "regions"), Across: rapid.Bool().Draw(t, "across")}
 		total := 0.0
@@ -22,85 +22,88 @@
 			rows := rapid.Float64Range(0, 10_000).Draw(t, "rate")
 			queues := float64(pace.queues())
 			each := queues / max(rows, 0.001) // seconds between two rows of a queue
-			calls := queues / (each + pace.Gathering(rows, 1).Seconds())
-			if pace.Gathering(rows, 1) < longestGathering {
+			calls := queues / (each + pace.BatchDelay(rows, 1).Seconds())
+			if pace.BatchDelay(rows, 1) < maxBatchDelay {
 				total += calls
 			}
 		}
-		require.LessOrEqual(t, total, turnsShare*pace.Writes*1.001)
-		require.Zero(t, pace.Gathering(pace.calls(), 1))
+		require.LessOrEqual(t, total, groupCommitShare*pace.Writes*1.001)
+		require.Zero(t, pace.BatchDelay(pace.groupCalls(), 1))
 	})
-	require.Zero(t, Pace{Groups: Groups}.Gathering(1e6, 1), "nothing is said of the table")
-	require.False(t, Pace{Groups: Groups}.Short(1e6, true))
+	require.Zero(t, Pace{Groups: Groups}.BatchDelay(1e6, 1), "the commit limit is unknown")
+	require.False(t, Pace{Groups: Groups}.GroupNearLimit(1e6, true))
 }
 
-// TestShortageDoesNotFlap: between the two bounds it stays as it was.
-func TestShortageDoesNotFlap(t *testing.T) {
+// TestNearLimitHysteresis guards against flapping: between the two thresholds the state stays as
+// it was.
+func TestNearLimitHysteresis(t *testing.T) {
 	pace := Pace{Writes: 1500, Groups: Groups}
-	between := (shortFrom + calmBelow) / 2 * pace.calls()
-	require.True(t, pace.Short(between, true))
-	require.False(t, pace.Short(between, false))
-	require.True(t, pace.Short(shortFrom*pace.calls(), false))
-	require.False(t, pace.Short(calmBelow*pace.calls()*0.99, true))
+	between := (nearLimitEnter + nearLimitLeave) / 2 * pace.groupCalls()
+	require.True(t, pace.GroupNearLimit(between, true))
+	require.False(t, pace.GroupNearLimit(between, false))
+	require.True(t, pace.GroupNearLimit(nearLimitEnter*pace.groupCalls(), false))
+	require.False(t, pace.GroupNearLimit(nearLimitLeave*pace.groupCalls()*0.99, true))
 }
 
-// TestRateFollowsWhatArrives within two windows.
-func TestRateFollowsWhatArrives(t *testing.T) {
-	begun := time.Unix(0, 0)
-	seen := rate{window: time.Second}
-	now := begun
+// TestRateConvergesWithinTwoWindows guards against rate estimates that lag behind a change.
+func TestRateConvergesWithinTwoWindows(t *testing.T) {
+	start := time.Unix(0, 0)
+	observed := rate{window: time.Second}
+	now := start
 	for range 300 {
 		now = now.Add(10 * time.Millisecond)
-		seen.add(2, now)
+		observed.add(2, now)
 	}
-	require.InDelta(t, 200, seen.at(now), 5)
-	require.InDelta(t, 0, seen.at(now.Add(2*time.Second)), 0.1)
+	require.InDelta(t, 200, observed.at(now), 5)
+	require.InDelta(t, 0, observed.at(now.Add(2*time.Second)), 0.1)
 }
 
-// TestPickTakesTheMostUrgentThatFit: by earliest deadline, within the bounds of a call, each row once.
-func TestPickTakesTheMostUrgentThatFit(t *testing.T) {
+// TestSelectBatchByEarliestDeadline guards against batches that skip the most urgent request,
+// exceed the transaction limits or contain a row twice.
+func TestSelectBatchByEarliestDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var waiting []*item
+		var pending []*pendingRequest
 		for index := range rapid.IntRange(1, 300).Draw(t, "items") {
 			name := fmt.Sprint(rapid.IntRange(0, index).Draw(t, "name"))
-			bytes := rapid.IntRange(1, maxBytes).Draw(t, "bytes")
+			bytes := rapid.IntRange(1, maxRequestBytes).Draw(t, "bytes")
 			deadline := time.Unix(int64(rapid.IntRange(0, 50).Draw(t, "deadline")), 0)
-			waiting = append(waiting, &item{rows: []store.Row{{Key: store.Key{Part: "t1", Name: name}}}, bytes: bytes, deadline: deadline})
+			pending = append(pending, &pendingRequest{rows: []store.Row{{Key: store.Key{Part: "t1", Name: name}}}, bytes: bytes, deadline: deadline})
 		}
-		picked, rest := pick(waiting)
-		require.NotEmpty(t, picked)
-		require.Len(t, append(append([]*item{}, picked...), rest...), len(waiting))
+		batch, rest := selectBatch(pending)
+		require.NotEmpty(t, batch)
+		require.Len(t, append(append([]*pendingRequest{}, batch...), rest...), len(pending))
 		rows, bytes, names := 0, 0, map[string]bool{}
-		for _, taken := range picked {
-			require.False(t, names[taken.rows[0].Name], "a row twice in one call")
-			names[taken.rows[0].Name] = true
-			rows += len(taken.rows)
-			bytes += taken.bytes
+		for _, selected := range batch {
+			require.False(t, names[selected.rows[0].Name], "a row occurs twice in one batch")
+			names[selected.rows[0].Name] = true
+			rows += len(selected.rows)
+			bytes += selected.bytes
 		}
-		require.LessOrEqual(t, rows, callRows)
-		require.LessOrEqual(t, bytes, callBytes)
-		for _, left := range rest {
-			if !left.deadline.Before(picked[0].deadline) {
+		require.LessOrEqual(t, rows, maxBatchRows)
+		require.LessOrEqual(t, bytes, maxBatchBytes)
+		for _, skipped := range rest {
+			if !skipped.deadline.Before(batch[0].deadline) {
 				continue
 			}
-			t.Fatalf("the most urgent was left")
+			t.Fatalf("the most urgent request is not in the batch")
 		}
 	})
 }
 
-// TestPartsAreWrittenApart: items of a part stay together, and none is lost.
-func TestPartsAreWrittenApart(t *testing.T) {
-	var items []*item
+// TestSplitByPartition guards against lost requests, and against transactions across partitions
+// where each partition is to be committed separately.
+func TestSplitByPartition(t *testing.T) {
+	var requests []*pendingRequest
 	for index := range 20 {
-		items = append(items, &item{rows: []store.Row{{Key: store.Key{Part: fmt.Sprint("t", index%3), Name: fmt.Sprint(index)}}}})
+		requests = append(requests, &pendingRequest{rows: []store.Row{{Key: store.Key{Part: fmt.Sprint("t", index%3), Name: fmt.Sprint(index)}}}})
 	}
-	divided := byPart(items)
-	require.Len(t, divided, 3)
+	partitions := splitByPartition(requests)
+	require.Len(t, partitions, 3)
 	count := 0
-	for _, some := range divided {
-		require.False(t, transactionOf(some).Across())
-		count += len(some)
+	for _, partition := range partitions {
+		require.False(t, buildTransaction(partition).Across())
+		count += len(partition)
 	}
-	require.Equal(t, len(items), count)
-	require.True(t, transactionOf(items).Across())
+	require.Equal(t, len(requests), count)
+	require.True(t, buildTransaction(requests).Across())
 }
--- a/internal/gather/doc.go
+++ b/internal/gather/doc.go
@@ -1,14 +1,15 @@
-// Package gather keeps rows of many nodes together, so that the table is called less often
-// than rows are written (group commit). The owner of a directory slot gathers the rows of a
-// group of parts. Those of a part go in one call, or those of the whole group where the table
-// takes calls across parts: what comes while the last call is under way, and, while there are
-// more rows than calls, what comes within a time by the rate of rows.
+// Package gather implements group commit: it combines rows from many nodes so that the table
+// receives fewer commits than there are rows. The partitions of a region are divided into groups,
+// and the owner of the group's directory slot commits the group's rows. One commit takes rows of
+// one partition, or of the whole group if the table accepts transactions across partitions. Rows
+// that arrive while a commit is in flight go into the next one. Above the allowed commit rate, the
+// owner also delays a commit to collect more rows.
 //
-// It is a way, not a promise: whoever gets no word in time that its rows are in the table
-// writes them itself. Writing the same row twice must do no harm. A node sends its rows to an
-// owner only while the table is short of calls; else it writes them itself at once.
+// Group commit is best effort. A sender that gets no confirmation in time writes the rows itself,
+// so writing the same row twice must be harmless. A node sends its rows to an owner only while the
+// table is near its commit limit; otherwise it writes them itself at once.
 //
-// Pace and pick are pure: they have no clock, and call nobody.
+// The methods of Pace and selectBatch are pure: they read no clock and make no calls.
 package gather
 
 import (
@@ -18,29 +19,31 @@
 )
 
 const (
-	// Groups is into how many groups the parts of a region are divided. Each has one owner. Fewer
-	// know the rate of rows better, and more is lost with one.
+	// Groups is the number of groups that the partitions of a region are divided into; each has
+	// one owner. Fewer groups give better rate estimates, but losing an owner then affects more
+	// rows.
 	Groups = 8
-	// partsOfGroup of the 64 parts follow one another in a group.
-	partsOfGroup = 8
+	// partitionsPerGroup is how many consecutive partitions, of 64 in total, form a group.
+	partitionsPerGroup = 8
 )
 
-// groupOf is the group of a part.
-func groupOf(part int) int { return part / partsOfGroup % Groups }
+// groupOf returns the group of a partition.
+func groupOf(partition int) int { return partition / partitionsPerGroup % Groups }
 
-// slotHash stands for a group where directory slots are drawn: its first part.
-func slotHash(group int) uint64 { return uint64(group * partsOfGroup) }
+// slotHash returns the hash that selects a group's directory slot: the number of the group's first
+// partition.
+func slotHash(group int) uint64 { return uint64(group * partitionsPerGroup) }
 
 // Request asks the owner of a group's slot to write rows.
 type Request struct {
-	Process string // that is asked
+	Process string // the receiver's process name
 	Group   int
 	Rows    []store.Row
-	Within  time.Duration // the asker listens for so long
-	Again   bool          // the same rows were sent before
+	Within  time.Duration // how long the sender waits for the outcome
+	Again   bool          // a retry: the same rows were sent before
 }
 
-// size is what the rows take in the table, in bytes.
+// size returns the size of the rows in the table, in bytes.
 func (r Request) size() (bytes int) {
 	for _, row := range r.Rows {
 		bytes += rowSize(row)
@@ -52,33 +55,34 @@
 	return len(row.Table) + len(row.Part) + len(row.Name) + len(row.Value)
 }
 
-// Outcome is what came of rows that an owner was asked to write.
+// Outcome is the result of asking an owner to write rows.
 type Outcome string
 
-// The outcomes. All but OutcomeKept leave it open whether the rows are in the table.
+// The outcomes. After any of them but OutcomeKept the rows may or may not be in the table.
 const (
 	OutcomeKept   Outcome = "kept"
-	OutcomeFull   Outcome = "full"   // too much waits already
-	OutcomeLate   Outcome = "late"   // the asker's time was over
-	OutcomeFailed Outcome = "failed" // the table did not take them, or does not answer the owner
-	// OutcomeSilent, OutcomeOld and OutcomeStranger are an asker's own: no answer in time; a node that does not know
-	// the question; one that does not own the slot.
-	OutcomeSilent   Outcome = "silent"
-	OutcomeOld      Outcome = "old"
-	OutcomeStranger Outcome = "stranger"
+	OutcomeFull   Outcome = "full"   // the queue or the memory limit is full
+	OutcomeLate   Outcome = "late"   // the sender's timeout passed
+	OutcomeFailed Outcome = "failed" // the table rejected the rows or does not respond to the owner
+	// OutcomeNoAnswer, OutcomeUnsupported and OutcomeNotOwner are set by the sender: the node did
+	// not answer in time, does not support the request, or does not own the slot.
+	OutcomeNoAnswer    Outcome = "silent"
+	OutcomeUnsupported Outcome = "old"
+	OutcomeNotOwner    Outcome = "stranger"
 )
 
-// Answer is the owner's word.
+// Answer is the owner's reply to a Request.
 type Answer struct {
-	Owner   bool // the process asked owns the group's slot
+	Owner   bool // the receiver owns the group's slot
 	Outcome Outcome
-	// Short tells that calls to the table are short: rows should go on coming.
+	// Short reports that the table is near its commit limit, so rows should keep coming to the
+	// owner.
 	Short bool
-	// Throttled tells that the table has just refused calls of this group for their number: an
-	// own call is not likely to fare better.
+	// Throttled reports that the table has just throttled commits of this group, so the sender's
+	// own commit would probably be throttled too.
 	Throttled bool
-	// Expect is how long rows that arrive now are expected to take.
+	// Expect is the estimated time to write rows that arrive now.
 	Expect time.Duration
-	// Took is how long the rows were at the owner.
+	// Took is the time that the owner held the rows.
 	Took time.Duration
 }
--- a/internal/gather/gatherer.go
+++ b/internal/gather/gatherer.go
@@ -12,109 +12,111 @@
 )
 
 const (
-	// waitingRows bounds the rows of a queue that wait, to what a few calls take.
-	waitingRows = 5 * callRows
-	// throttledFor is for how long a refusal for the number of calls means that these are short.
-	throttledFor = 3 * time.Second
-	// longestPause is the longest mean pause after calls that were refused for their number. It is
-	// shorter than that of other calls, which carry less.
-	longestPause = 160 * time.Millisecond
-	// firstExpect is what a call is expected to take at least.
-	firstExpect = 20 * time.Millisecond
+	// maxQueueRows bounds the pending rows of a queue to what a few commits take.
+	maxQueueRows = 5 * maxBatchRows
+	// throttledPeriod is how long the table counts as near its limit after it throttled a commit.
+	throttledPeriod = 3 * time.Second
+	// maxBackoff is the longest mean delay after throttled commits. It is shorter than for other
+	// writers, whose commits carry fewer rows.
+	maxBackoff = 160 * time.Millisecond
+	// minCallEstimate is the lower bound of the estimated duration of a commit.
+	minCallEstimate = 20 * time.Millisecond
 )
 
-// GathererOptions of a Gatherer.
+// GathererOptions configures a Gatherer.
 type GathererOptions struct {
-	// Process is this one, and Owns tells whether it owns the slot of a group.
+	// Process is the name of this process. Owns reports whether it owns the slot of a group.
 	Process string
 	Owns    func(group int) bool
-	// Store is the table, by whatever way, and Lost tells that it has just failed by all of them.
+	// Store is the table, reached directly or through relays. Lost reports that the table is
+	// currently unreachable by every route.
 	Store store.Store
 	Lost  func() bool
-	// Region is where this node stands: rows that it was sent may pass through nodes there.
+	// Region is the region of this node. Received rows may be relayed only through nodes of this
+	// region.
 	Region string
 	Pace   Pace
-	// Bytes bounds what waits in all groups together.
+	// Bytes bounds the pending rows of all groups together.
 	Bytes  int
 	Meter  Meter
 	Logger log.Interface
 }
 
-// Meter is told what a gatherer and a writer do. It must be safe for concurrent use.
+// Meter records the activity of a Gatherer and a Writer. It must be safe for concurrent use.
 type Meter interface {
-	// GatherCall is told of a call: the rows in it, and whether the table took them.
+	// GatherCall records a commit: its number of rows, and whether the table accepted it.
 	GatherCall(rows int, taken bool)
-	// GatherWait is told how long rows were at the gatherer.
+	// GatherWait records how long the gatherer held the rows of a request.
 	GatherWait(waited time.Duration)
-	// GatherAsk is told what came of rows that this node sent to a gatherer.
+	// GatherAsk records the outcome of rows that this node sent to an owner.
 	GatherAsk(outcome Outcome)
 }
 
 // Gatherer writes the rows of the groups whose slots this process owns.
 type Gatherer struct {
-	options GathererOptions
-	way     wait.Estimate // how long calls take
+	options  GathererOptions
+	callTime wait.Estimate // duration of commits
 
-	mutex  sync.Mutex
-	bytes  int // that wait
-	groups [Groups]group
+	mutex        sync.Mutex
+	pendingBytes int // size of all pending rows
+	groups       [Groups]group
 }
 
-// group is what is known of a group of parts.
+// group is the state of a group of partitions.
 type group struct {
-	rate      rate
-	short     bool
-	apart     time.Time // until when parts are written apart
-	throttled time.Time // when a call was last refused for the number of calls
-	allowance allowance
-	queues    map[string]*queue
+	rate        rate
+	nearLimit   bool
+	splitUntil  time.Time // until when each partition is committed separately
+	throttledAt time.Time // when the table last throttled a commit
+	share       writeShare
+	queues      map[string]*queue
 }
 
-// NewGatherer returns a gatherer in which nothing waits.
+// NewGatherer returns a gatherer with empty queues.
 func NewGatherer(options GathererOptions) *Gatherer {
 	gatherer := &Gatherer{options: options}
 	for number := range gatherer.groups {
-		gatherer.groups[number] = group{rate: rate{window: groupWindow}, queues: map[string]*queue{}}
+		gatherer.groups[number] = group{rate: rate{window: groupRateWindow}, queues: map[string]*queue{}}
 	}
 	return gatherer
 }
 
-// Answer writes the rows of a request together with those of others. It answers once they are
-// in the table, or the asker's time is over.
+// Answer queues the rows of a request and commits them together with those of others. It returns
+// once the rows are in the table, or when the sender's timeout or ctx ends.
 func (g *Gatherer) Answer(ctx context.Context, request Request) Answer {
 	if request.Process != g.options.Process || request.Group < 0 || request.Group >= Groups || !g.options.Owns(request.Group) {
 		return Answer{}
 	}
-	if len(request.Rows) == 0 || len(request.Rows) > callRows {
-		return g.answer(request.Group, nil, OutcomeFailed)
+	if len(request.Rows) == 0 || len(request.Rows) > maxBatchRows {
+		return g.buildAnswer(request.Group, nil, OutcomeFailed)
 	}
 	if g.options.Lost() {
-		return g.answer(request.Group, nil, OutcomeFailed)
+		return g.buildAnswer(request.Group, nil, OutcomeFailed)
 	}
-	queue, waiting := g.enter(request)
-	if waiting == nil {
-		return g.answer(request.Group, queue, OutcomeFull)
+	queue, pending := g.enqueue(request)
+	if pending == nil {
+		return g.buildAnswer(request.Group, queue, OutcomeFull)
 	}
 	timer := time.NewTimer(request.Within)
 	defer timer.Stop()
 	outcome := OutcomeLate
 	select {
-	case outcome = <-waiting.outcome:
+	case outcome = <-pending.outcome:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 	if outcome == OutcomeLate {
-		g.leave(queue, waiting)
+		g.cancel(queue, pending)
 	}
-	answer := g.answer(request.Group, queue, outcome)
-	answer.Took = time.Since(waiting.arrived)
+	answer := g.buildAnswer(request.Group, queue, outcome)
+	answer.Took = time.Since(pending.arrived)
 	g.options.Meter.GatherWait(answer.Took)
 	return answer
 }
 
-// enter lets rows wait and sees to it that somebody writes them. waiting is nil if there is no
-// room.
-func (g *Gatherer) enter(request Request) (queue *queue, waiting *item) {
+// enqueue adds the rows to their queue and starts the queue's worker if it is idle. pending is nil
+// if the queue or the memory limit is full.
+func (g *Gatherer) enqueue(request Request) (queue *queue, pending *pendingRequest) {
 	size, now := request.size(), time.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -122,70 +124,71 @@
 	if !request.Again {
 		group.rate.add(len(request.Rows), now)
 	}
-	queue = g.queueOf(group, request.Rows[0].Part)
-	if queue == nil || queue.rows+len(request.Rows) > waitingRows || g.bytes+size > g.options.Bytes {
+	queue = g.queueFor(group, request.Rows[0].Part)
+	if queue == nil || queue.rows+len(request.Rows) > maxQueueRows || g.pendingBytes+size > g.options.Bytes {
 		return queue, nil
 	}
-	waiting = &item{rows: request.Rows, bytes: size, arrived: now, deadline: now.Add(request.Within), outcome: make(chan Outcome, 1)}
-	g.add(queue, waiting)
+	pending = &pendingRequest{rows: request.Rows, bytes: size, arrived: now, deadline: now.Add(request.Within), outcome: make(chan Outcome, 1)}
+	g.add(queue, pending)
 	if !queue.running {
 		queue.running = true
 		go g.run(queue)
 	}
-	return queue, waiting
+	return queue, pending
 }
 
-// queueOf is the queue of a part, which may be that of all of its group. It is nil for more parts
-// than a group has. The caller holds the mutex.
-func (g *Gatherer) queueOf(group *group, part string) *queue {
+// queueFor returns the queue of a partition, or that of its whole group if the table accepts
+// transactions across partitions. It is nil once a group already has queues for as many partitions
+// as it can have. The caller holds the mutex.
+func (g *Gatherer) queueFor(group *group, partition string) *queue {
 	if g.options.Pace.Across {
-		part = ""
+		partition = ""
 	}
-	known, ok := group.queues[part]
-	if !ok && len(group.queues) < partsOfGroup {
-		known = &queue{group: group, backoff: store.Backoff{Longest: longestPause}}
-		group.queues[part] = known
+	existing, ok := group.queues[partition]
+	if !ok && len(group.queues) < partitionsPerGroup {
+		existing = &queue{group: group, backoff: store.Backoff{Longest: maxBackoff}}
+		group.queues[partition] = existing
 	}
-	return known
+	return existing
 }
 
-// answer tells the state of a group besides an outcome, and logs when it changes. queue may be
-// nil.
-func (g *Gatherer) answer(number int, queue *queue, outcome Outcome) Answer {
+// buildAnswer combines an outcome with the state of its group, and logs when the group reaches or
+// leaves its commit limit. queue may be nil.
+func (g *Gatherer) buildAnswer(number int, queue *queue, outcome Outcome) Answer {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	group, now := &g.groups[number], time.Now()
 	rate := group.rate.at(now)
-	throttled := !group.throttled.IsZero() && now.Sub(group.throttled) < throttledFor
-	short := throttled || g.options.Pace.Short(rate, group.short)
-	if short != group.short {
-		group.short = short
-		g.options.Logger.WithField("short", short).WithField("group", number).WithField("rows_per_s", int(rate)).
+	throttled := !group.throttledAt.IsZero() && now.Sub(group.throttledAt) < throttledPeriod
+	nearLimit := throttled || g.options.Pace.GroupNearLimit(rate, group.nearLimit)
+	if nearLimit != group.nearLimit {
+		group.nearLimit = nearLimit
+		g.options.Logger.WithField("short", nearLimit).WithField("group", number).WithField("rows_per_s", int(rate)).
 			WithField("writes_per_s", int(g.options.Pace.Writes)).WithField("throttled", throttled).
-			WithField("bytes", g.bytes).Info("calls to the table, as the owner of a group of turns sees them")
+			WithField("bytes", g.pendingBytes).Info("group owner: state of the table's commit limit changed; senders forward rows only while it is near")
 	}
-	answer := Answer{Owner: true, Outcome: outcome, Short: short}
+	answer := Answer{Owner: true, Outcome: outcome, Short: nearLimit}
 	if queue != nil {
 		answer.Throttled = queue.pause > 0
-		answer.Expect = g.expect(queue, rate, now)
+		answer.Expect = g.estimateWait(queue, rate, now)
 	}
 	return answer
 }
 
-// expect is how long rows that arrive now are expected to take: the call under way, the time of
-// gathering or pause, and their own call, and further ones if more waits than goes in one. The
-// caller holds the mutex.
-func (g *Gatherer) expect(queue *queue, rate float64, now time.Time) time.Duration {
-	call := g.way.Longest(firstExpect, longestCall)
-	if queue.calling {
-		call = max(call, min(now.Sub(queue.begun), longestCall))
+// estimateWait estimates the time to write rows that arrive now: the commit in flight, the batch
+// delay or backoff, their own commit, and further ones if more rows are pending than fit in one.
+// The caller holds the mutex.
+func (g *Gatherer) estimateWait(queue *queue, rate float64, now time.Time) time.Duration {
+	call := g.callTime.Longest(minCallEstimate, maxCommitTime)
+	if queue.inFlight {
+		call = max(call, min(now.Sub(queue.callStart), maxCommitTime))
 	}
-	calls := time.Duration(2 + queue.rows/callRows)
-	return calls*call + max(g.gathering(queue.group, now), queue.pause)
+	calls := time.Duration(2 + queue.rows/maxBatchRows)
+	return calls*call + max(g.batchDelay(queue.group, now), queue.pause)
 }
 
-// gathering is how long the first row of a call of a group waits for others now. The caller holds
-// the mutex.
-func (g *Gatherer) gathering(group *group, now time.Time) time.Duration {
-	return g.options.Pace.Gathering(group.rate.at(now), group.allowance.at(now))
+// batchDelay returns how long the first row of a commit currently waits for more rows. The caller
+// holds the mutex.
+func (g *Gatherer) batchDelay(group *group, now time.Time) time.Duration {
+	return g.options.Pace.BatchDelay(group.rate.at(now), group.share.at(now))
 }
--- a/internal/gather/load_test.go
+++ b/internal/gather/load_test.go
@@ -11,152 +11,154 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// turnsPerSecond are the rates of turns that a table of 1,500 calls a second has to keep.
+// Turns per second, with a table limited to 1,500 commits per second.
 const (
-	wantedRate = 1400
+	targetRate = 1400
 	highRate   = 4000
-	calmRate   = 200
+	lowRate    = 200
 )
 
-// keptWithin is what nine of ten turns may take to be kept at wantedRate.
-const keptWithin = 40 * time.Millisecond
+// maxStoreTime bounds the 90th percentile of the time to store a turn at targetRate.
+const maxStoreTime = 40 * time.Millisecond
 
-// TestTurnsAreKeptTogether: more turns than the table takes calls.
-func TestTurnsAreKeptTogether(t *testing.T) {
+// TestWriteRateAboveTableLimit guards against throttling and slow writes when the turn rate nears
+// or exceeds the table's commit limit.
+func TestWriteRateAboveTableLimit(t *testing.T) {
 	for _, test := range []struct {
 		perSecond int
 		across    bool
-	}{{wantedRate, false}, {highRate, false}, {wantedRate, true}, {highRate, true}} {
+	}{{targetRate, false}, {highRate, false}, {targetRate, true}, {highRate, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			perSecond := test.perSecond
-			const lasts = 4 * time.Second
-			w := newWorld(t, test.across)
-			begun := time.Now()
+			const duration = 4 * time.Second
+			c := newTestCluster(t, test.across)
+			start := time.Now()
 			go func() {
 				time.Sleep(2 * time.Second)
-				before, refusedBefore := w.table.Counts()
-				gatheredBefore := w.calls.Load()
-				time.Sleep(lasts - 2*time.Second)
-				taken, refused := w.table.Counts()
-				perSecondOf := func(calls int) float64 { return float64(calls) / (lasts - 2*time.Second).Seconds() }
-				gathered := perSecondOf(int(w.calls.Load() - gatheredBefore))
-				t.Logf("%d turns a second: %.0f calls a second, %.0f by gatherers, %.1f refused", perSecond,
-					perSecondOf(taken-before), gathered, perSecondOf(refused-refusedBefore))
-				require.LessOrEqual(t, gathered, turnsShare*1500, "the share of turns")
-				require.LessOrEqual(t, perSecondOf(refused-refusedBefore), 15.0, "one in a hundred")
+				before, throttledBefore := c.table.Counts()
+				batchedBefore := c.calls.Load()
+				time.Sleep(duration - 2*time.Second)
+				taken, throttled := c.table.Counts()
+				perSecondOf := func(calls int) float64 { return float64(calls) / (duration - 2*time.Second).Seconds() }
+				batched := perSecondOf(int(c.calls.Load() - batchedBefore))
+				t.Logf("%d turns a second: %.0f commits a second, %.0f by gatherers, %.1f throttled", perSecond,
+					perSecondOf(taken-before), batched, perSecondOf(throttled-throttledBefore))
+				require.LessOrEqual(t, batched, groupCommitShare*1500, "group commit exceeds its share of the commit rate")
+				require.LessOrEqual(t, perSecondOf(throttled-throttledBefore), 15.0, "more than one commit in a hundred is throttled")
 			}()
-			w.load(perSecond, lasts)
-			require.Zero(t, w.checkKept())
-			p90 := w.p90(begun.Add(2*time.Second), begun.Add(lasts))
-			t.Logf("%d turns a second: p90 of keeping %v", perSecond, p90)
-			if perSecond == wantedRate {
-				require.Less(t, p90, keptWithin)
+			c.load(perSecond, duration)
+			require.Zero(t, c.checkResults())
+			p90 := c.p90(start.Add(2*time.Second), start.Add(duration))
+			t.Logf("%d turns a second: p90 of storing a turn %v", perSecond, p90)
+			if perSecond == targetRate {
+				require.Less(t, p90, maxStoreTime)
 			}
 		})
 	}
 }
 
-// TestCalmRateWaitsForNothing: no node is asked, and each turn takes as long as its call.
-func TestCalmRateWaitsForNothing(t *testing.T) {
+// TestLowRateWritesDirectly guards against sending rows to owners, or delaying them, while the
+// table has spare capacity.
+func TestLowRateWritesDirectly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, false)
-		begun := time.Now()
-		w.load(calmRate, 3*time.Second)
-		require.Zero(t, w.checkKept())
-		require.Zero(t, w.asks.Load())
-		require.LessOrEqual(t, w.p90(begun, time.Now()), 15*time.Millisecond)
+		c := newTestCluster(t, false)
+		start := time.Now()
+		c.load(lowRate, 3*time.Second)
+		require.Zero(t, c.checkResults())
+		require.Zero(t, c.requests.Load())
+		require.LessOrEqual(t, c.p90(start, time.Now()), 15*time.Millisecond)
 	})
 }
 
-// TestTroubleCostsNoTurn: whatever becomes of owners, links and the table, what is kept is in
-// the table, nobody waits past its time, and a second after the trouble all is as before.
-func TestTroubleCostsNoTurn(t *testing.T) {
+// TestFailuresLoseNoTurn guards against lost or late turns while owners, connections or the table
+// fail, and against slow writes later than a second after recovery.
+func TestFailuresLoseNoTurn(t *testing.T) {
 	const (
-		owner         = 3
-		troubleBegins = 1500 * time.Millisecond
-		troubleEnds   = 3500 * time.Millisecond
+		owner        = 3
+		failureStart = 1500 * time.Millisecond
+		failureEnd   = 3500 * time.Millisecond
 	)
-	set := func(w *world, what map[int]bool, value bool) {
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
+	set := func(c *testCluster, what map[int]bool, value bool) {
+		c.mutex.Lock()
+		defer c.mutex.Unlock()
 		what[owner] = value
 	}
-	troubles := map[string]struct {
-		begin, end func(w *world)
-		across     bool // also where the table takes calls across parts
+	failures := map[string]struct {
+		begin, end func(c *testCluster)
+		across     bool // also run with transactions across partitions
 	}{
 		"owner killed": {
-			begin: func(w *world) { set(w, w.down, true) },
-			end:   func(w *world) { w.own(owner, 40) },
+			begin: func(c *testCluster) { set(c, c.unreachable, true) },
+			end:   func(c *testCluster) { c.assignOwner(owner, 40) },
 		},
 		"owner paused": {
-			begin: func(w *world) {
-				w.mutex.Lock()
-				defer w.mutex.Unlock()
-				w.paused[owner] = make(chan struct{})
+			begin: func(c *testCluster) {
+				c.mutex.Lock()
+				defer c.mutex.Unlock()
+				c.paused[owner] = make(chan struct{})
 			},
-			end: func(w *world) {
-				w.mutex.Lock()
-				defer w.mutex.Unlock()
-				close(w.paused[owner])
-				delete(w.paused, owner)
+			end: func(c *testCluster) {
+				c.mutex.Lock()
+				defer c.mutex.Unlock()
+				close(c.paused[owner])
+				delete(c.paused, owner)
 			},
 		},
-		"owner's answers are lost": {
-			begin: func(w *world) { set(w, w.mute, true) },
-			end:   func(w *world) { set(w, w.mute, false) },
+		"owner's replies are lost": {
+			begin: func(c *testCluster) { set(c, c.replyLost, true) },
+			end:   func(c *testCluster) { set(c, c.replyLost, false) },
 		},
-		"owner is of an old build": {
-			begin: func(w *world) { set(w, w.old, true) },
-			end:   func(w *world) { set(w, w.old, false) },
+		"owner runs an old build": {
+			begin: func(c *testCluster) { set(c, c.oldBuild, true) },
+			end:   func(c *testCluster) { set(c, c.oldBuild, false) },
 		},
-		"owner loses the table": {
-			begin: func(w *world) { set(w, w.cut, true) },
-			end:   func(w *world) { set(w, w.cut, false) },
+		"owner cannot reach the table": {
+			begin: func(c *testCluster) { set(c, c.tableCut, true) },
+			end:   func(c *testCluster) { set(c, c.tableCut, false) },
 		},
 		"two owners": {
-			begin: func(w *world) { w.own(owner, 41) },
-			end:   func(*world) {},
+			begin: func(c *testCluster) { c.assignOwner(owner, 41) },
+			end:   func(*testCluster) {},
 		},
 		"throttled table": {
-			begin: func(w *world) { w.table.SetWrites(150) },
-			end:   func(w *world) { w.table.SetWrites(1500) }, across: true,
+			begin: func(c *testCluster) { c.table.SetWrites(150) },
+			end:   func(c *testCluster) { c.table.SetWrites(1500) }, across: true,
 		},
 		"slow table": {
-			begin: func(w *world) { w.table.SetSlower(10) },
-			end:   func(w *world) { w.table.SetSlower(1) },
+			begin: func(c *testCluster) { c.table.SetSlower(10) },
+			end:   func(c *testCluster) { c.table.SetSlower(1) },
 		},
-		"part is down": {
-			begin: func(w *world) {
-				w.table.SetFault(func(part string, _ bool) storetest.Fault {
+		"partition is unavailable": {
+			begin: func(c *testCluster) {
+				c.table.SetFault(func(part string, _ bool) storetest.Fault {
 					if part == "t25" {
 						return storetest.Refused
 					}
 					return storetest.None
 				})
 			},
-			end:    func(w *world) { w.table.SetFault(nil) },
+			end:    func(c *testCluster) { c.table.SetFault(nil) },
 			across: true,
 		},
 	}
-	for name, trouble := range troubles {
+	for name, failure := range failures {
 		for _, across := range []bool{false, true} {
-			if across && !trouble.across {
+			if across && !failure.across {
 				continue
 			}
 			t.Run(fmt.Sprintf("%s, across %v", name, across), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(t, across)
-					begun := time.Now()
-					time.AfterFunc(troubleBegins, func() { trouble.begin(w) })
-					time.AfterFunc(troubleEnds, func() { trouble.end(w) })
-					w.load(wantedRate, troubleEnds+2*time.Second)
-					unkept := w.checkKept()
-					during := w.p90(begun.Add(troubleBegins), begun.Add(troubleEnds))
-					after := w.p90(begun.Add(troubleEnds+time.Second), begun.Add(troubleEnds+2*time.Second))
-					t.Logf("%d of %d unkept, p90 of keeping %v during, %v after", unkept, len(w.results), during, after)
-					require.Zero(t, unkept)
-					require.Less(t, after, keptWithin)
+					c := newTestCluster(t, across)
+					start := time.Now()
+					time.AfterFunc(failureStart, func() { failure.begin(c) })
+					time.AfterFunc(failureEnd, func() { failure.end(c) })
+					c.load(targetRate, failureEnd+2*time.Second)
+					failed := c.checkResults()
+					during := c.p90(start.Add(failureStart), start.Add(failureEnd))
+					after := c.p90(start.Add(failureEnd+time.Second), start.Add(failureEnd+2*time.Second))
+					t.Logf("%d of %d turns failed, p90 of storing a turn %v during, %v after", failed, len(c.results), during, after)
+					require.Zero(t, failed)
+					require.Less(t, after, maxStoreTime)
 				})
 			})
 		}
--- a/internal/gather/pace.go
+++ b/internal/gather/pace.go
@@ -3,109 +3,110 @@
 import "time"
 
 const (
-	// turnsShare of the table's writing calls is for gathered rows; accounts, slots and whatever
-	// nodes write by themselves have the rest.
-	turnsShare = 0.7
-	// aimedAt is the part of the share that is aimed at: rates are estimates, and a low one costs
-	// more calls than a high one saves.
-	aimedAt = 0.97
-	// longestGathering bounds how long rows wait for others.
-	longestGathering = 250 * time.Millisecond
-	// shortFrom and calmBelow are the rates of rows of all groups, as parts of the calls that
-	// all of them may make, at which the table begins and ceases to be short. They lie apart so
-	// that nodes do not go to and fro.
-	shortFrom = 0.8
-	calmBelow = 0.5
+	// groupCommitShare is the share of the table's commit rate for group commit. Accounts, slots
+	// and direct writes of nodes use the rest.
+	groupCommitShare = 0.7
+	// targetUtilization is the part of the share that batch delays aim for. Rates are estimates,
+	// and an estimate that is too low costs more commits than one that is too high saves.
+	targetUtilization = 0.97
+	// maxBatchDelay bounds how long rows wait for more rows to share their commit.
+	maxBatchDelay = 250 * time.Millisecond
+	// The table counts as near its limit from when the row rate reaches nearLimitEnter of the
+	// allowed commit rate until it falls below nearLimitLeave. The gap keeps nodes from switching
+	// back and forth.
+	nearLimitEnter = 0.8
+	nearLimitLeave = 0.5
 )
 
-// Pace tells how long rows wait for others.
+// Pace computes batch delays from the table's commit limit.
 type Pace struct {
-	// Writes is how many writing calls a second the table takes from all nodes; 0: not said.
+	// Writes is the number of commits per second that the table accepts from all nodes; 0 means
+	// unknown.
 	Writes float64
-	// Groups is the number of groups of all regions, which share the calls.
+	// Groups is the number of groups in all regions. They share the commit rate evenly.
 	Groups int
-	// Across tells that the table takes rows of several parts in one call.
+	// Across reports that the table accepts transactions across partitions.
 	Across bool
 }
 
-// queues is how many queues a group has: rows that may go in one call wait in one.
+// queues returns the number of queues of a group. Rows that may share a commit share a queue.
 func (p Pace) queues() int {
 	if p.Across {
 		return 1
 	}
-	return partsOfGroup
+	return partitionsPerGroup
 }
 
-// calls is how many calls a second one group may make; 0: not said.
-func (p Pace) calls() float64 { return turnsShare * p.Writes / float64(max(1, p.Groups)) }
+// groupCalls returns the commit rate allowed to one group, per second; 0 means unknown.
+func (p Pace) groupCalls() float64 { return groupCommitShare * p.Writes / float64(max(1, p.Groups)) }
 
-// Gathering is how long the first row of a call waits for others, by the rate of the group's
-// rows, per second: so long that the group's calls stay within its part of the share, of which
-// the table has lately taken the part given. While there are no more rows than calls it does not
-// wait.
-func (p Pace) Gathering(rate, taken float64) time.Duration {
-	calls := taken * p.calls()
+// BatchDelay returns how long the first row of a commit waits for more rows. rate is the group's
+// rows per second; share is the part of the group's commit rate that is currently usable, from 0
+// to 1. The delay keeps the group within that rate, up to maxBatchDelay. It is 0 while the row
+// rate does not exceed the commit rate.
+func (p Pace) BatchDelay(rate, share float64) time.Duration {
+	calls := share * p.groupCalls()
 	if calls <= 0 || rate <= calls {
 		return 0
 	}
 	queues := float64(p.queues())
-	between := queues/(aimedAt*calls) - queues/rate // a call comes once its first row has come and waited
-	return min(time.Duration(between*float64(time.Second)), longestGathering)
+	delay := queues/(targetUtilization*calls) - queues/rate // a queue's commit interval is the wait for its first row plus the delay
+	return min(time.Duration(delay*float64(time.Second)), maxBatchDelay)
 }
 
-// Short reports whether a group's rate of rows, as that of each other group, is near what the
-// table takes; was tells whether it has been so until now.
-func (p Pace) Short(rate float64, was bool) bool {
-	calls := p.calls()
+// GroupNearLimit reports whether the row rate of one group, in rows per second, is near the
+// group's share of the commit limit. was is the previous result.
+func (p Pace) GroupNearLimit(rate float64, was bool) bool {
+	calls := p.groupCalls()
 	switch {
 	case calls <= 0:
 		return false
 	case was:
-		return rate >= calmBelow*calls
+		return rate >= nearLimitLeave*calls
 	default:
-		return rate >= shortFrom*calls
+		return rate >= nearLimitEnter*calls
 	}
 }
 
-// Near reports whether a rate of rows of all nodes is near what the table takes; was is as in
-// Short.
-func (p Pace) Near(rate float64, was bool) bool {
-	return p.Short(rate/float64(max(1, p.Groups)), was)
+// ClusterNearLimit is GroupNearLimit for the row rate of all nodes together.
+func (p Pace) ClusterNearLimit(rate float64, was bool) bool {
+	return p.GroupNearLimit(rate/float64(max(1, p.Groups)), was)
 }
 
-// The times over which rates are taken: long enough for some rows, and no longer than a burst
-// takes to begin. A node has fewer rows than a group.
+// Window lengths of the rate estimates: long enough to contain some rows, and short enough to
+// detect a burst as it starts. A single node has fewer rows than a group and needs the longer one.
 const (
-	groupWindow = time.Second
-	nodeWindow  = 2 * time.Second
+	groupRateWindow = time.Second
+	nodeRateWindow  = 2 * time.Second
 )
 
-// rate follows how many rows arrive in a second, by two windows of which the older fades out.
+// rate estimates events per second by a sliding window: the count of the current window plus that
+// of the previous one, weighted by the part that is still within the window.
 type rate struct {
-	window       time.Duration
-	begun        time.Time // of the newer window
-	older, newer int
+	window            time.Duration
+	windowStart       time.Time // start of the current window
+	previous, current int
 }
 
-// add counts rows that arrive at a moment.
+// add counts rows that arrive at now.
 func (r *rate) add(rows int, now time.Time) {
-	r.roll(now)
-	r.newer += rows
+	r.advance(now)
+	r.current += rows
 }
 
-// at is the rate at a moment, per second.
+// at returns the estimated rate at now, per second.
 func (r *rate) at(now time.Time) float64 {
-	r.roll(now)
-	faded := 1 - float64(now.Sub(r.begun))/float64(r.window)
-	return (float64(r.newer) + faded*float64(r.older)) / r.window.Seconds()
+	r.advance(now)
+	weight := 1 - float64(now.Sub(r.windowStart))/float64(r.window)
+	return (float64(r.current) + weight*float64(r.previous)) / r.window.Seconds()
 }
 
-func (r *rate) roll(now time.Time) {
-	switch past := now.Sub(r.begun); {
-	case past < r.window:
-	case past < 2*r.window:
-		r.begun, r.older, r.newer = r.begun.Add(r.window), r.newer, 0
+func (r *rate) advance(now time.Time) {
+	switch elapsed := now.Sub(r.windowStart); {
+	case elapsed < r.window:
+	case elapsed < 2*r.window:
+		r.windowStart, r.previous, r.current = r.windowStart.Add(r.window), r.current, 0
 	default:
-		r.begun, r.older, r.newer = now, 0, 0
+		r.windowStart, r.previous, r.current = now, 0, 0
 	}
 }
--- a/internal/gather/pick.go
+++ b/internal/gather/pick.go
@@ -9,61 +9,63 @@
 )
 
 const (
-	// callRows is the most rows that the table takes in one call.
-	callRows = 100
-	// callBytes of rows are well below the 1 MB of one call, in which values take four thirds.
-	callBytes = 600 << 10
+	// maxBatchRows is the most rows that the table accepts in one transaction.
+	maxBatchRows = 100
+	// maxBatchBytes leaves room for the encoding of values, which adds a third, below the table's
+	// limit of 1 MB per transaction.
+	maxBatchBytes = 600 << 10
 )
 
-// item are rows of one request that wait.
-type item struct {
+// pendingRequest is a request whose rows wait to be committed.
+type pendingRequest struct {
 	rows     []store.Row
 	bytes    int
 	arrived  time.Time
 	deadline time.Time
-	outcome  chan Outcome // has room for one
+	outcome  chan Outcome // buffered, capacity 1
 }
 
-// part is that of the rows of an item, which share it.
-func (i *item) part() string { return i.rows[0].Part }
+// partition returns the partition that all rows of the request belong to.
+func (p *pendingRequest) partition() string { return p.rows[0].Part }
 
-// pick takes what goes in the next call out of what waits: by earliest deadline, as much as one
-// call takes. Of items with the same rows, which a turn that was sent twice makes, one goes.
-func pick(waiting []*item) (picked, rest []*item) {
-	ordered := slices.SortedStableFunc(slices.Values(waiting), func(a, b *item) int { return a.deadline.Compare(b.deadline) })
+// selectBatch splits pending requests into those of the next commit and the rest: earliest
+// deadline first, up to the limits of one transaction. Of requests whose first row has the same
+// key, as after a retried turn, a batch contains only one.
+func selectBatch(pending []*pendingRequest) (batch, rest []*pendingRequest) {
+	ordered := slices.SortedStableFunc(slices.Values(pending), func(a, b *pendingRequest) int { return a.deadline.Compare(b.deadline) })
 	rows, bytes := 0, 0
-	taken := map[store.Key]bool{}
+	selected := map[store.Key]bool{}
 	for _, next := range ordered {
 		first := next.rows[0].Key
-		fits := rows+len(next.rows) <= callRows && bytes+next.bytes <= callBytes
-		if taken[first] || !fits && len(picked) > 0 {
+		fits := rows+len(next.rows) <= maxBatchRows && bytes+next.bytes <= maxBatchBytes
+		if selected[first] || !fits && len(batch) > 0 {
 			rest = append(rest, next)
 			continue
 		}
-		taken[first] = true
-		picked = append(picked, next)
+		selected[first] = true
+		batch = append(batch, next)
 		rows += len(next.rows)
 		bytes += next.bytes
 	}
-	return picked, rest
+	return batch, rest
 }
 
-// byPart divides items by the part of their rows.
-func byPart(items []*item) [][]*item {
-	ordered := slices.SortedStableFunc(slices.Values(items), func(a, b *item) int { return cmp.Compare(a.part(), b.part()) })
-	var divided [][]*item
+// splitByPartition groups requests by the partition of their rows.
+func splitByPartition(requests []*pendingRequest) [][]*pendingRequest {
+	ordered := slices.SortedStableFunc(slices.Values(requests), func(a, b *pendingRequest) int { return cmp.Compare(a.partition(), b.partition()) })
+	var partitions [][]*pendingRequest
 	for index, next := range ordered {
-		if index == 0 || next.part() != ordered[index-1].part() {
-			divided = append(divided, nil)
+		if index == 0 || next.partition() != ordered[index-1].partition() {
+			partitions = append(partitions, nil)
 		}
-		divided[len(divided)-1] = append(divided[len(divided)-1], next)
+		partitions[len(partitions)-1] = append(partitions[len(partitions)-1], next)
 	}
-	return divided
+	return partitions
 }
 
-// transactionOf writes the rows of all items.
-func transactionOf(items []*item) (transaction store.Transaction) {
-	for _, next := range items {
+// buildTransaction returns a transaction that writes the rows of all requests.
+func buildTransaction(requests []*pendingRequest) (transaction store.Transaction) {
+	for _, next := range requests {
 		transaction.Put = append(transaction.Put, next.rows...)
 	}
 	return transaction
--- a/internal/gather/queue.go
+++ b/internal/gather/queue.go
@@ -12,191 +12,193 @@
 )
 
 const (
-	// callPatiences is for how many times the usual patience a call is waited for, within two
-	// bounds, before its rows are given back to those who sent them.
-	callPatiences = 4
-	shortestCall  = 100 * time.Millisecond
-	longestCall   = time.Second
-	// apartFor is for how long each part has calls of its own after a call across parts that
-	// failed: one part that is down must not hold up the others.
-	apartFor = time.Second
+	// A commit times out after commitTimeoutFactor times the table's usual patience, limited to
+	// minCommitTime and maxCommitTime. Its rows are then reported as failed to their senders.
+	commitTimeoutFactor = 4
+	minCommitTime       = 100 * time.Millisecond
+	maxCommitTime       = time.Second
+	// splitPeriod is how long each partition is committed separately after a failed commit across
+	// partitions, so that one unavailable partition does not block the others.
+	splitPeriod = time.Second
 )
 
-// queue is what waits to be written in one call: rows of a part, or of a whole group where the
-// table takes calls across parts. The gatherer's mutex guards it.
+// queue holds the rows that can share a commit: those of one partition, or of a whole group if the
+// table accepts transactions across partitions. The gatherer's mutex guards it.
 type queue struct {
-	group   *group
-	waiting []*item
-	rows    int
-	running bool      // somebody writes
-	calling bool      // a call is under way
-	begun   time.Time // when the last call began
-	backoff store.Backoff
-	pause   time.Duration // before the next call, after a refused one
+	group     *group
+	pending   []*pendingRequest
+	rows      int
+	running   bool      // a worker goroutine is running
+	inFlight  bool      // a commit is in flight
+	callStart time.Time // start of the last commit
+	backoff   store.Backoff
+	pause     time.Duration // backoff before the next commit after a throttled one; 0 means none
 }
 
-// due is when the next call may begin: once the first row has waited for others, or the most
-// urgent has no more time than a call takes, or a whole call waits; but not within a pause.
-func (q *queue) due(gathering, call time.Duration) time.Time {
+// due returns the earliest start of the next commit. It is when the batch delay of the first row
+// ends, when the most urgent request has only the duration of a commit left, or at once if a full
+// batch is pending. A backoff postpones it.
+func (q *queue) due(batchDelay, call time.Duration) time.Time {
 	var due time.Time
-	if q.rows < callRows {
-		first := slices.MinFunc(q.waiting, func(a, b *item) int { return a.arrived.Compare(b.arrived) })
-		due = first.arrived.Add(gathering)
-		for _, waiting := range q.waiting {
-			if latest := waiting.deadline.Add(-call); latest.Before(due) {
+	if q.rows < maxBatchRows {
+		first := slices.MinFunc(q.pending, func(a, b *pendingRequest) int { return a.arrived.Compare(b.arrived) })
+		due = first.arrived.Add(batchDelay)
+		for _, pending := range q.pending {
+			if latest := pending.deadline.Add(-call); latest.Before(due) {
 				due = latest
 			}
 		}
 	}
-	if paused := q.begun.Add(q.pause); q.pause > 0 && paused.After(due) {
+	if paused := q.callStart.Add(q.pause); q.pause > 0 && paused.After(due) {
 		return paused
 	}
 	return due
 }
 
-// add lets an item wait. The caller holds the mutex.
-func (g *Gatherer) add(queue *queue, waiting *item) {
-	queue.waiting = append(queue.waiting, waiting)
-	queue.rows += len(waiting.rows)
-	g.bytes += waiting.bytes
+// add queues a request. The caller holds the mutex.
+func (g *Gatherer) add(queue *queue, pending *pendingRequest) {
+	queue.pending = append(queue.pending, pending)
+	queue.rows += len(pending.rows)
+	g.pendingBytes += pending.bytes
 }
 
-// forget takes an item out of the account of what waits. The caller holds the mutex.
-func (g *Gatherer) forget(queue *queue, gone *item) {
-	queue.rows -= len(gone.rows)
-	g.bytes -= gone.bytes
+// release subtracts a request from the totals of pending rows. The caller holds the mutex.
+func (g *Gatherer) release(queue *queue, request *pendingRequest) {
+	queue.rows -= len(request.rows)
+	g.pendingBytes -= request.bytes
 }
 
-// leave takes back rows that wait; those of a call under way are written.
-func (g *Gatherer) leave(queue *queue, gone *item) {
+// cancel removes a request that is still pending. A commit in flight is not affected.
+func (g *Gatherer) cancel(queue *queue, request *pendingRequest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if index := slices.Index(queue.waiting, gone); index >= 0 {
-		queue.waiting = slices.Delete(queue.waiting, index, index+1)
-		g.forget(queue, gone)
+	if index := slices.Index(queue.pending, request); index >= 0 {
+		queue.pending = slices.Delete(queue.pending, index, index+1)
+		g.release(queue, request)
 	}
 }
 
-// run writes what waits in a queue, one call at a time, until nothing does.
+// run is the worker of a queue: it commits one batch at a time until the queue is empty.
 func (g *Gatherer) run(queue *queue) {
 	for {
-		due, more := g.next(queue)
+		due, more := g.nextCall(queue)
 		if !more {
 			return
 		}
 		time.Sleep(time.Until(due))
-		if picked, apart := g.take(queue); len(picked) > 0 {
-			g.write(queue, picked, apart)
+		if batch, split := g.takeBatch(queue); len(batch) > 0 {
+			g.writeBatch(queue, batch, split)
 		}
 	}
 }
 
-// next is when the next call of a queue may begin. more is false if nothing waits; nobody
-// writes then.
-func (g *Gatherer) next(queue *queue) (due time.Time, more bool) {
+// nextCall returns the earliest start of the queue's next commit. If nothing is pending, more is
+// false and the worker counts as stopped.
+func (g *Gatherer) nextCall(queue *queue) (due time.Time, more bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	queue.calling = false
-	if len(queue.waiting) == 0 {
+	queue.inFlight = false
+	if len(queue.pending) == 0 {
 		queue.running = false
 		return time.Time{}, false
 	}
-	gathering := g.gathering(queue.group, time.Now())
-	return queue.due(gathering, g.way.Longest(firstExpect, longestCall)), true
+	batchDelay := g.batchDelay(queue.group, time.Now())
+	return queue.due(batchDelay, g.callTime.Longest(minCallEstimate, maxCommitTime)), true
 }
 
-// take takes what goes in the next call out of what waits. apart tells whether each part is to
-// have a call of its own.
-func (g *Gatherer) take(queue *queue) (picked []*item, apart bool) {
+// takeBatch removes the next batch from the queue. split reports whether each partition needs a
+// commit of its own.
+func (g *Gatherer) takeBatch(queue *queue) (batch []*pendingRequest, split bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	picked, queue.waiting = pick(queue.waiting)
-	for _, taken := range picked {
-		g.forget(queue, taken)
+	batch, queue.pending = selectBatch(queue.pending)
+	for _, selected := range batch {
+		g.release(queue, selected)
 	}
-	queue.begun, queue.calling = now, len(picked) > 0
-	return picked, now.Before(queue.group.apart)
+	queue.callStart, queue.inFlight = now, len(batch) > 0
+	return batch, now.Before(queue.group.splitUntil)
 }
 
-// write writes items in one call, or each part apart if that fails: one may be down. What the
-// table refuses for the number of calls waits again.
-func (g *Gatherer) write(queue *queue, items []*item, apart bool) {
-	divided := byPart(items)
-	if !apart || len(divided) == 1 {
-		err := g.commit(items)
-		if err == nil || errors.Is(err, store.ErrThrottled) || len(divided) == 1 || g.options.Lost() {
-			g.note(queue, items, err)
+// writeBatch commits requests in one transaction. If that fails, it commits each partition
+// separately, because only one may be unavailable. Throttled requests are queued again.
+func (g *Gatherer) writeBatch(queue *queue, requests []*pendingRequest, split bool) {
+	partitions := splitByPartition(requests)
+	if !split || len(partitions) == 1 {
+		err := g.commit(requests)
+		if err == nil || errors.Is(err, store.ErrThrottled) || len(partitions) == 1 || g.options.Lost() {
+			g.complete(queue, requests, err)
 			return
 		}
-		g.separate(queue, err)
+		g.splitPartitions(queue, err)
 	}
 	var group sync.WaitGroup
-	for _, some := range divided {
-		group.Go(func() { g.note(queue, some, g.commit(some)) })
+	for _, partition := range partitions {
+		group.Go(func() { g.complete(queue, partition, g.commit(partition)) })
 	}
 	group.Wait()
 }
 
-// commit makes one call, and bounds its time.
-func (g *Gatherer) commit(items []*item) error {
-	transaction := transactionOf(items)
-	limit := min(max(callPatiences*store.PatienceWith(g.options.Store, 0), shortestCall), longestCall)
+// commit writes the rows of requests in one transaction, with a timeout.
+func (g *Gatherer) commit(requests []*pendingRequest) error {
+	transaction := buildTransaction(requests)
+	limit := min(max(commitTimeoutFactor*store.PatienceWith(g.options.Store, 0), minCommitTime), maxCommitTime)
 	bound := locality.WithContent(context.Background(), locality.Regions{g.options.Region})
 	ctx, cancel := context.WithTimeout(bound, limit)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	_, err := store.CommitUnlessThrottled(ctx, g.options.Store, transaction)
 	if err == nil {
-		g.way.Observe(time.Since(begun))
+		g.callTime.Observe(time.Since(start))
 	}
 	g.options.Meter.GatherCall(len(transaction.Put), err == nil)
 	return err
 }
 
-// separate lets the parts of a group have calls of their own for a while.
-func (g *Gatherer) separate(queue *queue, err error) {
+// splitPartitions makes the group commit each partition separately for splitPeriod.
+func (g *Gatherer) splitPartitions(queue *queue, err error) {
 	g.mutex.Lock()
-	queue.group.apart = time.Now().Add(apartFor)
+	queue.group.splitUntil = time.Now().Add(splitPeriod)
 	g.mutex.Unlock()
-	g.options.Logger.WithError(err).WithField("for_ms", apartFor.Milliseconds()).
-		Warn("turns of several parts not written together, writing each part apart")
+	g.options.Logger.WithError(err).WithField("for_ms", splitPeriod.Milliseconds()).
+		Warn("commit across partitions failed; committing each partition separately")
 }
 
-// note tells those who sent items what came of them, or lets these wait again.
-func (g *Gatherer) note(queue *queue, items []*item, err error) {
+// complete reports the outcome of requests to their senders, or queues them again if they were
+// throttled.
+func (g *Gatherer) complete(queue *queue, requests []*pendingRequest, err error) {
 	if errors.Is(err, store.ErrThrottled) {
-		g.again(queue, items)
+		g.requeue(queue, requests)
 		return
 	}
 	outcome := OutcomeFailed
 	if err == nil {
 		outcome = OutcomeKept
-		g.taken(queue)
+		g.resetBackoff(queue)
 	}
-	for _, done := range items {
+	for _, done := range requests {
 		done.outcome <- outcome
 	}
 }
 
-// taken notes that the table took a call of a queue.
-func (g *Gatherer) taken(queue *queue) {
+// resetBackoff ends the backoff of a queue after a successful commit.
+func (g *Gatherer) resetBackoff(queue *queue) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	queue.backoff.Reset()
 	queue.pause = 0
 }
 
-// again lets items wait again whose askers still listen, after a pause.
-func (g *Gatherer) again(queue *queue, items []*item) {
+// requeue queues throttled requests again, except expired ones, and starts a backoff.
+func (g *Gatherer) requeue(queue *queue, requests []*pendingRequest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	queue.group.throttled, queue.pause = now, queue.backoff.Next()
-	queue.group.allowance.refused(now)
-	for _, refused := range items {
-		if now.Before(refused.deadline) {
-			g.add(queue, refused)
+	queue.group.throttledAt, queue.pause = now, queue.backoff.Next()
+	queue.group.share.onThrottled(now)
+	for _, throttled := range requests {
+		if now.Before(throttled.deadline) {
+			g.add(queue, throttled)
 		}
 	}
 }
--- a/internal/gather/relay_test.go
+++ b/internal/gather/relay_test.go
@@ -16,14 +16,14 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// otherNodes make calls to a table in place of a node, if their content may pass through region.
-type otherNodes struct {
+// relayNodes commits to a table on behalf of another node if the data may pass through region.
+type relayNodes struct {
 	table  *storetest.Table
 	region string
 }
 
 // Commit implements store.Relays.
-func (o otherNodes) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+func (o relayNodes) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	if !locality.Content(ctx).Allow(o.region) {
 		return 0, store.ErrNoRelay
 	}
@@ -31,29 +31,30 @@
 }
 
 // Range implements store.Relays.
-func (o otherNodes) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
+func (o relayNodes) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	return o.table.Range(ctx, table, part, from, to, limit)
 }
 
-// TestOwnerWithoutItsWayWritesThroughOthers in its own region, and through none elsewhere.
-func TestOwnerWithoutItsWayWritesThroughOthers(t *testing.T) {
+// TestOwnerWithoutTableWritesThroughRelays guards against lost writes when an owner cannot reach
+// the table itself, and against relaying rows through another region.
+func TestOwnerWithoutTableWritesThroughRelays(t *testing.T) {
 	for region, want := range map[string]Outcome{"here": OutcomeKept, "elsewhere": OutcomeFailed} {
 		synctest.Test(t, func(t *testing.T) {
 			logger := &log.Logger{Handler: discard.New()}
-			own := storetest.New()
-			own.SetFault(func(string, bool) storetest.Fault { return storetest.Broken })
-			others := otherNodes{table: storetest.New(), region: region}
-			table := store.NewRelayed(store.NewGate(own, logger), others, logger)
+			unreachable := storetest.New()
+			unreachable.SetFault(func(string, bool) storetest.Fault { return storetest.Broken })
+			relays := relayNodes{table: storetest.New(), region: region}
+			table := store.NewRelayed(store.NewGate(unreachable, logger), relays, logger)
 			gatherer := NewGatherer(GathererOptions{
 				Process: "p", Owns: func(int) bool { return true }, Store: table, Lost: table.Lost, Region: "here",
-				Pace: Pace{Writes: 1500, Groups: Groups}, Bytes: 1 << 20, Meter: &world{}, Logger: logger,
+				Pace: Pace{Writes: 1500, Groups: Groups}, Bytes: 1 << 20, Meter: &testCluster{}, Logger: logger,
 			})
 			for turn := range 20 {
 				name := fmt.Sprint("turn", turn)
-				rows := []store.Row{{Key: store.Key{Table: "turns", Part: fmt.Sprint("t", turn%partsOfGroup), Name: name}}}
+				rows := []store.Row{{Key: store.Key{Table: "turns", Part: fmt.Sprint("t", turn%partitionsPerGroup), Name: name}}}
 				answer := gatherer.Answer(t.Context(), Request{Process: "p", Rows: rows, Within: time.Second})
 				require.Equal(t, want, answer.Outcome)
-				require.Equal(t, want == OutcomeKept, others.table.Has("turns", name))
+				require.Equal(t, want == OutcomeKept, relays.table.Has("turns", name))
 			}
 			time.Sleep(2 * time.Second)
 		})
--- a/internal/gather/writer.go
+++ b/internal/gather/writer.go
@@ -17,245 +17,255 @@
 )
 
 const (
-	// An owner is waited for twice as long as it said that rows take, within two bounds, besides
-	// the way there and back; what it says is of a moment ago.
-	expectTimes    = 2
-	shortestWithin = 60 * time.Millisecond
-	longestWithin  = time.Second
-	// Bounds of the way there and back.
-	shortestWay = 30 * time.Millisecond
-	longestWay  = 150 * time.Millisecond
-	// leftShare of the caller's time is the most that an owner is waited for: the rest is for the
-	// node's own call.
-	leftShare = 0.5
-	// longestPut bounds how long owners are asked, again and again while the table refuses calls.
-	longestPut = 5 * time.Second
-	// lateTries is how often an owner is asked whose answers are that it was too slow: it lives,
-	// and by its last word tells what it takes now. The table may have become slow for all.
-	lateTries = 3
-	// againPause is the pause before an owner is asked once more.
-	againPause = 40 * time.Millisecond
-	// leastWithin is the time below which an owner is not worth asking.
-	leastWithin = 30 * time.Millisecond
-	// shortFor is for how long the table counts as short of calls after the last sign of it.
-	shortFor = 3 * time.Second
-	// oldFor is how long a node that does not know the question is not asked again.
-	oldFor = 10 * time.Second
-	// maxBytes is the most that is sent to an owner: more fills a call by itself.
-	maxBytes = 200 << 10
+	// The sender waits ownerTimeoutFactor times the owner's last estimate, limited to
+	// minOwnerTimeout and maxOwnerTimeout, plus the network round trip. The factor allows for an
+	// outdated estimate.
+	ownerTimeoutFactor = 2
+	minOwnerTimeout    = 60 * time.Millisecond
+	maxOwnerTimeout    = time.Second
+	// Bounds of the network round trip.
+	minRoundTrip = 30 * time.Millisecond
+	maxRoundTrip = 150 * time.Millisecond
+	// ownerTimeShare is the largest part of the caller's remaining time that is spent on owners.
+	// The rest is left for a direct write.
+	ownerTimeShare = 0.5
+	// maxPutTime bounds the total time of Put, with retries while the table throttles.
+	maxPutTime = 5 * time.Second
+	// maxLateAttempts bounds the attempts with an owner that answers OutcomeLate. Such an owner is
+	// alive, and its answer carries a newer estimate.
+	maxLateAttempts = 3
+	// retryDelay is the delay before a retry.
+	retryDelay = 40 * time.Millisecond
+	// minUsefulTimeout is the shortest timeout with which a request is sent.
+	minUsefulTimeout = 30 * time.Millisecond
+	// nearLimitPeriod is how long throttling, or an owner's report, counts as a sign that the
+	// table is near its limit.
+	nearLimitPeriod = 3 * time.Second
+	// unsupportedPeriod is how long a node that does not support the request is skipped.
+	unsupportedPeriod = 10 * time.Second
+	// maxRequestBytes bounds the rows sent to an owner. Larger rows gain little from sharing a
+	// commit.
+	maxRequestBytes = 200 << 10
 )
 
-// Owners tell which process owns a slot.
+// Owners looks up the owners of directory slots and tracks whether they respond.
 type Owners interface {
-	// Owner is the owner of a slot, unless it is unknown or has just not answered.
+	// Owner returns the owner of a slot. The result is false if the owner is
+	// unknown or has recently failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// Heard and Missed are told whether an owner answered.
+	// Heard records that the owner of a slot answered; Missed records that it did not.
 	Heard(slot int)
 	Missed(slot int, asked budget.Holder)
 }
 
-// Peers asks other nodes.
+// Peers sends requests to other nodes.
 type Peers interface {
-	// Gather returns ErrNotCarried if the owner may not see what the call carries.
+	// Gather sends a request to an owner. It returns ErrNotCarried if the rows may not pass to the
+	// owner's region.
 	Gather(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
-// ErrNotCarried is a call whose content is bound to regions other than the owner's.
-var ErrNotCarried = errors.New("the owner of the slot stands outside the regions of the rows; write them by an own call")
+// ErrNotCarried means that the rows are restricted to regions other than the owner's.
+var ErrNotCarried = errors.New("the slot owner is outside the regions that the rows are restricted to; write them to the table directly")
 
-// WriterOptions of a Writer.
+// WriterOptions configures a Writer.
 type WriterOptions struct {
-	Process string // this one
+	Process string // name of this process
 	Slots   Slots
 	Owners  Owners
 	Peers   Peers
-	// Patience is how long other nodes' answers are seen to take; nil: not known.
+	// Patience estimates how long other nodes take to answer; nil means unknown.
 	Patience wait.Patience
-	Gatherer *Gatherer // of this process
-	// ThrottledSince tells whether the table refused a call of this node for the number of calls.
+	Gatherer *Gatherer // this process's own
+	// ThrottledSince reports whether the table has throttled a commit of this node since the given
+	// time.
 	ThrottledSince func(moment time.Time) bool
-	// Pace is that of all groups, and Nodes a number of nodes, known to write about as much as
-	// this one each, by which the rate of all is estimated.
+	// Pace covers all groups. Nodes returns the number of nodes that write about as much as this
+	// one, from which the rate of all nodes is estimated.
 	Pace   Pace
 	Nodes  func() int
 	Meter  Meter
 	Logger log.Interface
 }
 
-// Slots tell which slot a group belongs to: one of the region of those who write.
+// Slots maps groups to the directory slots of the local region.
 type Slots struct {
 	Layout directory.Layout
 	Region string
 }
 
-// of is the slot of a group.
-func (s Slots) of(group int) int { return s.Layout.SlotIn(s.Region, slotHash(group)) }
+// slotFor returns the slot of a group.
+func (s Slots) slotFor(group int) int { return s.Layout.SlotIn(s.Region, slotHash(group)) }
 
-// Groups is the number of groups of all regions.
+// Groups returns the number of groups in all regions.
 func (s Slots) Groups() int { return s.Layout.Regions() * Groups }
 
-// Owned tells which groups a process owns by the slots that it owns.
+// Owned converts a check of slot ownership into one of group ownership.
 func (s Slots) Owned(owns func(slot int) bool) func(group int) bool {
-	return func(group int) bool { return owns(s.of(group)) }
+	return func(group int) bool { return owns(s.slotFor(group)) }
 }
 
-// Writer sends rows to the owners of their groups while calls to the table are short.
+// Writer sends rows to the owners of their groups while the table is near its commit limit. It is
+// safe for concurrent use.
 type Writer struct {
 	options WriterOptions
 
-	mutex   sync.Mutex
-	engaged bool
-	told    time.Time // when an owner last said that calls are short
-	rate    rate      // of this node's rows
-	near    bool      // by that rate, calls are nearly short
-	nodes   int       // when last looked
-	looked  time.Time
-	expect  [Groups]time.Duration
-	old     map[string]time.Time // until when processes are not asked
+	mutex            sync.Mutex
+	forwarding       bool
+	reportedAt       time.Time // when an owner last reported that the table is near its limit
+	rate             rate      // rows of this node
+	nearLimit        bool      // the estimated rate of all nodes is near the limit
+	nodes            int       // cached result of Options.Nodes
+	nodesCheckedAt   time.Time
+	expectedWait     [Groups]time.Duration
+	unsupportedUntil map[string]time.Time // by process; it gets no requests until then
 }
 
-// NewWriter returns a writer that knows of no shortage.
+// NewWriter returns a writer that assumes spare capacity at the table.
 func NewWriter(options WriterOptions) *Writer {
-	return &Writer{options: options, old: map[string]time.Time{}, rate: rate{window: nodeWindow}}
+	return &Writer{options: options, unsupportedUntil: map[string]time.Time{}, rate: rate{window: nodeRateWindow}}
 }
 
-// Put has rows of one part written together with others, and reports whether they are in the
-// table for certain. If not, the caller has to write them itself. It returns at once while calls
-// are not short.
-func (w *Writer) Put(ctx context.Context, part int, rows []store.Row) (kept bool) {
-	if !w.engage(len(rows), time.Now()) {
+// Put sends rows of one partition to the group's owner and reports whether they are certainly in
+// the table. If not, the caller must write them itself. Put returns false at once while the table
+// has spare capacity.
+func (w *Writer) Put(ctx context.Context, partition int, rows []store.Row) (stored bool) {
+	if !w.shouldForward(len(rows), time.Now()) {
 		return false
 	}
-	request := Request{Group: groupOf(part), Rows: rows}
-	if len(rows) > callRows || request.size() > maxBytes {
+	request := Request{Group: groupOf(partition), Rows: rows}
+	if len(rows) > maxBatchRows || request.size() > maxRequestBytes {
 		return false
 	}
-	until := w.until(ctx, time.Now())
-	for tries := 1; ; tries++ {
-		request.Within = min(w.within(request.Group), time.Until(until))
-		if request.Within < leastWithin {
+	deadline := w.deadline(ctx, time.Now())
+	for attempt := 1; ; attempt++ {
+		request.Within = min(w.ownerTimeout(request.Group), time.Until(deadline))
+		if request.Within < minUsefulTimeout {
 			return false
 		}
-		request.Again = tries > 1
-		outcome, again := w.ask(ctx, request)
+		request.Again = attempt > 1
+		outcome, retry := w.sendToOwner(ctx, request)
 		if outcome != "" {
 			w.options.Meter.GatherAsk(outcome)
 		}
 		if outcome == OutcomeKept {
 			return true
 		}
-		if outcome == OutcomeLate && tries < lateTries {
+		if outcome == OutcomeLate && attempt < maxLateAttempts {
 			continue
 		}
-		if !again || wait.For(ctx, againPause) != nil {
+		if !retry || wait.For(ctx, retryDelay) != nil {
 			return false
 		}
 	}
 }
 
-// until is when the node turns to its own call.
-func (w *Writer) until(ctx context.Context, now time.Time) time.Time {
-	if deadline, bound := ctx.Deadline(); bound {
-		return now.Add(min(longestPut, time.Duration(leftShare*float64(deadline.Sub(now)))))
+// deadline returns when Put gives up so that the caller can write directly.
+func (w *Writer) deadline(ctx context.Context, now time.Time) time.Time {
+	if end, bounded := ctx.Deadline(); bounded {
+		return now.Add(min(maxPutTime, time.Duration(ownerTimeShare*float64(end.Sub(now)))))
 	}
-	return now.Add(longestPut)
+	return now.Add(maxPutTime)
 }
 
-// engage counts rows, reports whether they go to owners now, and logs when that changes.
-func (w *Writer) engage(rows int, now time.Time) bool {
-	throttled := w.options.ThrottledSince(now.Add(-shortFor))
+// shouldForward counts rows, reports whether they are to be sent to an owner, and logs when that
+// changes.
+func (w *Writer) shouldForward(rows int, now time.Time) bool {
+	throttled := w.options.ThrottledSince(now.Add(-nearLimitPeriod))
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	told := !w.told.IsZero() && now.Sub(w.told) < shortFor
-	all := w.estimate(rows, now)
-	w.near = w.options.Pace.Near(all, w.near)
-	if engaged := throttled || told || w.near; engaged != w.engaged {
-		w.engaged = engaged
-		w.options.Logger.WithField("engaged", engaged).WithField("throttled", throttled).
-			WithField("told", told).WithField("told_ms", now.Sub(w.told).Milliseconds()).
-			WithField("near", w.near).WithField("rows_per_s", int(all)).WithField("nodes", w.nodes).
+	reported := !w.reportedAt.IsZero() && now.Sub(w.reportedAt) < nearLimitPeriod
+	clusterRate := w.clusterRate(rows, now)
+	w.nearLimit = w.options.Pace.ClusterNearLimit(clusterRate, w.nearLimit)
+	if forwarding := throttled || reported || w.nearLimit; forwarding != w.forwarding {
+		w.forwarding = forwarding
+		w.options.Logger.WithField("engaged", forwarding).WithField("throttled", throttled).
+			WithField("told", reported).WithField("told_ms", now.Sub(w.reportedAt).Milliseconds()).
+			WithField("near", w.nearLimit).WithField("rows_per_s", int(clusterRate)).WithField("nodes", w.nodes).
 			WithField("writes_per_s", int(w.options.Pace.Writes)).
-			Info("turns are kept through the owners of their groups while calls to the table are short")
+			Info("forwarding of rows to group owners switched; rows are written directly while it is off")
 	}
-	return w.engaged
+	return w.forwarding
 }
 
-// estimate counts rows, and estimates the rate of all nodes by this one's. The caller holds the
-// mutex.
-func (w *Writer) estimate(rows int, now time.Time) float64 {
+// clusterRate counts rows and estimates the row rate of all nodes from this node's. The caller
+// holds the mutex.
+func (w *Writer) clusterRate(rows int, now time.Time) float64 {
 	w.rate.add(rows, now)
-	if now.Sub(w.looked) >= nodeWindow {
-		w.nodes, w.looked = w.options.Nodes(), now
+	if now.Sub(w.nodesCheckedAt) >= nodeRateWindow {
+		w.nodes, w.nodesCheckedAt = w.options.Nodes(), now
 	}
 	return w.rate.at(now) * float64(max(1, w.nodes))
 }
 
-// within is how long an owner may take, by its last word.
-func (w *Writer) within(group int) time.Duration {
+// ownerTimeout returns the timeout for the group's owner, from its last estimate.
+func (w *Writer) ownerTimeout(group int) time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return min(max(expectTimes*w.expect[group], shortestWithin), longestWithin)
+	return min(max(ownerTimeoutFactor*w.expectedWait[group], minOwnerTimeout), maxOwnerTimeout)
 }
 
-// ask asks the owner of the group's slot; no outcome means that there is none to ask. again
-// tells that the owner is sound and the table refuses calls for their number.
-func (w *Writer) ask(ctx context.Context, request Request) (outcome Outcome, again bool) {
-	slot := w.options.Slots.of(request.Group)
-	owner, known := w.options.Owners.Owner(slot)
-	if !known || w.isOld(owner.Process) {
+// sendToOwner sends a request to the owner of the group's slot. outcome is empty if no request was
+// sent or the rows may not pass to the owner. retry reports that the owner is working and the
+// table throttles commits.
+func (w *Writer) sendToOwner(ctx context.Context, request Request) (outcome Outcome, retry bool) {
+	slot := w.options.Slots.slotFor(request.Group)
+	owner, ok := w.options.Owners.Owner(slot)
+	if !ok || w.isUnsupported(owner.Process) {
 		return "", false
 	}
 	request.Process = owner.Process
 	if owner.Process == w.options.Process {
-		return w.learn(request.Group, w.options.Gatherer.Answer(ctx, request))
+		return w.recordAnswer(request.Group, w.options.Gatherer.Answer(ctx, request))
 	}
-	limited, cancel := context.WithTimeout(ctx, request.Within+w.options.Patience.Of(owner.Process, shortestWay, longestWay))
+	limited, cancel := context.WithTimeout(ctx, request.Within+w.options.Patience.Of(owner.Process, minRoundTrip, maxRoundTrip))
 	defer cancel()
 	answer, err := w.options.Peers.Gather(limited, owner, request)
 	switch {
 	case err == nil && answer.Owner:
 		w.options.Owners.Heard(slot)
-		return w.learn(request.Group, answer)
+		return w.recordAnswer(request.Group, answer)
 	case err == nil:
 		w.options.Owners.Missed(slot, owner)
-		return OutcomeStranger, false
+		return OutcomeNotOwner, false
 	case errors.Is(err, ErrNotCarried):
 		return "", false
 	case fault.Is(err, fault.Invalid):
-		w.noteOld(owner.Process)
-		return OutcomeOld, false
+		w.markUnsupported(owner.Process)
+		return OutcomeUnsupported, false
 	case ctx.Err() == nil:
 		w.options.Owners.Missed(slot, owner)
 	}
-	return OutcomeSilent, false
+	return OutcomeNoAnswer, false
 }
 
-// learn takes over an owner's word. again is as in ask.
-func (w *Writer) learn(group int, answer Answer) (outcome Outcome, again bool) {
+// recordAnswer stores the state in an owner's answer. retry is as in sendToOwner.
+func (w *Writer) recordAnswer(group int, answer Answer) (outcome Outcome, retry bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if !answer.Owner {
-		return OutcomeStranger, false
+		return OutcomeNotOwner, false
 	}
-	w.expect[group] = answer.Expect
+	w.expectedWait[group] = answer.Expect
 	if answer.Short {
-		w.told = time.Now()
+		w.reportedAt = time.Now()
 	}
 	return answer.Outcome, answer.Throttled && (answer.Outcome == OutcomeLate || answer.Outcome == OutcomeFull)
 }
 
-// isOld reports whether a process did not know the question lately.
-func (w *Writer) isOld(process string) bool {
+// isUnsupported reports whether a process recently did not support the request.
+func (w *Writer) isUnsupported(process string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return time.Now().Before(w.old[process])
+	return time.Now().Before(w.unsupportedUntil[process])
 }
 
-// noteOld remembers a process that does not know the question, and forgets those of long ago.
-func (w *Writer) noteOld(process string) {
+// markUnsupported records a process that does not support the request, and removes expired
+// records.
+func (w *Writer) markUnsupported(process string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(w.old, func(_ string, until time.Time) bool { return !now.Before(until) })
-	w.old[process] = now.Add(oldFor)
+	maps.DeleteFunc(w.unsupportedUntil, func(_ string, until time.Time) bool { return !now.Before(until) })
+	w.unsupportedUntil[process] = now.Add(unsupportedPeriod)
 }
