--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,6 +1,6 @@
-// Package ring draws places in a long list of names that is kept in order, so that processes
-// which know nothing of each other share such a list evenly, or agree on a place in it. It needs
-// only a few names to know how all are made.
+// Package ring picks keys from a long ordered list of names that share a format, so that
+// independent processes spread their reads of the list evenly, or agree on a starting point in it.
+// It infers the format from a few names.
 package ring
 
 import (
@@ -10,12 +10,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// width is how many characters of a name decide its place. Eight hexadecimal ones tell 4,000
-// million names apart.
-const width = 8
+// maxWidth bounds the characters of a name that are used. Eight hexadecimal digits distinguish 4
+// billion names.
+const maxWidth = 8
 
-// alphabets are those that the varying part of names is usually made of, each with its characters
-// in the order of their bytes. A few names don't show all characters of theirs.
+// alphabets are the usual character sets of generated names, with the characters in byte order. A
+// sample of names rarely contains all characters of its set.
 var alphabets = []string{
 	"0123456789",
 	"0123456789abcdef",
@@ -24,39 +24,40 @@
 	"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz",
 }
 
-// Names is how the names of a list are made: a part that is the same in all, and one that varies.
+// Names is the format of the names in a list: a constant prefix and a varying suffix. Names are
+// mapped to indexes by reading the suffix as a number.
 type Names struct {
-	prefix   string
-	alphabet string
-	width    int    // of the varying part, at most width
-	least    uint64 // the place of the first name seen
+	prefix     string
+	alphabet   string
+	width      int    // characters of the suffix used, at most maxWidth
+	firstIndex uint64 // index of the first observed name
 }
 
-// Observe learns how names are made from the first of a list. ok is false if they have no varying part in
-// common, or are too few to tell.
-func Observe(names []string) (made Names, ok bool) {
+// Observe infers the format from the first names of a list, in order. ok is false for fewer than
+// two names, or if they have no varying suffix over a known alphabet.
+func Observe(names []string) (format Names, ok bool) {
 	if len(names) < 2 {
 		return Names{}, false
 	}
 	for _, alphabet := range alphabets {
-		tail := varying(names[0], alphabet)
-		prefix := strings.TrimSuffix(names[0], tail)
-		if !allVary(names, prefix, alphabet) || tail == "" {
+		suffix := varyingSuffix(names[0], alphabet)
+		prefix := strings.TrimSuffix(names[0], suffix)
+		if !allMatch(names, prefix, alphabet) || suffix == "" {
 			continue
 		}
-		shortest := len(tail)
+		shortest := len(suffix)
 		for _, name := range names {
 			shortest = min(shortest, len(name)-len(prefix))
 		}
-		made = Names{prefix: prefix, alphabet: alphabet, width: min(shortest, width)}
-		made.least = made.place(names[0])
-		return made, true
+		format = Names{prefix: prefix, alphabet: alphabet, width: min(shortest, maxWidth)}
+		format.firstIndex = format.index(names[0])
+		return format, true
 	}
 	return Names{}, false
 }
 
-// varying is the longest end of a name that is made of an alphabet.
-func varying(name, alphabet string) string {
+// varyingSuffix returns the longest suffix of name over an alphabet.
+func varyingSuffix(name, alphabet string) string {
 	end := len(name)
 	for end > 0 && strings.IndexByte(alphabet, name[end-1]) >= 0 {
 		end--
@@ -64,74 +65,75 @@
 	return name[end:]
 }
 
-// allVary reports whether all names are a prefix and then characters of an alphabet.
-func allVary(names []string, prefix, alphabet string) bool {
+// allMatch reports whether each name is prefix and then one or more characters of alphabet.
+func allMatch(names []string, prefix, alphabet string) bool {
 	for _, name := range names {
-		tail, ok := strings.CutPrefix(name, prefix)
-		if !ok || tail == "" || varying(tail, alphabet) != tail {
+		suffix, ok := strings.CutPrefix(name, prefix)
+		if !ok || suffix == "" || varyingSuffix(suffix, alphabet) != suffix {
 			return false
 		}
 	}
 	return true
 }
 
-// drawTries bounds how often a place before the first name is drawn anew.
-const drawTries = 256
+// maxDraws bounds the attempts to draw an index that is not below the first name.
+const maxDraws = 256
 
-// Draw is a place that a text decides: the same for all who ask, as long as the first name of the
-// list stays before it. Below is a place at which nothing was found any more, and bounds the next
-// one; empty: none is known.
-func (n Names) Draw(text, below string) string {
-	bound := n.places()
-	if below != "" {
-		bound = max(1, n.place(below))
+// Draw returns a name chosen by seed, so that all callers with the same seed get the same name
+// while the first name of the list sorts before it. If nothing was found at or after an earlier
+// result, pass that as before: the next result sorts before it. An empty before sets no limit.
+func (n Names) Draw(seed, before string) string {
+	limit := n.count()
+	if before != "" {
+		limit = max(1, n.index(before))
 	}
-	place := n.least
-	for try := range drawTries {
-		drawn := xxhash.Sum64String(text+"/"+strconv.Itoa(try)) % bound
-		if drawn >= n.least {
-			place = drawn
+	index := n.firstIndex
+	for attempt := range maxDraws {
+		candidate := xxhash.Sum64String(seed+"/"+strconv.Itoa(attempt)) % limit
+		if candidate >= n.firstIndex {
+			index = candidate
 			break
 		}
 	}
-	return n.name(place)
+	return n.name(index)
 }
 
-// Size estimates how long the list is from some names that follow each other in it: these take a
-// part of all the places behind the first name, as all names do where they are spread evenly.
-func (n Names) Size(some []string) int {
-	if len(some) < 2 {
-		return len(some)
+// Size estimates the length of the list from consecutive names of it, assuming that names are
+// spread evenly over all indexes from the first name on.
+func (n Names) Size(sample []string) int {
+	if len(sample) < 2 {
+		return len(sample)
 	}
-	first, last := n.place(some[0]), n.place(some[len(some)-1])
+	first, last := n.index(sample[0]), n.index(sample[len(sample)-1])
 	if last <= first {
-		return len(some)
+		return len(sample)
 	}
-	return int(float64(len(some)-1) * float64(n.places()-n.least) / float64(last-first))
+	return int(float64(len(sample)-1) * float64(n.count()-n.firstIndex) / float64(last-first))
 }
 
-// places is how many there are.
-func (n Names) places() uint64 {
-	places := uint64(1)
+// count returns the number of possible indexes.
+func (n Names) count() uint64 {
+	count := uint64(1)
 	for range n.width {
-		places *= uint64(len(n.alphabet))
+		count *= uint64(len(n.alphabet))
 	}
-	return places
+	return count
 }
 
-// place is the number of a name.
-func (n Names) place(name string) (place uint64) {
+// index returns the index of a name.
+func (n Names) index(name string) (index uint64) {
 	for _, char := range []byte(name[len(n.prefix) : len(n.prefix)+n.width]) {
-		place = place*uint64(len(n.alphabet)) + uint64(strings.IndexByte(n.alphabet, char))
+		index = index*uint64(len(n.alphabet)) + uint64(strings.IndexByte(n.alphabet, char))
 	}
-	return place
+	return index
 }
 
-func (n Names) name(place uint64) string {
-	varies := make([]byte, n.width)
-	for index := n.width - 1; index >= 0; index-- {
-		varies[index] = n.alphabet[place%uint64(len(n.alphabet))]
-		place /= uint64(len(n.alphabet))
+// name returns the name with an index.
+func (n Names) name(index uint64) string {
+	chars := make([]byte, n.width)
+	for position := n.width - 1; position >= 0; position-- {
+		chars[position] = n.alphabet[index%uint64(len(n.alphabet))]
+		index /= uint64(len(n.alphabet))
 	}
-	return n.prefix + string(varies)
+	return n.prefix + string(chars)
 }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// list is a list of so many names in order.
-func list(count int, name func(index int) string) []string {
+// sortedNames returns count generated names in order.
+func sortedNames(count int, name func(index int) string) []string {
 	names := make([]string, count)
 	for index := range names {
 		names[index] = name(index)
@@ -19,78 +19,81 @@
 	return names
 }
 
-// TestPlacesAreSpreadOverAnyList: of a thousand processes that read 200 names each from a place that
-// they draw, about as many know each name, whatever names look like.
-func TestPlacesAreSpreadOverAnyList(t *testing.T) {
-	const processes, reads, count = 1000, 200, 10_000
+// TestDrawsAreSpreadEvenly guards against names that too few or too many processes read, for each
+// kind of names: 1,000 processes read 200 names each from where they draw.
+func TestDrawsAreSpreadEvenly(t *testing.T) {
+	const processes, namesPerProcess, count = 1000, 200, 10_000
 	for kind, name := range map[string]func(int) string{
 		"hexadecimal": func(index int) string { return fmt.Sprintf("i-%010x", xxhash.Sum64String(fmt.Sprint(index))>>24) },
 		"numbers":     func(index int) string { return fmt.Sprintf("worker-%06d", index) },
-		"words":       func(index int) string { return fmt.Sprintf("w%s", words(xxhash.Sum64String(fmt.Sprint(index)))) },
+		"words":       func(index int) string { return fmt.Sprintf("w%s", base36(xxhash.Sum64String(fmt.Sprint(index)))) },
 	} {
 		t.Run(kind, func(t *testing.T) {
-			names := list(count, name)
-			made, ok := Observe(names[:64])
+			names := sortedNames(count, name)
+			format, ok := Observe(names[:64])
 			require.True(t, ok)
-			known := make([]int, count)
+			readers := make([]int, count)
 			for process := range processes {
-				start := drawStart(made, names, fmt.Sprint("process-", process))
-				for offset := range reads {
-					known[(start+offset)%count]++
+				start := drawStart(format, names, fmt.Sprint("process-", process))
+				for offset := range namesPerProcess {
+					readers[(start+offset)%count]++
 				}
 			}
-			slices.Sort(known)
-			require.GreaterOrEqual(t, known[count/100], reads*processes/count/4, "nobody is forgotten")
-			require.LessOrEqual(t, known[count-1], 3*reads*processes/count, "nobody is known by all")
+			slices.Sort(readers)
+			require.GreaterOrEqual(t, readers[count/100], namesPerProcess*processes/count/4, "almost every name has enough readers")
+			require.LessOrEqual(t, readers[count-1], 3*namesPerProcess*processes/count, "no name has too many readers")
 		})
 	}
 }
 
-// words spells a number in letters and digits.
-func words(number uint64) string {
+// base36 encodes a number in ten base-36 digits, lowest first.
+func base36(number uint64) string {
 	const alphabet = "0123456789abcdefghijklmnopqrstuvwxyz"
-	var spelt []byte
+	var digits []byte
 	for range 10 {
-		spelt = append(spelt, alphabet[number%36])
+		digits = append(digits, alphabet[number%36])
 		number /= 36
 	}
-	return string(spelt)
+	return string(digits)
 }
 
-// drawStart draws as long as nothing is found at the place.
-func drawStart(made Names, names []string, text string) int {
-	below := ""
+// drawStart draws until there is a name at or after the result.
+func drawStart(format Names, names []string, seed string) int {
+	before := ""
 	for {
-		place := made.Draw(text, below)
-		if start, _ := slices.BinarySearch(names, place); start < len(names) {
+		name := format.Draw(seed, before)
+		if start, _ := slices.BinarySearch(names, name); start < len(names) {
 			return start
 		}
-		below = place
+		before = name
 	}
 }
 
-func TestNamesWithoutAVaryingPart(t *testing.T) {
+// TestObserveRejectsNamesWithoutCommonFormat guards against a format inferred from names that share none.
+func TestObserveRejectsNamesWithoutCommonFormat(t *testing.T) {
 	for _, names := range [][]string{nil, {"one"}, {"a-1", "b-2"}, {"one", "öne"}, {"", "a"}, {"x-", "x-1"}} {
 		_, ok := Observe(names)
 		require.False(t, ok, "%q", names)
 	}
 }
 
-// TestAllWhoAskAgree: also if they have seen other names of the list.
-func TestAllWhoAskAgree(t *testing.T) {
-	names := list(1000, func(index int) string { return fmt.Sprintf("i-%010x", xxhash.Sum64String(fmt.Sprint(index))>>24) })
-	one, _ := Observe(names[:64])
-	later, _ := Observe(names[1:64])
-	require.Equal(t, one.Draw("part", ""), later.Draw("part", ""))
-	require.NotEqual(t, one.Draw("part", ""), one.Draw("other", ""))
+// TestDrawIsIndependentOfObservedNames guards against processes that draw different names for the
+// same seed because they observed different names.
+func TestDrawIsIndependentOfObservedNames(t *testing.T) {
+	names := sortedNames(1000, func(index int) string { return fmt.Sprintf("i-%010x", xxhash.Sum64String(fmt.Sprint(index))>>24) })
+	first, _ := Observe(names[:64])
+	other, _ := Observe(names[1:64])
+	require.Equal(t, first.Draw("part", ""), other.Draw("part", ""))
+	require.NotEqual(t, first.Draw("part", ""), first.Draw("other", ""))
 }
 
-func TestSizeOfAListFromSomeNames(t *testing.T) {
+// TestSizeEstimateFromSample guards against estimates more than 40% off, wherever the sample lies.
+func TestSizeEstimateFromSample(t *testing.T) {
 	for _, count := range []int{100, 600, 3000, 10_000, 100_000} {
-		names := list(count, func(index int) string { return fmt.Sprintf("i-%010x", xxhash.Sum64String(fmt.Sprint(index))>>24) })
-		made, ok := Observe(names[:64])
+		names := sortedNames(count, func(index int) string { return fmt.Sprintf("i-%010x", xxhash.Sum64String(fmt.Sprint(index))>>24) })
+		format, ok := Observe(names[:64])
 		require.True(t, ok)
-		require.InEpsilon(t, count, made.Size(names[:64]), 0.4)
-		require.InEpsilon(t, count, made.Size(names[count/2-30:count/2+30]), 0.4)
+		require.InEpsilon(t, count, format.Size(names[:64]), 0.4)
+		require.InEpsilon(t, count, format.Size(names[count/2-30:count/2+30]), 0.4)
 	}
 }
