--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -1,9 +1,9 @@
-// Package isolation tells whether this node has lost everybody who could help it: the table
-// does not answer it, by whatever way, nor do nodes elsewhere. Such a node can begin no
-// program; it says that it is not ready, so that new clients are sent to nodes that can.
+// Package isolation detects that this node has lost both the table, by every route, and the nodes
+// of other zones. Such a node can't start programs; it reports that it is not ready, so that new
+// clients are routed to other nodes.
 //
-// A table that is down for all nodes isolates nobody: other nodes answer then. A node that
-// hears nothing because nobody asked is not isolated either.
+// An outage of the table alone isolates no node, because nodes of other zones still answer. A node
+// that has sent no requests is not isolated either.
 package isolation
 
 import (
@@ -12,71 +12,71 @@
 )
 
 const (
-	// missesNeeded of nodes elsewhere in a row, with no answer between them, over missesSpan at
-	// least make a node doubt that it reaches any: single nodes die, and a slow node misses
-	// some answers.
-	missesNeeded = 4
-	missesSpan   = 300 * time.Millisecond
-	// askAfter is how long nobody elsewhere may have answered before one is asked for that
-	// alone: two questions a second of a node that has no clients. All nodes of a zone that is
-	// cut off must know, or clients are still sent to those that do not.
-	askAfter = 500 * time.Millisecond
-	// longestBelief is how long a node believes that it is isolated without being told anew. A
-	// belief that is wrong must end by itself: with all nodes of a site not ready nobody
-	// would serve.
-	longestBelief = 20 * time.Second
+	// Nodes of other zones count as unreachable after minMisses consecutive missed replies over at
+	// least minMissSpan. Fewer may come from single failed nodes or from a slow local node.
+	minMisses   = 4
+	minMissSpan = 300 * time.Millisecond
+	// probeAfter is how long no node of another zone may have answered before one is probed. An
+	// idle node thus sends two probes per second. All nodes of a zone that is cut off must detect
+	// it; otherwise those that don't still receive clients.
+	probeAfter = 500 * time.Millisecond
+	// maxEvidenceAge is how long after the last missed reply a node still counts as isolated.
+	// Without this limit a false detection on all nodes of a site could keep all of them not
+	// ready.
+	maxEvidenceAge = 20 * time.Second
 )
 
-// Detector follows what came of calls to the table and to other nodes. Its zero value has
-// heard of none. It is safe for concurrent use.
+// Detector tracks replies from nodes of other zones, or from any other node in a deployment of one
+// zone. The zero value is ready to use and has seen none. It is safe for concurrent use.
 type Detector struct {
-	mutex    sync.Mutex
-	answered time.Time // when a node elsewhere last answered
-	missed   int       // nodes elsewhere that did not answer, since one did
-	first    time.Time // when the first of them was missed
-	last     time.Time // and the last
+	mutex      sync.Mutex
+	lastAnswer time.Time // last reply from a node of another zone
+	misses     int       // consecutive missed replies
+	firstMiss  time.Time // first of these misses
+	lastMiss   time.Time // most recent miss
 }
 
-// Answered notes that a node elsewhere has answered.
+// Answered records a reply from a node of another zone.
 func (d *Detector) Answered(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.answered, d.missed = now, 0
+	d.lastAnswer, d.misses = now, 0
 }
 
-// InDoubt reports whether a node should be asked: none elsewhere has answered lately.
+// InDoubt reports whether a node of another zone should be probed because none has answered
+// recently.
 func (d *Detector) InDoubt(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return now.Sub(d.answered) >= askAfter
+	return now.Sub(d.lastAnswer) >= probeAfter
 }
 
-// Missed notes that a node elsewhere did not answer within the time that answers from there
-// usually take.
+// Missed records that a node of another zone did not answer within the usual time.
 func (d *Detector) Missed(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.missed == 0 {
-		d.first = now
+	if d.misses == 0 {
+		d.firstMiss = now
 	}
-	d.missed++
-	d.last = now
+	d.misses++
+	d.lastMiss = now
 }
 
-// Silent reports whether no node elsewhere answers.
+// Silent reports whether the nodes of other zones are unreachable.
 func (d *Detector) Silent() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.silent()
+	return d.unreachable()
 }
 
-func (d *Detector) silent() bool {
-	return d.missed >= missesNeeded && d.last.Sub(d.first) >= missesSpan
+func (d *Detector) unreachable() bool {
+	return d.misses >= minMisses && d.lastMiss.Sub(d.firstMiss) >= minMissSpan
 }
 
-// Isolated reports whether the node is isolated, given whether the table fails it by all ways.
+// Isolated reports whether this node is isolated. tableLost reports that the table is unreachable
+// by every route.
 func (d *Detector) Isolated(tableLost bool, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return tableLost && d.silent() && now.Sub(d.last) < longestBelief
+	return tableLost && d.unreachable() && now.Sub(d.lastMiss) < maxEvidenceAge
 }
--- a/internal/isolation/isolation_test.go
+++ b/internal/isolation/isolation_test.go
@@ -7,45 +7,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// miss lets nodes elsewhere be missed so often, over a time.
-func miss(d *Detector, begin time.Time, count int, over time.Duration) (last time.Time) {
+// recordMisses records count misses, evenly spread over a duration, and returns the time of the
+// last one.
+func recordMisses(d *Detector, start time.Time, count int, over time.Duration) (last time.Time) {
 	for index := range count {
-		last = begin.Add(over * time.Duration(index) / time.Duration(count-1))
+		last = start.Add(over * time.Duration(index) / time.Duration(count-1))
 		d.Missed(last)
 	}
 	return last
 }
 
-func TestOnlyWhoLostEverybodyIsIsolated(t *testing.T) {
+// TestIsolatedOnlyWithoutTableAndPeers guards against nodes that report not ready although the
+// table or another zone answers, and against isolation that never ends.
+func TestIsolatedOnlyWithoutTableAndPeers(t *testing.T) {
 	const lost = true
-	begin := time.Now()
-	t.Run("everybody", func(t *testing.T) {
+	start := time.Now()
+	t.Run("table and other zones are unreachable", func(t *testing.T) {
 		d := &Detector{}
-		require.True(t, d.Isolated(lost, miss(d, begin, missesNeeded, missesSpan)))
+		require.True(t, d.Isolated(lost, recordMisses(d, start, minMisses, minMissSpan)))
 	})
 	t.Run("the table answers", func(t *testing.T) {
 		d := &Detector{}
-		require.False(t, d.Isolated(!lost, miss(d, begin, 9, missesSpan)))
+		require.False(t, d.Isolated(!lost, recordMisses(d, start, 9, minMissSpan)))
 	})
-	t.Run("nobody was asked", func(t *testing.T) {
-		require.False(t, (&Detector{}).Isolated(lost, begin))
+	t.Run("no request was sent", func(t *testing.T) {
+		require.False(t, (&Detector{}).Isolated(lost, start))
 	})
-	t.Run("a node elsewhere answers", func(t *testing.T) {
+	t.Run("a node of another zone answers", func(t *testing.T) {
 		d := &Detector{}
-		miss(d, begin, 9, missesSpan)
-		d.Answered(begin.Add(missesSpan))
-		require.False(t, d.InDoubt(begin.Add(missesSpan)))
-		require.True(t, d.InDoubt(begin.Add(missesSpan+askAfter)))
+		recordMisses(d, start, 9, minMissSpan)
+		d.Answered(start.Add(minMissSpan))
+		require.False(t, d.InDoubt(start.Add(minMissSpan)))
+		require.True(t, d.InDoubt(start.Add(minMissSpan+probeAfter)))
 		require.False(t, d.Silent())
-		require.False(t, d.Isolated(lost, begin.Add(missesSpan)))
-		require.False(t, d.Isolated(lost, miss(d, begin, missesNeeded-1, time.Second)), "counted anew")
+		require.False(t, d.Isolated(lost, start.Add(minMissSpan)))
+		require.False(t, d.Isolated(lost, recordMisses(d, start, minMisses-1, time.Second)), "a reply resets the count")
 	})
-	t.Run("all were missed in one moment", func(t *testing.T) {
+	t.Run("all misses at about the same time", func(t *testing.T) {
 		d := &Detector{}
-		require.False(t, d.Isolated(lost, miss(d, begin, 9, missesSpan/2)))
+		require.False(t, d.Isolated(lost, recordMisses(d, start, 9, minMissSpan/2)))
 	})
-	t.Run("the belief ends by itself", func(t *testing.T) {
+	t.Run("the detection expires", func(t *testing.T) {
 		d := &Detector{}
-		require.False(t, d.Isolated(lost, miss(d, begin, 9, missesSpan).Add(longestBelief)))
+		require.False(t, d.Isolated(lost, recordMisses(d, start, 9, minMissSpan).Add(maxEvidenceAge)))
 	})
 }
