--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -1,6 +1,6 @@
-// Package sweep removes rows of cloverwheel's own whose life is over. Every node
-// looks through one part of the tables now and then; a row that was renewed in
-// between has another version and stays.
+// Package sweep deletes expired rows of cloverwheel's tables. Every node periodically scans a
+// random partition of a random table. A row that is renewed during a scan has a new version and is
+// kept.
 package sweep
 
 import (
@@ -16,62 +16,65 @@
 )
 
 const (
-	// firstAfter is how long a node runs before its first look: rows live longer.
-	firstAfter = 2 * time.Minute
-	// every is the mean time between two looks of a node.
-	every = 30 * time.Second
-	// slack is how long rows outlive their end: clocks of nodes differ.
-	slack = time.Minute
-	// pageRows bounds one read, removals one transaction.
+	// initialDelay is the delay from the start of a node to its first scan. It is shorter than the
+	// lifetime of any row.
+	initialDelay = 2 * time.Minute
+	// meanInterval is the mean time between two scans of a node.
+	meanInterval = 30 * time.Second
+	// clockSkewMargin is how long rows are kept after they expire, because the clocks of nodes
+	// differ.
+	clockSkewMargin = time.Minute
+	// pageRows bounds the rows read, and deleted, at a time.
 	pageRows = 100
-	// callTimeout bounds one call.
+	// callTimeout bounds one call to the table.
 	callTimeout = 2 * time.Second
 )
 
-// Table is a table and the names of its parts.
+// Table names a table and its partitions.
 type Table struct {
 	Name  string
 	Parts []string
 }
 
-// Options of a Sweeper.
+// Options configures a Sweeper.
 type Options struct {
 	Store  store.Store
 	Tables []Table
 	Logger log.Interface
 }
 
-// Sweeper removes rows.
+// Sweeper deletes expired rows.
 type Sweeper struct{ options Options }
 
-// New returns a sweeper.
+// New returns a sweeper. It does nothing until Run or Part is called.
 func New(options Options) *Sweeper { return &Sweeper{options: options} }
 
-// Run sweeps until ctx ends.
+// Run scans at random intervals until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) {
-	if wait.For(ctx, firstAfter+rand.N(every)) != nil {
+	if wait.For(ctx, initialDelay+rand.N(meanInterval)) != nil {
 		return
 	}
 	for {
 		table := s.options.Tables[rand.IntN(len(s.options.Tables))]
-		part := table.Parts[rand.IntN(len(table.Parts))]
-		removed, err := s.Part(ctx, table.Name, part)
-		entry := s.options.Logger.WithFields(log.Fields{"table": table.Name, "part": part, "removed": removed})
+		partition := table.Parts[rand.IntN(len(table.Parts))]
+		removed, err := s.Part(ctx, table.Name, partition)
+		entry := s.options.Logger.WithFields(log.Fields{"table": table.Name, "part": partition, "removed": removed})
 		if err != nil && ctx.Err() == nil {
-			entry.WithError(err).Warn("sweep broken off")
+			entry.WithError(err).Warn("sweep failed; expired rows stay until a later sweep")
 		} else if removed > 0 {
-			entry.Info("swept")
+			entry.Info("deleted expired rows")
 		}
-		if wait.For(ctx, every/2+rand.N(every)) != nil {
+		if wait.For(ctx, meanInterval/2+rand.N(meanInterval)) != nil {
 			return
 		}
 	}
 }
 
-// Part removes the rows of one part whose life is over and returns their number.
-func (s *Sweeper) Part(ctx context.Context, table, part string) (removed int, err error) {
+// Part deletes the expired rows of one partition and returns their number. On an error, removed
+// counts the rows deleted before it.
+func (s *Sweeper) Part(ctx context.Context, table, partition string) (removed int, err error) {
 	for from := ""; ; {
-		page, err := s.read(ctx, table, part, from)
+		page, err := s.read(ctx, table, partition, from)
 		if err != nil {
 			return removed, err
 		}
@@ -87,16 +90,16 @@
 	}
 }
 
-func (s *Sweeper) read(ctx context.Context, table, part, from string) (store.Page, error) {
+func (s *Sweeper) read(ctx context.Context, table, partition, from string) (store.Page, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return s.options.Store.Range(ctx, table, part, from, "", pageRows)
+	return s.options.Store.Range(ctx, table, partition, from, "", pageRows)
 }
 
-// remove removes what is over among the rows. If one of them has changed, none
-// is removed now; a later sweep comes by.
+// remove deletes the expired ones among the rows. If any of them has changed, it deletes none and
+// leaves them to a later scan.
 func (s *Sweeper) remove(ctx context.Context, rows []store.Row) (int, error) {
-	before := time.Now().Add(-slack)
+	before := time.Now().Add(-clockSkewMargin)
 	var transaction store.Transaction
 	for _, row := range rows {
 		expires, _, err := store.CutExpiry(row.Value)
--- a/internal/sweep/sweep_test.go
+++ b/internal/sweep/sweep_test.go
@@ -15,13 +15,13 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-func put(t *testing.T, table *storetest.Table, name string, life time.Duration) {
-	row := store.Row{Key: store.Key{Table: "t", Part: "p", Name: name}, Value: store.WithExpiry(time.Now().Add(life), []byte("v"))}
+func put(t *testing.T, table *storetest.Table, name string, ttl time.Duration) {
+	row := store.Row{Key: store.Key{Table: "t", Part: "p", Name: name}, Value: store.WithExpiry(time.Now().Add(ttl), []byte("v"))}
 	_, err := table.Commit(t.Context(), store.Transaction{Put: []store.Row{row}})
 	require.NoError(t, err)
 }
 
-func names(t *testing.T, table *storetest.Table) []string {
+func rowNames(t *testing.T, table *storetest.Table) []string {
 	page, err := table.Range(t.Context(), "t", "p", "", "", 0)
 	require.NoError(t, err)
 	var all []string
@@ -31,47 +31,50 @@
 	return all
 }
 
-func sweeper(table store.Store) *Sweeper {
+func newSweeper(table store.Store) *Sweeper {
 	return New(Options{Store: table, Tables: []Table{{Name: "t", Parts: []string{"p"}}}, Logger: &log.Logger{Handler: discard.New()}})
 }
 
-func TestOnlyRowsWhoseLifeIsOverGo(t *testing.T) {
+// TestOnlyExpiredRowsAreRemoved guards against deleting live rows, deleting within the margin for
+// clock skew, and stopping after the first page.
+func TestOnlyExpiredRowsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		for index := range 250 {
 			put(t, table, fmt.Sprintf("short-%03d", index), time.Minute)
 		}
 		put(t, table, "long", time.Hour)
-		removed, err := sweeper(table).Part(t.Context(), "t", "p")
+		removed, err := newSweeper(table).Part(t.Context(), "t", "p")
 		require.NoError(t, err)
 		require.Zero(t, removed)
 		time.Sleep(3 * time.Minute)
-		removed, err = sweeper(table).Part(t.Context(), "t", "p")
+		removed, err = newSweeper(table).Part(t.Context(), "t", "p")
 		require.NoError(t, err)
 		require.Equal(t, 250, removed)
-		require.Equal(t, []string{"long"}, names(t, table))
+		require.Equal(t, []string{"long"}, rowNames(t, table))
 	})
 }
 
-// renewing renews a row between a sweep's read and its removal.
-type renewing struct {
+// renewingStore renews a row between the sweeper's read and its delete.
+type renewingStore struct {
 	*storetest.Table
 	renew func()
 }
 
-func (r renewing) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
-	page, err := r.Table.Range(ctx, table, part, from, to, limit)
+func (r renewingStore) Range(ctx context.Context, table, partition, from, to string, limit int) (store.Page, error) {
+	page, err := r.Table.Range(ctx, table, partition, from, to, limit)
 	r.renew()
 	return page, err
 }
 
-func TestRenewedRowStays(t *testing.T) {
+// TestRenewedRowIsKept guards against deleting a row that was renewed after it was read.
+func TestRenewedRowIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		put(t, table, "a", time.Minute)
 		time.Sleep(10 * time.Minute)
-		_, err := sweeper(renewing{table, func() { put(t, table, "a", time.Minute) }}).Part(t.Context(), "t", "p")
+		_, err := newSweeper(renewingStore{table, func() { put(t, table, "a", time.Minute) }}).Part(t.Context(), "t", "p")
 		require.NoError(t, err)
-		require.Equal(t, []string{"a"}, names(t, table))
+		require.Equal(t, []string{"a"}, rowNames(t, table))
 	})
 }
