--- a/internal/id/id.go
+++ b/internal/id/id.go
@@ -1,5 +1,5 @@
-// Package id defines the typed identifiers shared by every package and the
-// hash functions that map them to shards and owners.
+// Package id defines the typed identifiers that all packages share, and the hash functions that
+// map them to shards and owners.
 package id
 
 import (
@@ -13,31 +13,31 @@
 )
 
 type (
-	// Program names one agent program. A sub-agent's identifier extends its
-	// parent's by a dot and a suffix, so a whole tree hashes to one shard.
+	// Program identifies an agent program. The identifier of a sub-agent is that of its parent, a
+	// dot and a suffix, so that a whole tree of agents hashes to one shard.
 	Program string
-	// Tenant names a customer of the operators.
+	// Tenant identifies a customer of the operator.
 	Tenant string
-	// Template names an operator's template.
+	// Template identifies a template defined by the operator.
 	Template string
-	// Node names one cloverwheel process; it stays the same over restarts.
+	// Node identifies a cloverwheel process. It stays the same across restarts.
 	Node string
-	// Worker names one model back end.
+	// Worker identifies a model backend.
 	Worker string
-	// Model names a model that back ends serve.
+	// Model identifies a model that backends serve.
 	Model string
-	// Adapter names a fine-tuned adapter over a model; empty means none.
+	// Adapter identifies a fine-tuned adapter of a model; empty means none.
 	Adapter string
-	// Shard numbers one replicated group, from 0.
+	// Shard is the number of a replication group, counted from 0.
 	Shard uint32
-	// Incarnation distinguishes the starts of one node. It is random at each
-	// start because a node has no disk and so forgets everything it promised.
+	// Incarnation distinguishes the runs of one node. It is random at each start, because a node
+	// has no disk and loses all its state and commitments on a restart.
 	Incarnation uint64
-	// Request names one attempt of one call towards an engine or a tool.
+	// Request identifies one attempt of one call to an engine or a tool.
 	Request string
 )
 
-// subAgentSeparator joins a parent's identifier and a sub-agent's suffix.
+// subAgentSeparator separates a parent's identifier from a sub-agent's suffix.
 const subAgentSeparator = "."
 
 // NewProgram returns a fresh root program identifier.
@@ -48,18 +48,18 @@
 	return parent + subAgentSeparator + Program(uuid.NewString()[:8])
 }
 
-// Root returns the program at the top of p's tree; a root returns itself.
+// Root returns the program at the top of p's tree, which is p itself for a root.
 func (p Program) Root() Program {
 	root, _, _ := strings.Cut(string(p), subAgentSeparator)
 	return Program(root)
 }
 
-// NewRequest returns the identifier of an attempt (from 1) of a program's call.
+// NewRequest returns the identifier of an attempt of a program's call. Attempts count from 1.
 func NewRequest(program Program, call uint64, attempt int) Request {
 	return Request(string(program) + "/" + strconv.FormatUint(call, 10) + "/" + strconv.Itoa(attempt))
 }
 
-// Parts returns what NewRequest was given; ok is false for any other text.
+// Parts returns the arguments of NewRequest. ok is false if r is not of that form.
 func (r Request) Parts() (program Program, call uint64, attempt int, ok bool) {
 	name, rest, _ := strings.Cut(string(r), "/")
 	number, last, _ := strings.Cut(rest, "/")
@@ -89,13 +89,13 @@
 	return Shard(xxhash.Sum64String("worker:"+string(w)) % uint64(count))
 }
 
-// Score is the rendezvous weight of candidate for key.
+// Score returns the rendezvous hashing weight of candidate for key; the highest wins.
 func Score(key, candidate string) uint64 {
 	return xxhash.Sum64String(key + "\x00" + candidate)
 }
 
-// Rank orders candidates for key by rendezvous hashing, best first. Removing
-// one candidate never changes the order of the rest.
+// Rank orders candidates for key by rendezvous hashing, best first. Removing a candidate does not
+// change the order of the others.
 func Rank[C ~string](key string, candidates []C) []C {
 	ranked := slices.Clone(candidates)
 	slices.SortFunc(ranked, func(a, b C) int {
