--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault defines the typed errors that cross package, node and caller
-// borders. Every error names its remedy and says whether the request ran.
+// Package fault defines the typed errors that packages, nodes and the API exchange. Each error
+// states a remedy and whether the request was executed.
 package fault
 
 import (
@@ -12,7 +12,7 @@
 // Code is the stable, machine-readable kind of an error.
 type Code string
 
-// The codes that callers, operators and nodes see.
+// The error codes of the API and of the protocol between nodes.
 const (
 	Invalid            Code = "invalid_request"
 	TooLarge           Code = "body_too_large"
@@ -36,33 +36,33 @@
 	StaleConfiguration Code = "stale_configuration"
 	ZoneEvacuated      Code = "zone_evacuated"
 	OutsideRegions     Code = "outside_regions"
-	// NotLeader is internal: the node addressed does not lead the shard.
+	// NotLeader is internal: the receiving node is not the leader of the shard.
 	NotLeader Code = "not_leader"
-	// Fenced is internal: a newer epoch or term has taken over.
+	// Fenced is internal: the request is from an epoch or term that a newer one has replaced.
 	Fenced Code = "fenced"
-	// Internal marks a defect of cloverwheel itself.
+	// Internal indicates a bug in cloverwheel itself.
 	Internal Code = "internal"
 )
 
-// Ran says whether the refused or failed request was run.
+// Ran states whether a rejected or failed request was executed.
 type Ran string
 
-// The answers to "did it run?". RanNo is a promise: it did not and never will.
+// The values of Ran. RanNo guarantees that the request was not executed and never will be.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Error is the one error type that crosses borders; it is sent by gob between
-// nodes and as JSON to callers.
+// Error is the error type shared by all packages. It is encoded with gob between nodes and as JSON
+// for API clients.
 type Error struct {
 	Code    Code   `json:"code"`
-	Message string `json:"message"` // what happened and, after a semicolon, the remedy
+	Message string `json:"message"` // what went wrong and, after a semicolon, the remedy
 	Ran     Ran    `json:"ran"`
-	// RetryAfter is how long waiting helps; zero means that waiting does not help.
+	// RetryAfter is the recommended delay before a retry; zero means that a retry won't help.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
-	// Hint carries machine-readable help, such as a leader's address for NotLeader.
+	// Hint carries machine-readable details, such as the leader's address for NotLeader.
 	Hint string `json:"hint,omitempty"`
 }
 
@@ -71,39 +71,40 @@
 // Error implements error.
 func (e *Error) Error() string { return string(e.Code) + ": " + e.Message }
 
-// New returns an error that did not run. remedy tells the reader what to do.
+// New returns an error for a request that was not executed. remedy says what the reader can do
+// about it.
 func New(code Code, message, remedy string) *Error {
 	return &Error{Code: code, Message: message + "; " + remedy, Ran: RanNo}
 }
 
-// Newf is New with a formatted message; remedy comes first for readability.
+// Newf is New with a formatted message. remedy comes before the format and its arguments.
 func Newf(code Code, remedy, format string, args ...any) *Error {
 	return New(code, fmt.Sprintf(format, args...), remedy)
 }
 
-// WithRan returns a copy that answers "did it run?" with ran.
+// WithRan returns a copy of e with the given execution status.
 func (e *Error) WithRan(ran Ran) *Error {
 	changed := *e
 	changed.Ran = ran
 	return &changed
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy of e with a recommended delay before a retry.
 func (e *Error) WithRetryAfter(wait time.Duration) *Error {
 	changed := *e
 	changed.RetryAfter = wait
 	return &changed
 }
 
-// WithHint returns a copy that carries machine-readable help.
+// WithHint returns a copy of e with machine-readable details.
 func (e *Error) WithHint(hint string) *Error {
 	changed := *e
 	changed.Hint = hint
 	return &changed
 }
 
-// From finds the typed error in err's chain. An error without one becomes
-// Internal with an unknown outcome.
+// From returns the first Error in err's chain. If there is none, it returns an Internal error with
+// an unknown execution status.
 func From(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -112,7 +113,7 @@
 	return New(Internal, err.Error(), "report it with the log lines around it").WithRan(RanUnknown)
 }
 
-// CodeOf returns the code of err, or the empty code for nil.
+// CodeOf returns the code of err. It is empty for nil, and Internal if err's chain has no Error.
 func CodeOf(err error) Code {
 	if err == nil {
 		return ""
@@ -120,5 +121,5 @@
 	return From(err).Code
 }
 
-// Is reports whether err carries code.
+// Is reports whether err has the given code.
 func Is(err error, code Code) bool { return err != nil && CodeOf(err) == code }
