--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes log lines without ever making a request wait: lines
-// go into a bounded buffer and from there to the output in one write a moment
-// later. Lines that find the buffer full are dropped and counted.
+// Package eventlog writes log lines asynchronously, so that logging never blocks a request. Lines
+// are buffered up to a limit and written in batches. When the buffer is full, new lines are
+// dropped and counted.
 package eventlog
 
 import (
@@ -12,36 +12,36 @@
 )
 
 const (
-	// bufferBytes bounds the lines that wait.
+	// bufferBytes bounds the buffered lines.
 	bufferBytes = 256 << 10
-	// flushEvery is how long a line waits at most.
-	flushEvery = 150 * time.Millisecond
+	// flushDelay is the longest time between buffering a line and writing it.
+	flushDelay = 150 * time.Millisecond
 )
 
-// Writer is a buffered io.Writer for whole lines.
+// Writer is a buffered io.Writer for whole lines. Its Write is safe for concurrent use.
 type Writer struct {
-	output  io.Writer
-	mutex   sync.Mutex
-	waiting []byte
-	writing []byte
-	dropped int
-	wake    chan struct{}
+	output   io.Writer
+	mutex    sync.Mutex
+	buffer   []byte
+	flushing []byte
+	dropped  int
+	wake     chan struct{}
 }
 
-// New returns a writer to output. Run must be running for lines to come out.
+// New returns a Writer to output. Lines are written only by Run or Flush.
 func New(output io.Writer) *Writer {
 	return &Writer{output: output, wake: make(chan struct{}, 1)}
 }
 
-// Write takes one line. It never fails and never waits for the output.
+// Write buffers one line. It never fails and never blocks on the output.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if len(w.waiting)+len(line) > bufferBytes {
+	if len(w.buffer)+len(line) > bufferBytes {
 		w.dropped++
 		return len(line), nil
 	}
-	w.waiting = append(w.waiting, line...)
+	w.buffer = append(w.buffer, line...)
 	select {
 	case w.wake <- struct{}{}:
 	default:
@@ -49,7 +49,7 @@
 	return len(line), nil
 }
 
-// Run writes lines out until ctx ends, then what is left.
+// Run writes buffered lines until ctx ends, and then the remaining ones.
 func (w *Writer) Run(ctx context.Context) {
 	for {
 		select {
@@ -58,7 +58,7 @@
 			return
 		case <-w.wake:
 		}
-		timer := time.NewTimer(flushEvery)
+		timer := time.NewTimer(flushDelay)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
@@ -68,17 +68,18 @@
 	}
 }
 
-// Flush writes what waits. A failing output loses it.
+// Flush writes all buffered lines, and the number of dropped ones if any. Errors of the output are
+// ignored, and its lines are lost. Flush must not be called concurrently with itself or Run.
 func (w *Writer) Flush() {
 	w.mutex.Lock()
-	w.waiting, w.writing = w.writing[:0], w.waiting
+	w.buffer, w.flushing = w.flushing[:0], w.buffer
 	dropped := w.dropped
 	w.dropped = 0
 	w.mutex.Unlock()
 	if dropped > 0 {
-		w.writing = fmt.Appendf(w.writing, "level=warn msg=\"log lines dropped\" count=%d\n", dropped)
+		w.flushing = fmt.Appendf(w.flushing, "level=warn msg=\"log lines dropped\" count=%d\n", dropped)
 	}
-	if len(w.writing) > 0 {
-		_, _ = w.output.Write(w.writing)
+	if len(w.flushing) > 0 {
+		_, _ = w.output.Write(w.flushing)
 	}
 }
