--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,5 +1,5 @@
-// Package eventstream cuts a text/event-stream into whole events without
-// changing a byte.
+// Package eventstream splits a text/event-stream into complete events and keeps their bytes
+// unchanged.
 package eventstream
 
 import (
@@ -8,31 +8,31 @@
 	"io"
 )
 
-// MaxEvent is the longest event that is accepted, in bytes.
+// MaxEvent is the maximum size of an event, in bytes.
 const MaxEvent = 1 << 20
 
-// Event is one whole event with its closing blank line.
+// Event is one complete event, including the blank line that ends it.
 type Event struct {
 	Raw  []byte // valid until the next call of Next
-	ID   []byte // empty if it has none
-	Data []byte // its data lines joined by line feeds
+	ID   []byte // empty if the event has none
+	Data []byte // the data lines, joined by line feeds
 }
 
-// Reader reads events one by one.
+// Reader reads a stream event by event.
 type Reader struct {
 	scanner *bufio.Scanner
 }
 
-// NewReader returns a reader of the stream.
+// NewReader returns a Reader of stream.
 func NewReader(stream io.Reader) *Reader {
 	reader := &Reader{scanner: bufio.NewScanner(stream)}
 	reader.scanner.Buffer(make([]byte, 0, 2048), MaxEvent)
-	reader.scanner.Split(reader.split)
+	reader.scanner.Split(reader.splitEvents)
 	return reader
 }
 
-// Next returns the next whole event. It returns io.EOF at the stream's proper
-// end and io.ErrUnexpectedEOF when the stream ends inside an event.
+// Next returns the next event. The error is io.EOF if the stream ended after a complete event,
+// io.ErrUnexpectedEOF if it ended within one, and bufio.ErrTooLong if an event exceeds MaxEvent.
 func (r *Reader) Next() (Event, error) {
 	if r.scanner.Scan() {
 		return parse(r.scanner.Bytes()), nil
@@ -43,7 +43,8 @@
 	return Event{}, io.EOF
 }
 
-func (r *Reader) split(data []byte, atEOF bool) (int, []byte, error) {
+// splitEvents is a bufio.SplitFunc that returns complete events.
+func (r *Reader) splitEvents(data []byte, atEOF bool) (int, []byte, error) {
 	if end := eventEnd(data); end > 0 {
 		return end, data[:end], nil
 	}
@@ -56,8 +57,8 @@
 	return 0, nil, nil
 }
 
-// eventEnd is the length of the first event with its blank line, or 0. Blank
-// lines before an event belong to it.
+// eventEnd returns the length of the first event, including the blank line after it and any blank
+// lines before it. It is 0 if data contains no complete event.
 func eventEnd(data []byte) int {
 	start := len(data) - len(bytes.TrimLeft(data, "\r\n"))
 	rest := data[start:]
@@ -94,8 +95,8 @@
 	return event
 }
 
-func joinData(data, line []byte, more bool) []byte {
-	if !more {
+func joinData(data, line []byte, hasData bool) []byte {
+	if !hasData {
 		return line
 	}
 	joined := make([]byte, 0, len(data)+1+len(line))
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -24,7 +24,8 @@
 	}
 }
 
-func TestWholeEvents(t *testing.T) {
+// TestCompleteEvents guards against changed bytes and wrong IDs or data, with LF and CRLF line ends.
+func TestCompleteEvents(t *testing.T) {
 	stream := "id: 1\ndata: a b\n\nweight-versions: 3\nid:2\r\ndata: c\r\ndata: d\r\n\r\n: comment\n\n"
 	raw, ids, data, err := readAll(strings.NewReader(stream))
 	require.ErrorIs(t, err, io.EOF)
@@ -33,29 +34,31 @@
 	require.Equal(t, []string{"a b", "c\nd", ""}, data)
 }
 
-func TestAnEventCutOffIsNotPassedOn(t *testing.T) {
+// TestTruncatedEventIsNotReturned guards against returning an event that the stream ends within.
+func TestTruncatedEventIsNotReturned(t *testing.T) {
 	raw, _, _, err := readAll(strings.NewReader("id: 1\ndata: a\n\nid: 2\nda"))
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.Equal(t, "id: 1\ndata: a\n\n", raw)
 }
 
-func TestABreakIsToldAsItIs(t *testing.T) {
-	broken := errors.New("reset")
-	_, _, _, err := readAll(io.MultiReader(strings.NewReader("id: 1\n\nid"), iotest.ErrReader(broken)))
-	require.ErrorIs(t, err, broken)
+// TestReadErrorIsReturned guards against reporting a read error as the end of the stream.
+func TestReadErrorIsReturned(t *testing.T) {
+	readErr := errors.New("reset")
+	_, _, _, err := readAll(io.MultiReader(strings.NewReader("id: 1\n\nid"), iotest.ErrReader(readErr)))
+	require.ErrorIs(t, err, readErr)
 }
 
-// TestCutsDoNotMatter: however a stream arrives, and wherever it breaks, whole
-// events come out byte for byte and nothing else.
-func TestCutsDoNotMatter(t *testing.T) {
+// TestEventsSurviveAnySplitOfTheStream guards against lost, partial or changed events when a stream
+// arrives in small pieces or ends anywhere.
+func TestEventsSurviveAnySplitOfTheStream(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		events := rapid.SliceOfN(rapid.StringMatching(`(id: [0-9]{1,3}\n)?(data: [a-z :]{0,9}\n){1,3}\n`), 0, 8).Draw(r, "events")
 		stream := strings.Join(events, "")
-		cut := rapid.IntRange(0, len(stream)).Draw(r, "cut")
-		raw, _, _, err := readAll(iotest.OneByteReader(strings.NewReader(stream[:cut])))
+		end := rapid.IntRange(0, len(stream)).Draw(r, "cut")
+		raw, _, _, err := readAll(iotest.OneByteReader(strings.NewReader(stream[:end])))
 		whole := ""
 		for _, event := range events {
-			if len(whole)+len(event) > cut {
+			if len(whole)+len(event) > end {
 				break
 			}
 			whole += event
@@ -63,8 +66,8 @@
 		if raw != whole {
 			r.Fatalf("got %q, want %q", raw, whole)
 		}
-		if complete := len(whole) == cut; complete != errors.Is(err, io.EOF) {
-			r.Fatalf("cut at %d of %q: %v", cut, stream, err)
+		if complete := len(whole) == end; complete != errors.Is(err, io.EOF) {
+			r.Fatalf("stream ended at %d of %q: %v", end, stream, err)
 		}
 	})
 }
--- a/internal/eventstream/seed_test.go
+++ b/internal/eventstream/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The fuzz draws the same in every build; -rapid.seed overrides it.
+// A fixed seed makes the property tests reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
