--- a/internal/gather/gatherer.go
+++ b/internal/gather/gatherer.go
@@ -165,7 +165,7 @@
 		group.nearLimit = nearLimit
 		g.options.Logger.WithField("short", nearLimit).WithField("group", number).WithField("rows_per_s", int(rate)).
 			WithField("writes_per_s", int(g.options.Pace.Writes)).WithField("throttled", throttled).
-			WithField("bytes", g.pendingBytes).Info("group owner: state of the table's commit limit changed; senders forward rows only while it is near")
+			WithField("bytes", g.pendingBytes).Info("nearness to the table's commit limit changed; senders forward rows to this owner while short is true")
 	}
 	answer := Answer{Owner: true, Outcome: outcome, Short: nearLimit}
 	if queue != nil {
--- a/internal/gather/queue.go
+++ b/internal/gather/queue.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// A commit times out after commitTimeoutFactor times the table's usual patience, limited to
-	// minCommitTime and maxCommitTime. Its rows are then reported as failed to their senders.
+	// A commit times out after commitTimeoutFactor times store.PatienceWith, the usual timeout of a
+	// call, limited to minCommitTime and maxCommitTime. Its rows are then reported as failed to
+	// their senders.
 	commitTimeoutFactor = 4
 	minCommitTime       = 100 * time.Millisecond
 	maxCommitTime       = time.Second
--- a/internal/gather/writer.go
+++ b/internal/gather/writer.go
@@ -183,7 +183,7 @@
 			WithField("told", reported).WithField("told_ms", now.Sub(w.reportedAt).Milliseconds()).
 			WithField("near", w.nearLimit).WithField("rows_per_s", int(clusterRate)).WithField("nodes", w.nodes).
 			WithField("writes_per_s", int(w.options.Pace.Writes)).
-			Info("forwarding of rows to group owners switched; rows are written directly while it is off")
+			Info("forwarding of rows to group owners changed; this node writes rows itself while engaged is false")
 	}
 	return w.forwarding
 }
