--- a/internal/room/account.go
+++ b/internal/room/account.go
@@ -6,224 +6,226 @@
 )
 
 const (
-	// settling is how long a new account listens before it tells: for longer than nodes take to
-	// find out that the keeper before does not answer, by the next report that they renew.
-	settling = renewAfter + tellWait + 100*time.Millisecond
-	// silentFor is how long an account may hear nothing before it counts as new.
-	silentFor = time.Second
-	// grantLasts is how long a place counts as given out without a report that covers it.
-	grantLasts = 400 * time.Millisecond
-	// declinedFor is how long a worker counts as full that has said so.
-	declinedFor = 60 * time.Millisecond
-	// longestReport bounds for how long a report may count.
-	longestReport = 2 * time.Second
-	// maxNodes bounds the nodes of an account, and maxGrants what each of them is given out.
-	maxNodes  = 2048
-	maxGrants = 64
-	// sweepEvery is the least time between two looks for what has lapsed.
-	sweepEvery = 20 * time.Millisecond
-	// heldGain weighs what nodes tell newly of how long places are held.
-	heldGain = 1.0 / 8
+	// settleTime is how long a new GroupLoad collects reports before it answers queries. By then every
+	// node has noticed that the previous keeper fails to answer its renewed reports.
+	settleTime = renewInterval + reportTimeout + 100*time.Millisecond
+	// silenceTimeout is how long no report may arrive before the load counts as new again.
+	silenceTimeout = time.Second
+	// grantTTL is how long a grant counts if no report covers it.
+	grantTTL = 400 * time.Millisecond
+	// declineBackoff is how long a worker that declined a request counts as full.
+	declineBackoff = 60 * time.Millisecond
+	// maxReportTTL caps Report.Lasts.
+	maxReportTTL = 2 * time.Second
+	// maxNodes limits the tracked nodes, and maxGrantsPerNode the outstanding grants of each.
+	maxNodes         = 2048
+	maxGrantsPerNode = 64
+	// sweepInterval is the minimum time between two removals of expired state.
+	sweepInterval = 20 * time.Millisecond
+	// holdTimeGain is the weight of a new sample in the moving average of hold times.
+	holdTimeGain = 1.0 / 8
 )
 
-// Member is a worker of a group that may get requests.
+// Member is a worker of a group that may receive requests.
 type Member struct {
-	Worker string // its key
-	Places int    // requests that it runs at once
-	Memory int    // tokens that it holds; 0: not known
-}
-
-// Account is how full the workers of a group are, by the word of all nodes. It knows no clock.
-// Its zero value is not usable.
-type Account struct {
-	members  []Member
-	began    time.Time // it has heard of all nodes since
-	heard    time.Time // when a node last told something
-	nodes    map[string]*teller
-	taken    map[string]load      // by worker
-	declined map[string]time.Time // until when a worker counts as full
-	swept    time.Time
-	held     time.Duration // how long a place is usually held; 0: not known
-}
-
-// load is what a worker has.
-type load struct {
+	Worker string // worker key
+	Places int    // concurrency limit: requests that it runs at once
+	Memory int    // tokens that fit into its memory; 0: unknown
+}
+
+// GroupLoad is the load of a group's workers, summed over the reports of all nodes. It reads no clock;
+// callers pass the time. The zero value is not usable.
+type GroupLoad struct {
+	members       []Member
+	settlingSince time.Time // start of the current settling period
+	lastReport    time.Time // arrival of the latest report of any node
+	nodes         map[string]*nodeState
+	loads         map[string]workerLoad // by worker key
+	declined      map[string]time.Time  // by worker key: until when it counts as full
+	lastSweep     time.Time
+	holdTime      time.Duration // average time that a request occupies a worker; 0: unknown
+}
+
+// workerLoad is the number of requests and tokens at a worker.
+type workerLoad struct {
 	requests, tokens int
 }
 
-// teller is what a node has told, and was given.
-type teller struct {
+// nodeState is what a node last reported and the grants that it holds.
+type nodeState struct {
 	sequence uint64
-	until    time.Time
+	expires  time.Time
 	running  []Running
 	grants   []grant
 }
 
-// grant is a place that was given out and is not in a report yet.
+// grant is a request assigned to a worker in answer to a query and not covered by a report yet.
 type grant struct {
-	sequence uint64 // of the question
+	sequence uint64 // of the query
 	worker   string
 	tokens   int
-	until    time.Time
+	expires  time.Time
 }
 
-// NewAccount returns an account that has heard nothing.
-func NewAccount() *Account {
-	return &Account{nodes: map[string]*teller{}, taken: map[string]load{}, declined: map[string]time.Time{}}
+// NewGroupLoad returns a GroupLoad without members or reports.
+func NewGroupLoad() *GroupLoad {
+	return &GroupLoad{nodes: map[string]*nodeState{}, loads: map[string]workerLoad{}, declined: map[string]time.Time{}}
 }
 
-// SetMembers replaces the workers that may get requests.
-func (a *Account) SetMembers(members []Member) { a.members = members }
+// SetMembers replaces the workers that may receive requests.
+func (l *GroupLoad) SetMembers(members []Member) { l.members = members }
 
-// Tell takes in a report.
-func (a *Account) Tell(report Report, now time.Time) {
-	if a.heard.IsZero() || now.Sub(a.heard) > silentFor {
-		a.began = now
+// ApplyReport replaces what the reporting node had running, unless the report is older than the node's
+// latest one.
+func (l *GroupLoad) ApplyReport(report Report, now time.Time) {
+	if l.lastReport.IsZero() || now.Sub(l.lastReport) > silenceTimeout {
+		l.settlingSince = now
 	}
-	a.heard = now
-	a.sweep(now)
-	known, ok := a.nodes[report.From]
+	l.lastReport = now
+	l.sweep(now)
+	node, ok := l.nodes[report.From]
 	if !ok {
-		if len(a.nodes) >= maxNodes {
+		if len(l.nodes) >= maxNodes {
 			return
 		}
-		known = &teller{}
-		a.nodes[report.From] = known
+		node = &nodeState{}
+		l.nodes[report.From] = node
 	}
 	for _, worker := range report.Declined {
-		a.declined[worker] = now.Add(declinedFor)
+		l.declined[worker] = now.Add(declineBackoff)
 	}
-	a.noteHeld(report)
-	if report.Sequence <= known.sequence {
+	l.updateHoldTime(report)
+	if report.Sequence <= node.sequence {
 		return
 	}
-	known.sequence = report.Sequence
-	known.until = now.Add(min(report.Lasts, longestReport))
-	a.replace(known, report.Running)
-	a.cover(known, report)
+	node.sequence = report.Sequence
+	node.expires = now.Add(min(report.Lasts, maxReportTTL))
+	l.replaceRunning(node, report.Running)
+	l.dropCoveredGrants(node, report)
 }
 
-// noteHeld takes in how long places were held.
-func (a *Account) noteHeld(report Report) {
+// updateHoldTime adds a report's finished requests to the average hold time.
+func (l *GroupLoad) updateHoldTime(report Report) {
 	if report.Ended <= 0 || report.Held <= 0 {
 		return
 	}
-	newest := report.Held / time.Duration(report.Ended)
-	if a.held == 0 {
-		a.held = newest
+	sample := report.Held / time.Duration(report.Ended)
+	if l.holdTime == 0 {
+		l.holdTime = sample
 		return
 	}
-	a.held += time.Duration(heldGain * float64(newest-a.held))
+	l.holdTime += time.Duration(holdTimeGain * float64(sample-l.holdTime))
 }
 
-// replace puts what a node has running in place of what it had.
-func (a *Account) replace(known *teller, running []Running) {
-	for _, before := range known.running {
-		a.add(before.Worker, -before.Requests, -before.Tokens)
+// replaceRunning replaces the running requests of a node.
+func (l *GroupLoad) replaceRunning(node *nodeState, running []Running) {
+	for _, previous := range node.running {
+		l.add(previous.Worker, -previous.Requests, -previous.Tokens)
 	}
-	known.running = running
-	for _, present := range running {
-		a.add(present.Worker, present.Requests, present.Tokens)
+	node.running = running
+	for _, current := range running {
+		l.add(current.Worker, current.Requests, current.Tokens)
 	}
 }
 
-// cover drops what was given out that a report tells of: all that was asked for before it and is
-// not waited for.
-func (a *Account) cover(known *teller, report Report) {
-	known.grants = slices.DeleteFunc(known.grants, func(given grant) bool {
-		covered := given.sequence < report.Sequence && !slices.Contains(report.Pending, given.sequence)
+// dropCoveredGrants removes the grants that a report covers: those of earlier queries that the node
+// does not wait for any more.
+func (l *GroupLoad) dropCoveredGrants(node *nodeState, report Report) {
+	node.grants = slices.DeleteFunc(node.grants, func(granted grant) bool {
+		covered := granted.sequence < report.Sequence && !slices.Contains(report.Pending, granted.sequence)
 		if covered {
-			a.add(given.worker, -1, -given.tokens)
+			l.add(granted.worker, -1, -granted.tokens)
 		}
 		return covered
 	})
 }
 
-// add changes what a worker has.
-func (a *Account) add(worker string, requests, tokens int) {
-	present := a.taken[worker]
-	present.requests += requests
-	present.tokens += tokens
-	if present.requests <= 0 {
-		delete(a.taken, worker)
+// add adds to the load of a worker; negative numbers subtract.
+func (l *GroupLoad) add(worker string, requests, tokens int) {
+	current := l.loads[worker]
+	current.requests += requests
+	current.tokens += tokens
+	if current.requests <= 0 {
+		delete(l.loads, worker)
 		return
 	}
-	a.taken[worker] = present
+	l.loads[worker] = current
 }
 
-// sweep forgets what has lapsed.
-func (a *Account) sweep(now time.Time) {
-	if now.Sub(a.swept) < sweepEvery {
+// sweep removes expired reports, grants and declines.
+func (l *GroupLoad) sweep(now time.Time) {
+	if now.Sub(l.lastSweep) < sweepInterval {
 		return
 	}
-	a.swept = now
-	for process, known := range a.nodes {
-		a.dropGrants(known, now)
-		if now.Before(known.until) {
+	l.lastSweep = now
+	for process, node := range l.nodes {
+		l.dropExpiredGrants(node, now)
+		if now.Before(node.expires) {
 			continue
 		}
-		a.replace(known, nil)
-		if len(known.grants) == 0 && now.Sub(known.until) > longestReport {
-			delete(a.nodes, process)
+		l.replaceRunning(node, nil)
+		if len(node.grants) == 0 && now.Sub(node.expires) > maxReportTTL {
+			delete(l.nodes, process)
 		}
 	}
-	for worker, until := range a.declined {
+	for worker, until := range l.declined {
 		if !now.Before(until) {
-			delete(a.declined, worker)
+			delete(l.declined, worker)
 		}
 	}
 }
 
-// dropGrants forgets what was given out and was never covered.
-func (a *Account) dropGrants(known *teller, now time.Time) {
-	known.grants = slices.DeleteFunc(known.grants, func(given grant) bool {
-		lapsed := !now.Before(given.until)
-		if lapsed {
-			a.add(given.worker, -1, -given.tokens)
+// dropExpiredGrants removes the grants that no report covered in time.
+func (l *GroupLoad) dropExpiredGrants(node *nodeState, now time.Time) {
+	node.grants = slices.DeleteFunc(node.grants, func(granted grant) bool {
+		expired := !now.Before(granted.expires)
+		if expired {
+			l.add(granted.worker, -1, -granted.tokens)
 		}
-		return lapsed
+		return expired
 	})
 }
 
-// give notes that a place was given out to a node in answer to a question.
-func (a *Account) give(process string, sequence uint64, worker string, tokens int, now time.Time) {
-	known, ok := a.nodes[process]
-	if !ok || len(known.grants) >= maxGrants {
+// addGrant records that a query of a node was answered with a worker.
+func (l *GroupLoad) addGrant(process string, sequence uint64, worker string, tokens int, now time.Time) {
+	node, ok := l.nodes[process]
+	if !ok || len(node.grants) >= maxGrantsPerNode {
 		return
 	}
-	known.grants = append(known.grants, grant{sequence: sequence, worker: worker, tokens: tokens, until: now.Add(grantLasts)})
-	a.add(worker, 1, tokens)
+	node.grants = append(node.grants, grant{sequence: sequence, worker: worker, tokens: tokens, expires: now.Add(grantTTL)})
+	l.add(worker, 1, tokens)
 }
 
-// Settled reports whether the account has heard of all nodes.
-func (a *Account) Settled(now time.Time) bool {
-	return !a.heard.IsZero() && now.Sub(a.began) >= settling && now.Sub(a.heard) <= silentFor
+// Settled reports whether all nodes have had time to report.
+func (l *GroupLoad) Settled(now time.Time) bool {
+	return !l.lastReport.IsZero() && now.Sub(l.settlingSince) >= settleTime && now.Sub(l.lastReport) <= silenceTimeout
 }
 
-// Busy is the share of the members' places that are taken, above 1 if requests wait at them.
-func (a *Account) Busy() float64 {
-	places, taken := 0, 0
-	for _, member := range a.members {
-		places += member.Places
-		taken += a.taken[member.Worker].requests
+// Busy returns the utilization of the members: running requests as a share of their concurrency
+// limits. It is above 1 if requests queue at workers.
+func (l *GroupLoad) Busy() float64 {
+	capacity, running := 0, 0
+	for _, member := range l.members {
+		capacity += member.Places
+		running += l.loads[member.Worker].requests
 	}
-	if places == 0 {
+	if capacity == 0 {
 		return 0
 	}
-	return float64(taken) / float64(places)
+	return float64(running) / float64(capacity)
 }
 
-// places is how many places the members have.
-func (a *Account) places() (places int) {
-	for _, member := range a.members {
-		places += member.Places
+// totalCapacity returns the sum of the members' concurrency limits.
+func (l *GroupLoad) totalCapacity() (total int) {
+	for _, member := range l.members {
+		total += member.Places
 	}
-	return places
+	return total
 }
 
-// anyRoom reports whether some member has a place, or one beyond those that it has.
-func (a *Account) anyRoom() bool {
-	return slices.ContainsFunc(a.members, func(member Member) bool {
-		return a.taken[member.Worker].requests < member.Places+overbooked
+// anyCapacity reports whether a member can take one more request, overcommit included.
+func (l *GroupLoad) anyCapacity() bool {
+	return slices.ContainsFunc(l.members, func(member Member) bool {
+		return l.loads[member.Worker].requests < member.Places+overcommit
 	})
 }
--- a/internal/room/decide.go
+++ b/internal/room/decide.go
@@ -6,138 +6,142 @@
 )
 
 const (
-	// readPerMillisecond is a cautious guess of how many tokens a worker reads in a millisecond.
-	readPerMillisecond = 50
-	// overbooked is how many requests a worker may have beyond its places: one, which takes the
-	// place of another whose end has not been told yet.
-	overbooked = 1
-	// guessedHeld is taken for how long a place is held while nothing was told of it.
-	guessedHeld = 200 * time.Millisecond
-	// shortestWait is the least time after which it is worth asking again.
-	shortestWait = 5 * time.Millisecond
+	// prefillTokensPerMillisecond is a conservative estimate of a worker's prefill speed.
+	prefillTokensPerMillisecond = 50
+	// overcommit is how many requests a worker may get above its concurrency limit. One request
+	// replaces another whose end has not been reported yet.
+	overcommit = 1
+	// defaultHoldTime is used until hold times have been reported.
+	defaultHoldTime = 200 * time.Millisecond
+	// minRetryAfter is the lower bound of Answer.After.
+	minRetryAfter = 5 * time.Millisecond
 )
 
-// Decide says where a request goes now; ahead is how many others wait before it. Nothing is given
-// out by it.
-func (a *Account) Decide(ask Ask, ahead int, now time.Time) Answer {
-	answer := Answer{Keeper: true, Busy: a.Busy(), Settled: a.Settled(now), Waiting: ahead}
+// Decide returns where a request should go now. ahead is the number of queries queued before it.
+// Decide records no grant.
+func (l *GroupLoad) Decide(ask Ask, ahead int, now time.Time) Answer {
+	answer := Answer{Keeper: true, Busy: l.Busy(), Settled: l.Settled(now), Waiting: ahead}
 	switch {
 	case !answer.Settled:
-		answer.Reason = ReasonNew
+		answer.Reason = ReasonUnsettled
 		return answer
-	case len(a.members) == 0:
-		answer.Reason = ReasonNone
+	case len(l.members) == 0:
+		answer.Reason = ReasonNoWorkers
 		return answer
 	}
-	worker, reason := a.pick(ask, now)
+	worker, reason := l.chooseWorker(ask, now)
 	answer.Reason = reason
 	if worker != "" {
 		answer.Outcome, answer.Worker = Go, worker
 		return answer
 	}
 	answer.Outcome = Wait
-	answer.After = a.untilFree(ahead)
+	answer.After = l.expectedWait(ahead)
 	return answer
 }
 
-// pick chooses a worker; empty: none has room, or none that is worth going to.
-func (a *Account) pick(ask Ask, now time.Time) (string, Reason) {
-	best, room := a.roomiest(ask, now)
-	if home := a.home(ask, now); home != nil {
-		sooner := best == nil || a.untilPlace(*home) <= a.untilPlace(*best)+reading(ask.Fresh)
+// chooseWorker returns the key of a worker. The key is empty if no worker has capacity or if waiting
+// for the home worker is faster.
+func (l *GroupLoad) chooseWorker(ask Ask, now time.Time) (string, Reason) {
+	best, free := l.mostFree(ask, now)
+	if home := l.homeMember(ask, now); home != nil {
+		sooner := best == nil || l.timeToFree(*home) <= l.timeToFree(*best)+prefillTime(ask.Fresh)
 		switch {
-		case a.fits(*home, ask, 0):
+		case l.fits(*home, ask, 0):
 			return home.Worker, ReasonHome
-		case sooner && a.fits(*home, ask, overbooked):
-			return home.Worker, ReasonSooner
-		case sooner && room <= 0:
+		case sooner && l.fits(*home, ask, overcommit):
+			return home.Worker, ReasonHomeSooner
+		case sooner && free <= 0:
 			return "", ReasonFull
 		}
 	}
 	switch {
 	case best == nil:
 		return "", ReasonFull
-	case room > 0:
-		return best.Worker, ReasonRoomiest
+	case free > 0:
+		return best.Worker, ReasonMostFree
 	default:
-		return best.Worker, ReasonOverbook
+		return best.Worker, ReasonOvercommit
 	}
 }
 
-// roomiest is the worker with most room of those that may get the request, and its free places: 0
-// if it is taken one place beyond those that it has. Nil: none has room.
-func (a *Account) roomiest(ask Ask, now time.Time) (best *Member, room int) {
-	for index := range a.members {
-		member := &a.members[index]
-		if !a.usable(member.Worker, ask, now) || !a.fits(*member, ask, overbooked) {
+// mostFree returns the eligible worker with most free capacity and the number of requests that fit
+// below its concurrency limit; 0 if only overcommit is left. best is nil if no worker has capacity.
+func (l *GroupLoad) mostFree(ask Ask, now time.Time) (best *Member, bestFree int) {
+	for index := range l.members {
+		member := &l.members[index]
+		if !l.eligible(member.Worker, ask, now) || !l.fits(*member, ask, overcommit) {
 			continue
 		}
-		free := member.Places - a.taken[member.Worker].requests
-		if best == nil || free > room || free == room && a.emptier(*member, *best) {
-			best, room = member, free
+		free := member.Places - l.loads[member.Worker].requests
+		if best == nil || free > bestFree || free == bestFree && l.moreFreeMemory(*member, *best) {
+			best, bestFree = member, free
 		}
 	}
-	return best, room
+	return best, bestFree
 }
 
-// emptier reports whether a worker has more memory left than another.
-func (a *Account) emptier(one, other Member) bool {
-	return one.Memory-a.taken[one.Worker].tokens > other.Memory-a.taken[other.Worker].tokens
+// moreFreeMemory reports whether one worker has more free memory than the other.
+func (l *GroupLoad) moreFreeMemory(one, other Member) bool {
+	return one.Memory-l.loads[one.Worker].tokens > other.Memory-l.loads[other.Worker].tokens
 }
 
-// home is the worker that knows the request's context, if it may get it.
-func (a *Account) home(ask Ask, now time.Time) *Member {
-	if ask.Home == "" || !a.usable(ask.Home, ask, now) {
+// homeMember returns the worker that holds the request's context; nil if there is none or if it may
+// not get the request.
+func (l *GroupLoad) homeMember(ask Ask, now time.Time) *Member {
+	if ask.Home == "" || !l.eligible(ask.Home, ask, now) {
 		return nil
 	}
-	index := slices.IndexFunc(a.members, func(member Member) bool { return member.Worker == ask.Home })
+	index := slices.IndexFunc(l.members, func(member Member) bool { return member.Worker == ask.Home })
 	if index < 0 {
 		return nil
 	}
-	return &a.members[index]
+	return &l.members[index]
 }
 
-// usable reports whether a worker may get the request at all.
-func (a *Account) usable(worker string, ask Ask, now time.Time) bool {
-	return !slices.Contains(ask.Exclude, worker) && !now.Before(a.declined[worker])
+// eligible reports whether a worker is neither excluded by the request nor has just declined one.
+func (l *GroupLoad) eligible(worker string, ask Ask, now time.Time) bool {
+	return !slices.Contains(ask.Exclude, worker) && !now.Before(l.declined[worker])
 }
 
-// fits reports whether a worker has a place for the request, beyond those that it has if need be,
-// and memory. An empty worker takes what is larger than its memory: nobody else could.
-func (a *Account) fits(member Member, ask Ask, beyond int) bool {
-	present := a.taken[member.Worker]
-	if present.requests >= member.Places+beyond {
+// fits reports whether a worker has capacity and memory for the request, with extra requests above its
+// concurrency limit. An empty worker accepts a request larger than its memory, since no other worker
+// could take it.
+func (l *GroupLoad) fits(member Member, ask Ask, extra int) bool {
+	current := l.loads[member.Worker]
+	if current.requests >= member.Places+extra {
 		return false
 	}
-	return member.Memory == 0 || present.requests == 0 || present.tokens+ask.Tokens <= member.Memory
+	return member.Memory == 0 || current.requests == 0 || current.tokens+ask.Tokens <= member.Memory
 }
 
-// untilPlace is when a worker is expected to have a place.
-func (a *Account) untilPlace(member Member) time.Duration {
-	lacking := a.taken[member.Worker].requests - member.Places + 1
-	return time.Duration(max(lacking, 0)) * a.usuallyHeld() / time.Duration(max(member.Places, 1))
+// timeToFree returns when a worker is expected to have capacity below its concurrency limit.
+func (l *GroupLoad) timeToFree(member Member) time.Duration {
+	excess := l.loads[member.Worker].requests - member.Places + 1
+	return time.Duration(max(excess, 0)) * l.meanHoldTime() / time.Duration(max(member.Places, 1))
 }
 
-// untilFree is when some worker is expected to have a place for one who comes after so many others.
-func (a *Account) untilFree(ahead int) time.Duration {
-	return max(shortestWait, time.Duration(ahead+1)*a.usuallyHeld()/time.Duration(max(a.places(), 1)))
+// expectedWait returns when some worker is expected to have capacity for a query that has ahead others
+// before it.
+func (l *GroupLoad) expectedWait(ahead int) time.Duration {
+	return max(minRetryAfter, time.Duration(ahead+1)*l.meanHoldTime()/time.Duration(max(l.totalCapacity(), 1)))
 }
 
-func (a *Account) usuallyHeld() time.Duration {
-	if a.held == 0 {
-		return guessedHeld
+func (l *GroupLoad) meanHoldTime() time.Duration {
+	if l.holdTime == 0 {
+		return defaultHoldTime
 	}
-	return a.held
+	return l.holdTime
 }
 
-// reading is how long it takes to read tokens.
-func reading(tokens int) time.Duration {
-	return time.Duration(tokens) * time.Millisecond / readPerMillisecond
+// prefillTime returns the estimated time to read tokens.
+func prefillTime(tokens int) time.Duration {
+	return time.Duration(tokens) * time.Millisecond / prefillTokensPerMillisecond
 }
 
-// homeHasRoom reports whether the worker that knows a request's context has a place for it, or one
-// beyond those that it has.
-func (a *Account) homeHasRoom(ask Ask, now time.Time) bool {
-	home := a.home(ask, now)
-	return home != nil && a.fits(*home, ask, overbooked)
+// homeHasCapacity reports whether the worker that holds the request's context can take it, overcommit
+// included.
+func (l *GroupLoad) homeHasCapacity(ask Ask, now time.Time) bool {
+	home := l.homeMember(ask, now)
+	return home != nil && l.fits(*home, ask, overcommit)
 }
--- a/internal/room/desk.go
+++ b/internal/room/desk.go
@@ -3,126 +3,131 @@
 import "time"
 
 const (
-	// homeAmong is among how many of those who wait the ones come first whose context lies at a worker
-	// that has room: elsewhere it would be read again.
-	homeAmong = 24
-	// passedFor is for how long after the moment by which it has to begin one may be passed over so.
-	passedFor = 250 * time.Millisecond
+	// homeWindow is how many queries at the head of the queue are dispatched first if their home
+	// worker has capacity. Another worker would have to read the context again.
+	homeWindow = 24
+	// maxBypass is how long after its start deadline the first query in the queue may be bypassed in
+	// this way.
+	maxBypass = 250 * time.Millisecond
 )
 
-// Desk is the account of a group and those who wait for its places. It knows no clock.
-type Desk struct {
-	account *Account
-	waiting queue
-	asked   uint64 // questions so far
+// Scheduler assigns the queries of a group to workers and queues those without capacity. It reads no
+// clock; callers pass the time.
+type Scheduler struct {
+	load      *GroupLoad
+	queue     queryQueue
+	submitted uint64 // number of queries so far
 }
 
-// NewDesk returns a desk that has heard nothing.
-func NewDesk() *Desk { return &Desk{account: NewAccount()} }
+// NewScheduler returns a scheduler without members, reports or queries.
+func NewScheduler() *Scheduler { return &Scheduler{load: NewGroupLoad()} }
 
-// Served is a question that was held and has its answer now.
-type Served struct {
-	Question *Question
-	Answer   Answer
+// Resolved is a queued query and its answer.
+type Resolved struct {
+	Query  *Query
+	Answer Answer
 }
 
-// Question is one that is asked at a desk.
-type Question struct {
-	From     string
-	Sequence uint64 // of the report that came with it
+// Query is a request for a worker, submitted to a Scheduler.
+type Query struct {
+	From     string // process name of the node
+	Sequence uint64 // of the report sent along
 	Ask      Ask
 
-	rank   time.Time // the earliest goes first
-	came   time.Time
-	number uint64 // of those asked at the desk
+	startBy time.Time // position in the queue: earliest first
+	arrived time.Time
+	number  uint64 // order of submission; breaks ties of startBy
 }
 
-// Tell takes in a report. It returns the questions that have got places by it.
-func (d *Desk) Tell(report Report, now time.Time) []Served {
-	d.account.Tell(report, now)
-	return d.serve(now)
+// ApplyReport applies a report and returns the queued queries that it resolves.
+func (s *Scheduler) ApplyReport(report Report, now time.Time) []Resolved {
+	s.load.ApplyReport(report, now)
+	return s.dispatch(now)
 }
 
-// Ask answers a question, or holds it: then it will be among those served, unless it is given up.
-func (d *Desk) Ask(question *Question, now time.Time) (answer Answer, held bool) {
-	d.asked++
-	question.rank, question.came, question.number = rank(question.Ask.Program, now), now, d.asked
-	ahead := d.waiting.ahead(question)
-	answer = d.decide(question, ahead, now)
-	if answer.Outcome != Wait || question.Ask.Patience <= 0 || len(d.waiting) >= maxWaiting {
+// Submit answers a query or queues it. A held query is resolved by a later ApplyReport, or removed by
+// Withdraw.
+func (s *Scheduler) Submit(query *Query, now time.Time) (answer Answer, held bool) {
+	s.submitted++
+	query.startBy, query.arrived, query.number = startDeadline(query.Ask.Program, now), now, s.submitted
+	ahead := s.queue.ahead(query)
+	answer = s.decide(query, ahead, now)
+	if answer.Outcome != Wait || query.Ask.Patience <= 0 || len(s.queue) >= maxQueued {
 		return answer, false
 	}
-	d.waiting.insert(question)
+	s.queue.insert(query)
 	return answer, true
 }
 
-// decide answers a question that comes after so many others, and gives out what it grants.
-func (d *Desk) decide(question *Question, ahead int, now time.Time) Answer {
-	answer := d.account.Decide(question.Ask, ahead, now)
+// decide answers a query with ahead others before it, and records the grant if a worker is assigned.
+func (s *Scheduler) decide(query *Query, ahead int, now time.Time) Answer {
+	answer := s.load.Decide(query.Ask, ahead, now)
 	if answer.Outcome == Go {
-		d.account.give(question.From, question.Sequence, answer.Worker, question.Ask.Tokens, now)
+		s.load.addGrant(query.From, query.Sequence, answer.Worker, query.Ask.Tokens, now)
 	}
 	return answer
 }
 
-// serve gives places to those who wait: the first of them at home, where that has room, then all
-// in their order.
-func (d *Desk) serve(now time.Time) (served []Served) {
-	if len(d.waiting) == 0 {
+// dispatch assigns free capacity to queued queries: first to those near the head whose home worker has
+// capacity, then to all in order.
+func (s *Scheduler) dispatch(now time.Time) (resolved []Resolved) {
+	if len(s.queue) == 0 {
 		return nil
 	}
-	atHome := func(question *Question) bool { return d.account.homeHasRoom(question.Ask, now) }
-	anywhere := func(*Question) bool { return true }
-	among := min(len(d.waiting), homeAmong)
-	if now.Sub(d.waiting[0].rank) > passedFor {
-		among = 0
+	atHome := func(query *Query) bool { return s.load.homeHasCapacity(query.Ask, now) }
+	anywhere := func(*Query) bool { return true }
+	window := min(len(s.queue), homeWindow)
+	if now.Sub(s.queue[0].startBy) > maxBypass {
+		window = 0
 	}
-	served = d.serveThose(nil, among, atHome, now)
-	return d.serveThose(served, len(d.waiting), anywhere, now)
+	resolved = s.dispatchFirst(nil, window, atHome, now)
+	return s.dispatchFirst(resolved, len(s.queue), anywhere, now)
 }
 
-// serveThose gives places to those of the first that wait that may have one.
-func (d *Desk) serveThose(served []Served, among int, may func(*Question) bool, now time.Time) []Served {
-	left := d.waiting[:0]
-	for index, question := range d.waiting {
-		if index >= among || !d.account.anyRoom() {
-			left = append(left, d.waiting[index:]...)
+// dispatchFirst assigns free capacity to the eligible ones of the first limit queries. It appends to
+// resolved.
+func (s *Scheduler) dispatchFirst(resolved []Resolved, limit int, eligible func(*Query) bool, now time.Time) []Resolved {
+	remaining := s.queue[:0]
+	for index, query := range s.queue {
+		if index >= limit || !s.load.anyCapacity() {
+			remaining = append(remaining, s.queue[index:]...)
 			break
 		}
-		if !may(question) {
-			left = append(left, question)
+		if !eligible(query) {
+			remaining = append(remaining, query)
 			continue
 		}
-		answer := d.decide(question, len(left), now)
+		answer := s.decide(query, len(remaining), now)
 		if answer.Outcome == Wait {
-			left = append(left, question)
+			remaining = append(remaining, query)
 			continue
 		}
-		answer.HeldFor = now.Sub(question.came)
-		served = append(served, Served{Question: question, Answer: answer})
+		answer.HeldFor = now.Sub(query.arrived)
+		resolved = append(resolved, Resolved{Query: query, Answer: answer})
 	}
-	clear(d.waiting[len(left):])
-	d.waiting = left
-	return served
+	clear(s.queue[len(remaining):])
+	s.queue = remaining
+	return resolved
 }
 
-// GiveUp takes a question back that was held. ok is false if it has been served.
-func (d *Desk) GiveUp(question *Question, now time.Time) (answer Answer, ok bool) {
-	if !d.waiting.remove(question) {
+// Withdraw removes a held query and returns its last answer, which may still assign a worker. ok is
+// false if the query is already resolved.
+func (s *Scheduler) Withdraw(query *Query, now time.Time) (answer Answer, ok bool) {
+	if !s.queue.remove(query) {
 		return Answer{}, false
 	}
-	answer = d.decide(question, d.waiting.ahead(question), now)
-	answer.HeldFor = now.Sub(question.came)
+	answer = s.decide(query, s.queue.ahead(query), now)
+	answer.HeldFor = now.Sub(query.arrived)
 	return answer, true
 }
 
-// SetMembers replaces the workers that may get requests.
-func (d *Desk) SetMembers(members []Member) { d.account.SetMembers(members) }
+// SetMembers replaces the workers that may receive requests.
+func (s *Scheduler) SetMembers(members []Member) { s.load.SetMembers(members) }
 
-// Word is what a node is told that asks nothing.
-func (d *Desk) Word(now time.Time) Answer {
-	return Answer{Keeper: true, Busy: d.account.Busy(), Settled: d.account.Settled(now), Waiting: len(d.waiting)}
+// Status returns the answer to a report without a query.
+func (s *Scheduler) Status(now time.Time) Answer {
+	return Answer{Keeper: true, Busy: s.load.Busy(), Settled: s.load.Settled(now), Waiting: len(s.queue)}
 }
 
-// Waiting is how many questions are held.
-func (d *Desk) Waiting() int { return len(d.waiting) }
+// QueueLength returns the number of held queries.
+func (s *Scheduler) QueueLength() int { return len(s.queue) }
--- a/internal/room/find.go
+++ b/internal/room/find.go
@@ -9,57 +9,58 @@
 )
 
 const (
-	// holdOnce is how long a keeper may hold a question; then it is asked again, by which a keeper
-	// that was lost meanwhile is found out.
-	holdOnce = 100 * time.Millisecond
-	// leastHold is the least time worth asking for.
-	leastHold = 5 * time.Millisecond
-	// fullLasts is for how long another zone's group is not asked that was full.
-	fullLasts = 50 * time.Millisecond
+	// maxHoldPerQuery is how long a keeper may hold one query. Longer waits repeat the query, which
+	// detects a keeper that failed meanwhile.
+	maxHoldPerQuery = 100 * time.Millisecond
+	// minHold is the shortest remaining time for which a query is repeated.
+	minHold = 5 * time.Millisecond
+	// fullTTL is how long a group of another zone that was full gets no queries.
+	fullTTL = 50 * time.Millisecond
 )
 
 // Wanted describes a request that needs a worker.
 type Wanted struct {
 	Service string
-	Key     string   // programs that begin are spread over groups by it
-	Home    string   // key of the worker that knows its context; empty: none does
+	Key     string   // spreads new programs over groups
+	Home    string   // key of the worker that holds its context; empty: none
 	Fresh   int      // tokens that any other worker has to read
-	Tokens  int      // that it may hold in all
+	Tokens  int      // maximum number of tokens in memory
 	Exclude []string // keys of workers that may not get it
 	Program standing.Program
-	// Longest is how long it may wait for room.
+	// Longest is the maximum time to wait for capacity.
 	Longest time.Duration
 	// Allows reports whether the request may be served in a zone.
 	Allows func(zone string) bool
 }
 
-// Source is by what a request found its worker.
+// Source is how a request found its worker, or why it found none. It is a metric label.
 type Source string
 
-// The sources.
+// Values of Source.
 const (
-	SourceNone   Source = "none"   // no room is kept here
-	SourceCalm   Source = "calm"   // the group's keeper has just said that there is room
-	SourceKeeper Source = "keeper" // its keeper
-	SourceAway   Source = "away"   // that of another zone's group: the first had no room
-	SourceFull   Source = "full"   // no keeper had room while the request could wait
-	SourceNew    Source = "new"    // the keeper cannot tell yet
-	SourceSilent Source = "silent" // no keeper answered in time
+	SourceNone      Source = "none"   // no group: capacity of the service is not tracked, or the home worker is in another region
+	SourceCalm      Source = "calm"   // the last status is recent and shows low load; no query was sent
+	SourceKeeper    Source = "keeper" // the group's keeper assigned a worker
+	SourceOtherZone Source = "away"   // the keeper of a group in another zone assigned a worker, since the first group was full
+	SourceFull      Source = "full"   // no keeper had capacity within the maximum wait
+	SourceUnsettled Source = "new"    // the keeper has not received reports of all nodes yet
+	SourceNoAnswer  Source = "silent" // no keeper answered in time
 )
 
-// Found is where a request goes. Without a place the node decides by itself.
+// Found is the result of Find. Without a Place the node chooses a worker from local knowledge.
 type Found struct {
 	Place  *Place
 	Source Source
 	Group  Group
-	Keeper string // process that was asked last
-	Reason Reason // of its decision
+	Keeper string // process that was queried last
+	Reason Reason // reason of the keeper's decision
 	Busy   float64
-	Age    time.Duration // of the word on Busy
+	Age    time.Duration // age of Busy
 	Took   time.Duration
 }
 
-// Find asks for a place while room is short.
+// Find looks for a worker for a request. It queries the group's keeper unless the load is known to be
+// low.
 func (r *Reporter) Find(ctx context.Context, wanted Wanted) Found {
 	begun := time.Now()
 	found := r.find(ctx, wanted, begun)
@@ -73,31 +74,32 @@
 	if !ok {
 		return Found{Source: SourceNone}
 	}
-	found, calm := r.lookUp(group, begun)
-	if calm {
+	found, sufficient := r.localView(group, begun)
+	if sufficient {
 		return found
 	}
 	answer, found := r.ask(ctx, group, wanted, 0)
 	if answer.Outcome != Wait {
 		return found
 	}
-	if away, ok := r.tryAway(ctx, group, wanted, answer.After); ok {
-		return away
+	if other, ok := r.tryOtherZone(ctx, group, wanted, answer.After); ok {
+		return other
 	}
 	for {
-		left := wanted.Longest - time.Since(begun)
-		if left < leastHold || ctx.Err() != nil {
+		remaining := wanted.Longest - time.Since(begun)
+		if remaining < minHold || ctx.Err() != nil {
 			return found
 		}
-		answer, found = r.ask(ctx, group, wanted, min(left, holdOnce))
+		answer, found = r.ask(ctx, group, wanted, min(remaining, maxHoldPerQuery))
 		if answer.Outcome != Wait {
 			return found
 		}
 	}
 }
 
-// groupFor is the group that a request belongs to: that of its home, or one of this node's zone.
-// There is none if its home is of another region: what the way there is worth, no keeper knows.
+// groupFor returns the group of the request's home worker, or else a group of this node's zone. ok is
+// false if the home worker is in another region: its keeper does not weigh the cost of the longer
+// path.
 func (r *Reporter) groupFor(wanted Wanted) (Group, bool) {
 	group, ok := r.options.Workers.GroupOf(wanted.Service, wanted.Home)
 	if ok && wanted.Allows(group.Zone) {
@@ -109,37 +111,38 @@
 	return r.options.Workers.GroupIn(wanted.Service, r.options.Zone, wanted.Key)
 }
 
-// lookUp is what is known of a group, and whether that is enough to do without its keeper.
-func (r *Reporter) lookUp(group Group, now time.Time) (found Found, calm bool) {
+// localView returns what this node knows of a group, and whether that suffices to choose a worker
+// without its keeper.
+func (r *Reporter) localView(group Group, now time.Time) (found Found, sufficient bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	tally, ok := r.tallies[group]
+	state, ok := r.groups[group]
 	if !ok {
 		return Found{Source: SourceCalm, Group: group}, true
 	}
-	found = Found{Source: SourceCalm, Group: group, Keeper: tally.keeper}
-	if busy, age, known := tally.Busy(now); known {
+	found = Found{Source: SourceCalm, Group: group, Keeper: state.keeper}
+	if busy, age, known := state.Busy(now); known {
 		found.Busy, found.Age = busy, age
 	}
-	return found, tally.Calm(now)
+	return found, state.CanDecideLocally(now)
 }
 
-// ask asks a group's keeper, which may hold the question for a while.
+// ask queries a group's keeper, which may hold the query for up to hold.
 func (r *Reporter) ask(ctx context.Context, group Group, wanted Wanted, hold time.Duration) (Answer, Found) {
-	found := Found{Source: SourceSilent, Group: group}
-	keeper, passed, ok := r.options.Slots.keeper(group, r.passedOver)
+	found := Found{Source: SourceNoAnswer, Group: group}
+	keeper, passed, ok := r.options.Slots.keeper(group, r.isSuspected)
 	if !ok {
 		return Answer{}, found
 	}
 	found.Keeper = keeper.Process
-	answer, sequence, ok := r.question(ctx, group, keeper, passed, r.describe(wanted, group, hold))
+	answer, sequence, ok := r.query(ctx, group, keeper, passed, r.newAsk(wanted, group, hold))
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	tally := r.tally(group)
-	if tally == nil {
+	state := r.groupState(group)
+	if state == nil {
 		return Answer{}, found
 	}
-	tally.Answered(sequence)
+	state.QueryDone(sequence)
 	if !ok || !answer.Keeper {
 		return Answer{}, found
 	}
@@ -147,31 +150,31 @@
 	switch answer.Outcome {
 	case Go:
 		found.Source = SourceKeeper
-		tally.BeginGranted(answer.Worker, wanted.Tokens)
-		found.Place = &Place{reporter: r, group: group, worker: answer.Worker, tokens: wanted.Tokens, since: time.Now()}
+		state.BeginGranted(answer.Worker, wanted.Tokens)
+		found.Place = &Place{reporter: r, group: group, worker: answer.Worker, tokens: wanted.Tokens, started: time.Now()}
 	case Unknown:
-		found.Source = SourceNew
+		found.Source = SourceUnsettled
 	default:
 		found.Source = SourceFull
 	}
 	return answer, found
 }
 
-// question sends a question and waits for its answer.
-func (r *Reporter) question(ctx context.Context, group Group, keeper budget.Holder, passed bool, ask Ask) (Answer, uint64, bool) {
-	patience := r.options.Patience.Of(keeper.Process, askWait, longestAskWait)
-	limited, cancel := context.WithTimeout(ctx, patience+ask.Patience)
+// query sends a query to a keeper and waits for the answer. The sequence is 0 if no query was sent.
+func (r *Reporter) query(ctx context.Context, group Group, keeper budget.Holder, passed bool, ask Ask) (Answer, uint64, bool) {
+	timeout := r.options.Patience.Of(keeper.Process, queryTimeout, maxQueryTimeout)
+	queryCtx, cancel := context.WithTimeout(ctx, timeout+ask.Patience)
 	defer cancel()
-	request, sequence := r.request(group, keeper, passed, &ask)
+	request, sequence := r.newRequest(group, keeper, passed, &ask)
 	if sequence == 0 {
 		return Answer{}, 0, false
 	}
-	answer, ok := r.send(limited, group, keeper, request, false)
+	answer, ok := r.send(queryCtx, group, keeper, request, false)
 	return answer, sequence, ok
 }
 
-// describe is what a keeper is told of a request.
-func (r *Reporter) describe(wanted Wanted, group Group, hold time.Duration) Ask {
+// newAsk returns the description of a request that is sent to a keeper.
+func (r *Reporter) newAsk(wanted Wanted, group Group, hold time.Duration) Ask {
 	return Ask{
 		Program:  wanted.Program,
 		Home:     wanted.Home,
@@ -182,37 +185,38 @@
 	}
 }
 
-// tryAway asks in other zones for a place that is had sooner than one of the request's own group.
-func (r *Reporter) tryAway(ctx context.Context, group Group, wanted Wanted, after time.Duration) (Found, bool) {
-	for _, other := range r.options.Workers.Others(wanted.Service, group.Zone) {
-		cost := 2 * other.RoundTrip // to its keeper, and to its worker
+// tryOtherZone queries the nearest group of another zone that is expected to be faster than waiting
+// for after.
+func (r *Reporter) tryOtherZone(ctx context.Context, group Group, wanted Wanted, after time.Duration) (Found, bool) {
+	for _, zone := range r.options.Workers.Others(wanted.Service, group.Zone) {
+		cost := 2 * zone.RoundTrip // round trips to its keeper and to its worker
 		if wanted.Home != "" {
-			cost += reading(wanted.Fresh)
+			cost += prefillTime(wanted.Fresh)
 		}
-		if !wanted.Allows(other.Zone) || cost >= after {
+		if !wanted.Allows(zone.Zone) || cost >= after {
 			continue
 		}
-		away, ok := r.options.Workers.GroupIn(wanted.Service, other.Zone, wanted.Key)
-		if !ok || r.fullLately(away) {
+		other, ok := r.options.Workers.GroupIn(wanted.Service, zone.Zone, wanted.Key)
+		if !ok || r.recentlyFull(other) {
 			continue
 		}
-		if answer, found := r.ask(ctx, away, wanted, 0); answer.Outcome == Go {
-			found.Source = SourceAway
+		if answer, found := r.ask(ctx, other, wanted, 0); answer.Outcome == Go {
+			found.Source = SourceOtherZone
 			return found, true
 		}
-		return Found{}, false // one question is enough for a request
+		return Found{}, false // at most one query to another zone per request
 	}
 	return Found{}, false
 }
 
-// fullLately reports whether a group was full by its keeper's last word.
-func (r *Reporter) fullLately(group Group) bool {
+// recentlyFull reports whether the keeper's latest status is recent and showed a full group.
+func (r *Reporter) recentlyFull(group Group) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	tally, ok := r.tallies[group]
+	state, ok := r.groups[group]
 	if !ok {
 		return false
 	}
-	busy, age, known := tally.Busy(time.Now())
-	return known && age < fullLasts && busy >= 1
+	busy, age, known := state.Busy(time.Now())
+	return known && age < fullTTL && busy >= 1
 }
--- a/internal/room/keeper.go
+++ b/internal/room/keeper.go
@@ -13,59 +13,60 @@
 )
 
 const (
-	// deskUnused is after how long without a word a group is forgotten.
-	deskUnused = 10 * time.Second
-	// maxDesks bounds the groups that a process keeps.
-	maxDesks = 256
-	// longestHold bounds how long a question is held.
-	longestHold = 250 * time.Millisecond
+	// schedulerTTL is how long a group's scheduler is kept without requests.
+	schedulerTTL = 10 * time.Second
+	// maxSchedulers limits the groups that one process keeps.
+	maxSchedulers = 256
+	// maxHold caps how long a query is held.
+	maxHold = 250 * time.Millisecond
 )
 
-// Experience merges what nodes have seen of workers.
+// Experience merges the nodes' samples of worker behavior into verdicts.
 type Experience interface {
 	Learn(group Group, from string, samples []experience.Sample, now time.Time)
 	Verdicts(group Group, now time.Time) []experience.Verdict
 }
 
-// KeeperOptions of a Keeper.
+// KeeperOptions configures a Keeper.
 type KeeperOptions struct {
 	Process string
 	Slots   *Slots
-	// Members lists the workers of a group that may get requests; ok is false if this process does
-	// not know them all.
+	// Members returns the workers of a group that may receive requests. ok is false if this process
+	// does not know all of them.
 	Members func(Group) (members []Member, ok bool)
-	// Experience may be nil.
+	// Experience is optional.
 	Experience Experience
-	// Count is told what was answered.
+	// Count is called with each answer to a query.
 	Count  func(Outcome, Reason)
 	Logger log.Interface
 }
 
-// Keeper keeps the desks of the groups that other nodes take this process to keep.
+// Keeper runs the schedulers of the groups for which other nodes consider this process the keeper.
 type Keeper struct {
 	options KeeperOptions
 
-	mutex sync.Mutex
-	desks map[Group]*keptDesk
-	swept time.Time
+	mutex      sync.Mutex
+	schedulers map[Group]*groupScheduler
+	lastSweep  time.Time
 }
 
-// keptDesk is a desk and those who wait for its answers.
-type keptDesk struct {
-	*Desk
-	waiting map[*Question]chan<- Answer
-	used    time.Time
+// groupScheduler is a scheduler and the channels that wait for its answers.
+type groupScheduler struct {
+	*Scheduler
+	answers  map[*Query]chan<- Answer
+	lastUsed time.Time
 }
 
-// NewKeeper returns a keeper of no group.
+// NewKeeper returns a Keeper without groups.
 func NewKeeper(options KeeperOptions) *Keeper {
-	return &Keeper{options: options, desks: map[Group]*keptDesk{}}
+	return &Keeper{options: options, schedulers: map[Group]*groupScheduler{}}
 }
 
-// Answer answers a node. It takes as long as the question allows for.
+// Answer handles a request of a node. It blocks while the query is held. The zero Answer means that
+// this process is not the group's keeper, or cannot act as one.
 func (k *Keeper) Answer(ctx context.Context, request Request) Answer {
 	group := request.Report.Group
-	if !k.keeps(request) {
+	if !k.isKeeperFor(request) {
 		return Answer{}
 	}
 	members, known := k.options.Members(group)
@@ -73,10 +74,10 @@
 		return Answer{}
 	}
 	now := time.Now()
-	verdicts := k.learn(request.Report, now)
-	answer, question, answers := k.take(request, withoutAvoided(members, verdicts), now)
-	if question != nil {
-		answer = k.hold(ctx, group, question, answers)
+	verdicts := k.mergeSamples(request.Report, now)
+	answer, query, answers := k.handle(request, withoutAvoided(members, verdicts), now)
+	if query != nil {
+		answer = k.await(ctx, group, query, answers)
 	}
 	if request.Ask != nil {
 		k.options.Count(answer.Outcome, answer.Reason)
@@ -85,8 +86,8 @@
 	return answer
 }
 
-// learn takes in what a node has seen of workers, and returns what all nodes together have.
-func (k *Keeper) learn(report Report, now time.Time) []experience.Verdict {
+// mergeSamples adds a node's samples and returns the merged verdicts on the group's workers.
+func (k *Keeper) mergeSamples(report Report, now time.Time) []experience.Verdict {
 	if k.options.Experience == nil {
 		return nil
 	}
@@ -96,33 +97,34 @@
 	return k.options.Experience.Verdicts(report.Group, now)
 }
 
-// withoutAvoided leaves out the workers that are to be avoided, unless nobody else is left.
+// withoutAvoided removes the workers that have an active verdict against them, unless none would be
+// left.
 func withoutAvoided(members []Member, verdicts []experience.Verdict) []Member {
 	avoided := func(member Member) bool {
-		return slices.ContainsFunc(verdicts, func(said experience.Verdict) bool {
-			return said.Worker == member.Worker && said.Until > 0
+		return slices.ContainsFunc(verdicts, func(verdict experience.Verdict) bool {
+			return verdict.Worker == member.Worker && verdict.Until > 0
 		})
 	}
-	left := slices.DeleteFunc(slices.Clone(members), avoided)
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(slices.Clone(members), avoided)
+	if len(remaining) == 0 {
 		return members
 	}
-	return left
+	return remaining
 }
 
-// Busy is the share of a group's places that are taken; 0 if the group is not kept here.
+// Busy returns the utilization of a group; 0 if it is not kept here.
 func (k *Keeper) Busy(group Group) float64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if desk, ok := k.desks[group]; ok {
-		return desk.account.Busy()
+	if scheduler, ok := k.schedulers[group]; ok {
+		return scheduler.load.Busy()
 	}
 	return 0
 }
 
-// keeps reports whether this process is the one that is asked, and keeps the group or stands in for
-// another that does not answer the asker.
-func (k *Keeper) keeps(request Request) bool {
+// isKeeperFor reports whether the request is addressed to this process, and this process keeps the
+// group or replaces a keeper that the sender could not reach.
+func (k *Keeper) isKeeperFor(request Request) bool {
 	if request.Process != k.options.Process {
 		return false
 	}
@@ -133,33 +135,34 @@
 	return ok && keeper.Process == k.options.Process
 }
 
-// take takes in a report, and answers the question that came with it or holds it.
-func (k *Keeper) take(request Request, members []Member, now time.Time) (Answer, *Question, <-chan Answer) {
+// handle applies a report, and answers its query or queues it. A queued query is returned with the
+// channel for its answer.
+func (k *Keeper) handle(request Request, members []Member, now time.Time) (Answer, *Query, <-chan Answer) {
 	report := request.Report
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	desk := k.desk(report.Group, now)
-	if desk == nil {
+	scheduler := k.scheduler(report.Group, now)
+	if scheduler == nil {
 		return Answer{}, nil, nil
 	}
-	desk.SetMembers(members)
-	desk.tell(report, now)
+	scheduler.SetMembers(members)
+	scheduler.applyReport(report, now)
 	if request.Ask == nil {
-		return desk.Word(now), nil, nil
+		return scheduler.Status(now), nil, nil
 	}
-	question := &Question{From: report.From, Sequence: report.Sequence, Ask: *request.Ask}
-	answer, held := desk.Ask(question, now)
+	query := &Query{From: report.From, Sequence: report.Sequence, Ask: *request.Ask}
+	answer, held := scheduler.Submit(query, now)
 	if !held {
 		return answer, nil, nil
 	}
 	answers := make(chan Answer, 1)
-	desk.waiting[question] = answers
-	return answer, question, answers
+	scheduler.answers[query] = answers
+	return answer, query, answers
 }
 
-// hold waits until a question gets a place, its time is over or its asker has gone.
-func (k *Keeper) hold(ctx context.Context, group Group, question *Question, answers <-chan Answer) Answer {
-	timer := time.NewTimer(min(question.Ask.Patience, longestHold))
+// await waits until a query is resolved, its hold time is over or the sender has canceled.
+func (k *Keeper) await(ctx context.Context, group Group, query *Query, answers <-chan Answer) Answer {
+	timer := time.NewTimer(min(query.Ask.Patience, maxHold))
 	defer timer.Stop()
 	select {
 	case answer := <-answers:
@@ -167,75 +170,76 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	if answer, ok := k.giveUp(group, question); ok {
+	if answer, ok := k.withdraw(group, query); ok {
 		return answer
 	}
 	return <-answers
 }
 
-// giveUp takes a question back. ok is false if it has been answered.
-func (k *Keeper) giveUp(group Group, question *Question) (answer Answer, ok bool) {
+// withdraw removes a held query. ok is false if it is already resolved.
+func (k *Keeper) withdraw(group Group, query *Query) (answer Answer, ok bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	desk, known := k.desks[group]
+	scheduler, known := k.schedulers[group]
 	if !known {
 		return Answer{Keeper: true}, true
 	}
-	answer, ok = desk.GiveUp(question, time.Now())
+	answer, ok = scheduler.Withdraw(query, time.Now())
 	if ok {
-		delete(desk.waiting, question)
+		delete(scheduler.answers, query)
 	}
 	return answer, ok
 }
 
-// tell takes in a report, and answers those who have got places by it.
-func (d *keptDesk) tell(report Report, now time.Time) {
-	for _, served := range d.Tell(report, now) {
-		answers, ok := d.waiting[served.Question]
+// applyReport applies a report and sends the answers of the queries that it resolves.
+func (s *groupScheduler) applyReport(report Report, now time.Time) {
+	for _, resolved := range s.ApplyReport(report, now) {
+		answers, ok := s.answers[resolved.Query]
 		if ok {
-			delete(d.waiting, served.Question)
-			answers <- served.Answer
+			delete(s.answers, resolved.Query)
+			answers <- resolved.Answer
 		}
 	}
 }
 
-// desk is that of a group; nil if there are too many. The caller holds the mutex.
-func (k *Keeper) desk(group Group, now time.Time) *keptDesk {
+// scheduler returns the scheduler of a group, creating it if needed; nil if there are too many. The
+// caller holds the mutex.
+func (k *Keeper) scheduler(group Group, now time.Time) *groupScheduler {
 	k.sweep(now)
-	known, ok := k.desks[group]
+	scheduler, ok := k.schedulers[group]
 	if !ok {
-		if len(k.desks) >= maxDesks {
+		if len(k.schedulers) >= maxSchedulers {
 			return nil
 		}
-		known = &keptDesk{Desk: NewDesk(), waiting: map[*Question]chan<- Answer{}}
-		k.desks[group] = known
-		k.options.Logger.WithField("group", group.String()).Info("room of a group is kept here")
+		scheduler = &groupScheduler{Scheduler: NewScheduler(), answers: map[*Query]chan<- Answer{}}
+		k.schedulers[group] = scheduler
+		k.options.Logger.WithField("group", group.String()).Info("now keeping the capacity of a worker group")
 	}
-	known.used = now
-	return known
+	scheduler.lastUsed = now
+	return scheduler
 }
 
-// sweep forgets groups that nobody asks for here any more. The caller holds the mutex.
+// sweep removes the schedulers that nodes do not use any more. The caller holds the mutex.
 func (k *Keeper) sweep(now time.Time) {
-	if now.Sub(k.swept) < deskUnused/4 {
+	if now.Sub(k.lastSweep) < schedulerTTL/4 {
 		return
 	}
-	k.swept = now
-	maps.DeleteFunc(k.desks, func(group Group, desk *keptDesk) bool {
-		unused := now.Sub(desk.used) > deskUnused && len(desk.waiting) == 0
-		if unused {
-			k.options.Logger.WithField("group", group.String()).Info("room of a group is not kept here any more")
+	k.lastSweep = now
+	maps.DeleteFunc(k.schedulers, func(group Group, scheduler *groupScheduler) bool {
+		expired := now.Sub(scheduler.lastUsed) > schedulerTTL && len(scheduler.answers) == 0
+		if expired {
+			k.options.Logger.WithField("group", group.String()).Info("no requests for a worker group any more, dropping its capacity state")
 		}
-		return unused
+		return expired
 	})
 }
 
-// Kept is how many groups this process keeps, and how many questions it holds.
+// Kept returns the number of groups kept by this process and of queries held.
 func (k *Keeper) Kept() (groups, waiting int) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	for _, desk := range k.desks {
-		waiting += desk.Waiting()
+	for _, scheduler := range k.schedulers {
+		waiting += scheduler.QueueLength()
 	}
-	return len(k.desks), waiting
+	return len(k.schedulers), waiting
 }
--- a/internal/room/place.go
+++ b/internal/room/place.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Place is a place at a worker that a request of this node has, from when it is chosen until it has
-// ended. The methods of nil do nothing.
+// Place is a request's claim on capacity of a worker, from the choice of the worker until the request
+// ends. Methods of a nil Place do nothing.
 type Place struct {
 	reporter *Reporter
 	group    Group
 	worker   string
 	tokens   int
-	since    time.Time
-	end      sync.Once
+	started  time.Time
+	once     sync.Once
 }
 
-// Worker is the key of the place's worker; empty for nil.
+// Worker returns the key of the worker; empty for a nil Place.
 func (p *Place) Worker() string {
 	if p == nil {
 		return ""
@@ -24,15 +24,15 @@
 	return p.worker
 }
 
-// End gives the place back.
+// End releases the capacity. Further calls do nothing.
 func (p *Place) End() {
 	if p == nil {
 		return
 	}
-	p.end.Do(func() { p.reporter.end(p) })
+	p.once.Do(func() { p.reporter.end(p) })
 }
 
-// Declined notes that the worker said that it is full.
+// Declined records that the worker declined the request because it is full.
 func (p *Place) Declined() {
 	if p == nil {
 		return
--- a/internal/room/play_test.go
+++ b/internal/room/play_test.go
@@ -11,81 +11,80 @@
 	"time"
 )
 
-// The load that is answered here: nodes that share few workers, each of which runs few requests at
-// once and queues what comes beyond. Turns are short, and most of them go on from another one whose
-// context lies at a worker.
+// The simulated load: many nodes share a few workers, each of which runs some requests at once and
+// queues a limited number. Turns are short, and most continue a context held by a worker.
 const (
-	loadNodes   = 77
-	loadWorkers = 45
-	loadZones   = 4
-	loadPlaces  = 6
-	loadQueue   = 18
-	loadTurn    = 160 * time.Millisecond
-	loadFresh   = 2000 // tokens that are read again away from home
-	loadRead    = 76   // tokens that a worker reads in a millisecond
-	loadHomes   = 0.75 // share of turns that have a home
-	loadLasts   = 8 * time.Second
-	ownRunning  = time.Millisecond // what a blind node counts for each request that it has at a worker
-	blindRead   = 200              // tokens a millisecond, as a blind node weighs a home
+	simNodes                  = 77
+	simWorkers                = 45
+	simZones                  = 4
+	simConcurrency            = 6
+	simQueueLimit             = 18
+	simTurnTime               = 160 * time.Millisecond
+	simFreshTokens            = 2000 // tokens read again by any other worker than the home
+	simTokensPerMillisecond   = 76   // prefill speed of a worker
+	simHomeShare              = 0.75 // share of turns that have a home
+	simDuration               = 8 * time.Second
+	localCost                 = time.Millisecond // cost of each own request at a worker, for a node without a keeper
+	localTokensPerMillisecond = 200              // prefill speed that a node without a keeper assumes
 )
 
-// way is how a request finds its worker.
-type way string
+// strategy is how a request finds its worker.
+type strategy string
 
 const (
-	blind   way = "blind"   // by what the own node has running
-	digests way = "digests" // by what all nodes had running some 100 ms ago, two at random
-	kept    way = "kept"    // by a keeper
-	exact   way = "exact"   // by one who sees all places of a zone at once: nothing can be better informed
+	localOnly      strategy = "local"   // by the node's own running requests
+	sampled        strategy = "sampled" // by a snapshot of all nodes' load, up to 100 ms old, and two random candidates
+	keeperAssigned strategy = "keeper"  // by the group's keeper
+	omniscient     strategy = "global"  // by exact knowledge of all workers
 )
 
-// play is a loop of arrivals and ends in virtual time.
-type play struct {
-	t       *testing.T
-	way     way
-	hop     time.Duration // one way between a node and its keeper
-	random  *rand.Rand
-	now     time.Time
-	begun   time.Time
-	events  events
-	number  int
-	workers []*loadWorker
-	nodes   []*loadNode
-	desks   []*Desk
-	asked   map[*Question]func(Answer)
-	digest  []int
-	line    []*turn // that wait, where all places are seen
-	worked  time.Duration
+// simulation is a discrete-event simulation in virtual time.
+type simulation struct {
+	t          *testing.T
+	strategy   strategy
+	hop        time.Duration // one-way latency between a node and its keeper
+	random     *rand.Rand
+	now        time.Time
+	epoch      time.Time
+	events     events
+	nextEvent  int
+	workers    []*simWorker
+	nodes      []*simNode
+	schedulers []*Scheduler
+	pending    map[*Query]func(Answer)
+	snapshot   []int
+	backlog    []*simTurn // turns that wait for capacity with the omniscient strategy
+	busyTime   time.Duration
 
-	waits      []time.Duration // from arrival at a node until a worker runs it
-	queued     int             // requests that waited at a worker while its group had a free place
-	unserved   int             // requests held by the keeper while a place was free, as the keeper knew
-	declines   int
-	mostQueued int
-	lost       int // declined by all
+	waits                 []time.Duration // from arrival at a node until a worker runs it
+	queuedDespiteCapacity int             // requests queued at a worker while its zone had free capacity
+	heldDespiteCapacity   int             // requests held by the keeper while it knew of free capacity
+	declines              int
+	mostQueued            int
+	dropped               int // declined by all workers tried
 }
 
-type loadWorker struct {
+type simWorker struct {
 	name    string
 	zone    int
 	running int
-	queue   []*turn
+	queue   []*simTurn
 }
 
-type loadNode struct {
-	name    string
-	zone    int
-	tallies []*Tally
-	armed   []time.Time // when each tally is told next
-	own     []int
+type simNode struct {
+	name       string
+	zone       int
+	loads      []*NodeLoad
+	nextReport []time.Time // by zone: when the next report is due
+	running    []int
 }
 
-type turn struct {
-	node   *loadNode
-	came   time.Time
-	home   int // -1: none
-	worker int
-	placed time.Time
+type simTurn struct {
+	node    *simNode
+	arrived time.Time
+	home    int // index of a worker; -1: none
+	worker  int
+	begun   time.Time
 }
 
 type event struct {
@@ -108,336 +107,337 @@
 	return last
 }
 
-func newPlay(t *testing.T, way way, hop time.Duration) *play {
-	p := &play{t: t, way: way, hop: hop, random: rand.New(rand.NewPCG(1, 2)), begun: time.Unix(0, 0), asked: map[*Question]func(Answer){}, digest: make([]int, loadWorkers)}
-	p.now = p.begun
-	for zone := range loadZones {
-		p.desks = append(p.desks, NewDesk())
+func newSimulation(t *testing.T, strategy strategy, hop time.Duration) *simulation {
+	s := &simulation{t: t, strategy: strategy, hop: hop, random: rand.New(rand.NewPCG(1, 2)), epoch: time.Unix(0, 0), pending: map[*Query]func(Answer){}, snapshot: make([]int, simWorkers)}
+	s.now = s.epoch
+	for zone := range simZones {
+		s.schedulers = append(s.schedulers, NewScheduler())
 		var members []Member
-		for index := zone; index < loadWorkers; index += loadZones {
-			members = append(members, Member{Worker: fmt.Sprint(index), Places: loadPlaces})
+		for index := zone; index < simWorkers; index += simZones {
+			members = append(members, Member{Worker: fmt.Sprint(index), Places: simConcurrency})
 		}
-		p.desks[zone].SetMembers(members)
+		s.schedulers[zone].SetMembers(members)
 	}
-	for index := range loadWorkers {
-		p.workers = append(p.workers, &loadWorker{name: fmt.Sprint(index), zone: index % loadZones})
+	for index := range simWorkers {
+		s.workers = append(s.workers, &simWorker{name: fmt.Sprint(index), zone: index % simZones})
 	}
-	for index := range loadNodes {
-		node := &loadNode{name: fmt.Sprint("n", index), zone: index % loadZones, own: make([]int, loadWorkers), armed: make([]time.Time, loadZones)}
-		for zone := range loadZones {
-			node.tallies = append(node.tallies, NewTally(Group{Service: "s", Zone: fmt.Sprint(zone)}))
+	for index := range simNodes {
+		node := &simNode{name: fmt.Sprint("n", index), zone: index % simZones, running: make([]int, simWorkers), nextReport: make([]time.Time, simZones)}
+		for zone := range simZones {
+			node.loads = append(node.loads, NewNodeLoad(Group{Service: "s", Zone: fmt.Sprint(zone)}))
 		}
-		p.nodes = append(p.nodes, node)
+		s.nodes = append(s.nodes, node)
 	}
-	return p
+	return s
 }
 
-func (p *play) after(d time.Duration, do func()) {
-	p.number++
-	heap.Push(&p.events, event{at: p.now.Add(d), number: p.number, do: do})
+func (s *simulation) after(d time.Duration, do func()) {
+	s.nextEvent++
+	heap.Push(&s.events, event{at: s.now.Add(d), number: s.nextEvent, do: do})
 }
 
-// run plays a load, as a share of all places.
-func (p *play) run(load float64) {
-	rate := load * loadWorkers * loadPlaces / loadTurn.Seconds()
+// run simulates a load, given as a share of the total capacity.
+func (s *simulation) run(load float64) {
+	rate := load * simWorkers * simConcurrency / simTurnTime.Seconds()
 	var arrive func()
 	arrive = func() {
-		p.arrive()
-		p.after(time.Duration(p.random.ExpFloat64()/rate*float64(time.Second)), arrive)
+		s.arrive()
+		s.after(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
-	p.after(0, arrive)
-	if p.way == digests {
+	s.after(0, arrive)
+	if s.strategy == sampled {
 		var refresh func()
 		refresh = func() {
-			for index, worker := range p.workers {
-				p.digest[index] = worker.running + len(worker.queue)
+			for index, worker := range s.workers {
+				s.snapshot[index] = worker.running + len(worker.queue)
 			}
-			p.after(100*time.Millisecond, refresh)
+			s.after(100*time.Millisecond, refresh)
 		}
-		p.after(0, refresh)
+		s.after(0, refresh)
 	}
-	end := p.begun.Add(loadLasts)
-	for p.now.Before(end) {
-		next := heap.Pop(&p.events).(event)
-		p.now = next.at
+	end := s.epoch.Add(simDuration)
+	for s.now.Before(end) {
+		next := heap.Pop(&s.events).(event)
+		s.now = next.at
 		next.do()
 	}
 }
 
-func (p *play) arrive() {
-	one := &turn{node: p.nodes[p.random.IntN(loadNodes)], came: p.now, home: -1}
-	if p.random.Float64() < loadHomes {
-		one.home = p.random.IntN(len(p.workers))
+func (s *simulation) arrive() {
+	turn := &simTurn{node: s.nodes[s.random.IntN(simNodes)], arrived: s.now, home: -1}
+	if s.random.Float64() < simHomeShare {
+		turn.home = s.random.IntN(len(s.workers))
 	}
-	p.place(one, nil)
+	s.route(turn, nil)
 }
 
-// place sends a turn to a worker.
-func (p *play) place(one *turn, exclude []string) {
-	if p.way == kept {
-		p.ask(one, exclude)
+// route sends a turn to a worker chosen by the strategy.
+func (s *simulation) route(turn *simTurn, exclude []string) {
+	if s.strategy == keeperAssigned {
+		s.ask(turn, exclude)
 		return
 	}
-	if p.way == exact {
-		p.line = append(p.line, one)
-		p.serveLine()
+	if s.strategy == omniscient {
+		s.backlog = append(s.backlog, turn)
+		s.drainBacklog()
 		return
 	}
-	p.send(one, p.guess(one, exclude), exclude)
+	s.send(turn, s.chooseLocally(turn, exclude), exclude)
 }
 
-// guess chooses without a keeper.
-func (p *play) guess(one *turn, exclude []string) int {
-	best, least := -1, math.Inf(1)
-	for try := range p.workers {
-		index := try
-		if p.way == digests {
-			if try == 2 && best >= 0 {
+// chooseLocally chooses a worker without a keeper.
+func (s *simulation) chooseLocally(turn *simTurn, exclude []string) int {
+	best, lowest := -1, math.Inf(1)
+	for candidate := range s.workers {
+		index := candidate
+		if s.strategy == sampled {
+			if candidate == 2 && best >= 0 {
 				break
 			}
-			index = p.random.IntN(len(p.workers))
+			index = s.random.IntN(len(s.workers))
 		}
-		if slices.Contains(exclude, p.workers[index].name) {
+		if slices.Contains(exclude, s.workers[index].name) {
 			continue
 		}
-		cost := float64(one.node.own[index]) * float64(ownRunning)
-		if p.way == digests {
-			cost = float64(max(0, p.digest[index]-loadPlaces+1)) * float64(loadTurn/loadPlaces)
-			cost += float64(p.digest[index])
+		cost := float64(turn.node.running[index]) * float64(localCost)
+		if s.strategy == sampled {
+			cost = float64(max(0, s.snapshot[index]-simConcurrency+1)) * float64(simTurnTime/simConcurrency)
+			cost += float64(s.snapshot[index])
 		}
-		if p.workers[index].zone != one.node.zone {
+		if s.workers[index].zone != turn.node.zone {
 			cost += 1.5 * float64(time.Millisecond)
 		}
-		if one.home >= 0 && one.home != index {
-			cost += float64(loadFresh/blindRead) * float64(time.Millisecond)
+		if turn.home >= 0 && turn.home != index {
+			cost += float64(simFreshTokens/localTokensPerMillisecond) * float64(time.Millisecond)
 		}
-		if cost += p.random.Float64() * float64(10*time.Microsecond); cost < least {
-			best, least = index, cost
+		if cost += s.random.Float64() * float64(10*time.Microsecond); cost < lowest {
+			best, lowest = index, cost
 		}
 	}
-	if p.way == digests && one.home >= 0 && best >= 0 && !slices.Contains(exclude, p.workers[one.home].name) {
-		if p.digest[one.home] <= loadPlaces {
-			return one.home
+	if s.strategy == sampled && turn.home >= 0 && best >= 0 && !slices.Contains(exclude, s.workers[turn.home].name) {
+		if s.snapshot[turn.home] <= simConcurrency {
+			return turn.home
 		}
 	}
 	return best
 }
 
-// serveLine gives free places to those who wait: the home's, else one of the emptiest worker.
-func (p *play) serveLine() {
-	left := p.line[:0]
-	for _, one := range p.line {
+// drainBacklog assigns free capacity to waiting turns: at the home worker, or else at the least loaded
+// one.
+func (s *simulation) drainBacklog() {
+	remaining := s.backlog[:0]
+	for _, turn := range s.backlog {
 		best := -1
-		for index, worker := range p.workers {
-			if worker.running < loadPlaces && (best < 0 || index == one.home || best != one.home && worker.running < p.workers[best].running) {
+		for index, worker := range s.workers {
+			if worker.running < simConcurrency && (best < 0 || index == turn.home || best != turn.home && worker.running < s.workers[best].running) {
 				best = index
 			}
 		}
 		if best < 0 {
-			left = append(left, one)
+			remaining = append(remaining, turn)
 			continue
 		}
-		p.send(one, best, nil)
+		s.send(turn, best, nil)
 	}
-	p.line = left
+	s.backlog = remaining
 }
 
-// ask asks the keeper of the home's group, or of the own zone's.
-func (p *play) ask(one *turn, exclude []string) {
-	zone, home := one.node.zone, ""
-	if one.home >= 0 {
-		zone, home = p.workers[one.home].zone, p.workers[one.home].name
+// ask queries the keeper of the home worker's zone, or else of the node's own zone.
+func (s *simulation) ask(turn *simTurn, exclude []string) {
+	zone, home := turn.node.zone, ""
+	if turn.home >= 0 {
+		zone, home = s.workers[turn.home].zone, s.workers[turn.home].name
 	}
-	tally := one.node.tallies[zone]
-	if tally.Calm(p.now) {
-		p.way = blind
-		index := p.guess(one, exclude)
-		p.way = kept
-		p.begin(one, index, false)
-		p.send(one, index, exclude)
+	nodeLoad := turn.node.loads[zone]
+	if nodeLoad.CanDecideLocally(s.now) {
+		s.strategy = localOnly
+		index := s.chooseLocally(turn, exclude)
+		s.strategy = keeperAssigned
+		s.begin(turn, index, false)
+		s.send(turn, index, exclude)
 		return
 	}
-	report := tally.Report(one.node.name, p.now)
-	tally.Asked(report.Sequence)
-	question := &Question{From: one.node.name, Sequence: report.Sequence, Ask: Ask{Home: home, Fresh: loadFresh, Exclude: exclude, Patience: time.Second}}
-	desk := p.desks[zone]
-	p.asked[question] = func(answer Answer) {
-		p.after(p.hop, func() {
-			tally.Answered(question.Sequence)
+	report := nodeLoad.Report(turn.node.name, s.now)
+	nodeLoad.QuerySent(report.Sequence)
+	query := &Query{From: turn.node.name, Sequence: report.Sequence, Ask: Ask{Home: home, Fresh: simFreshTokens, Exclude: exclude, Patience: time.Second}}
+	scheduler := s.schedulers[zone]
+	s.pending[query] = func(answer Answer) {
+		s.after(s.hop, func() {
+			nodeLoad.QueryDone(query.Sequence)
 			if answer.Settled {
-				tally.Hear(answer.Busy, p.now)
+				nodeLoad.SetBusy(answer.Busy, s.now)
 			}
 			if answer.Outcome != Go {
-				p.way = blind
-				index := p.guess(one, exclude)
-				p.way = kept
-				p.begin(one, index, false)
-				p.send(one, index, exclude)
+				s.strategy = localOnly
+				index := s.chooseLocally(turn, exclude)
+				s.strategy = keeperAssigned
+				s.begin(turn, index, false)
+				s.send(turn, index, exclude)
 				return
 			}
-			index := slices.IndexFunc(p.workers, func(w *loadWorker) bool { return w.name == answer.Worker })
-			p.begin(one, index, true)
-			p.send(one, index, exclude)
+			index := slices.IndexFunc(s.workers, func(w *simWorker) bool { return w.name == answer.Worker })
+			s.begin(turn, index, true)
+			s.send(turn, index, exclude)
 		})
 	}
-	p.after(p.hop, func() {
-		p.serve(desk.Tell(report, p.now))
-		answer, held := desk.Ask(question, p.now)
+	s.after(s.hop, func() {
+		s.deliverAll(scheduler.ApplyReport(report, s.now))
+		answer, held := scheduler.Submit(query, s.now)
 		if held {
-			if p.free(zone) && slices.ContainsFunc(desk.account.members, func(m Member) bool {
-				return desk.account.taken[m.Worker].requests < m.Places && !slices.Contains(exclude, m.Worker) && !p.now.Before(desk.account.declined[m.Worker])
+			if s.zoneHasCapacity(zone) && slices.ContainsFunc(scheduler.load.members, func(m Member) bool {
+				return scheduler.load.loads[m.Worker].requests < m.Places && !slices.Contains(exclude, m.Worker) && !s.now.Before(scheduler.load.declined[m.Worker])
 			}) {
-				p.unserved++
+				s.heldDespiteCapacity++
 			}
 			return
 		}
-		p.answer(question, answer)
+		s.deliver(query, answer)
 	})
 }
 
-func (p *play) serve(served []Served) {
-	for _, one := range served {
-		p.answer(one.Question, one.Answer)
+func (s *simulation) deliverAll(resolved []Resolved) {
+	for _, resolved := range resolved {
+		s.deliver(resolved.Query, resolved.Answer)
 	}
 }
 
-func (p *play) answer(question *Question, answer Answer) {
-	done := p.asked[question]
-	delete(p.asked, question)
-	done(answer)
+func (s *simulation) deliver(query *Query, answer Answer) {
+	callback := s.pending[query]
+	delete(s.pending, query)
+	callback(answer)
 }
 
-// free reports whether a worker of a zone has a free place.
-func (p *play) free(zone int) bool {
-	return slices.ContainsFunc(p.workers, func(w *loadWorker) bool { return w.zone == zone && w.running < loadPlaces })
+// zoneHasCapacity reports whether a worker of a zone is below its concurrency limit.
+func (s *simulation) zoneHasCapacity(zone int) bool {
+	return slices.ContainsFunc(s.workers, func(w *simWorker) bool { return w.zone == zone && w.running < simConcurrency })
 }
 
-func (p *play) begin(one *turn, index int, granted bool) {
+func (s *simulation) begin(turn *simTurn, index int, granted bool) {
 	if index < 0 {
 		return
 	}
-	one.placed = p.now
-	tally := one.node.tallies[p.workers[index].zone]
+	turn.begun = s.now
+	nodeLoad := turn.node.loads[s.workers[index].zone]
 	if granted {
-		tally.BeginGranted(p.workers[index].name, 0)
+		nodeLoad.BeginGranted(s.workers[index].name, 0)
 	} else {
-		tally.Begin(p.workers[index].name, 0)
+		nodeLoad.Begin(s.workers[index].name, 0)
 	}
-	p.tellLater(one.node, p.workers[index].zone)
+	s.scheduleReport(turn.node, s.workers[index].zone)
 }
 
-// tellLater lets a node tell a keeper when that is due.
-func (p *play) tellLater(node *loadNode, zone int) {
-	tally := node.tallies[zone]
-	at, due := tally.Due()
-	if !due || !node.armed[zone].IsZero() && !at.Before(node.armed[zone]) {
+// scheduleReport schedules a node's next report to a keeper.
+func (s *simulation) scheduleReport(node *simNode, zone int) {
+	nodeLoad := node.loads[zone]
+	at, due := nodeLoad.NextReport()
+	if !due || !node.nextReport[zone].IsZero() && !at.Before(node.nextReport[zone]) {
 		return
 	}
-	node.armed[zone] = at
-	p.after(max(0, at.Sub(p.now)), func() {
-		if node.armed[zone] != at {
-			return // it was told sooner
+	node.nextReport[zone] = at
+	s.after(max(0, at.Sub(s.now)), func() {
+		if node.nextReport[zone] != at {
+			return // a report was sent earlier
 		}
-		node.armed[zone] = time.Time{}
-		if again, due := tally.Due(); due && !again.After(p.now) {
-			p.tell(node, zone)
+		node.nextReport[zone] = time.Time{}
+		if again, due := nodeLoad.NextReport(); due && !again.After(s.now) {
+			s.sendReport(node, zone)
 		}
-		p.tellLater(node, zone)
+		s.scheduleReport(node, zone)
 	})
 }
 
-func (p *play) tell(node *loadNode, zone int) {
-	report := node.tallies[zone].Report(node.name, p.now)
-	p.after(p.hop, func() {
-		p.serve(p.desks[zone].Tell(report, p.now))
-		word := p.desks[zone].Word(p.now)
-		p.after(p.hop, func() {
-			if word.Settled {
-				node.tallies[zone].Hear(word.Busy, p.now)
+func (s *simulation) sendReport(node *simNode, zone int) {
+	report := node.loads[zone].Report(node.name, s.now)
+	s.after(s.hop, func() {
+		s.deliverAll(s.schedulers[zone].ApplyReport(report, s.now))
+		status := s.schedulers[zone].Status(s.now)
+		s.after(s.hop, func() {
+			if status.Settled {
+				node.loads[zone].SetBusy(status.Busy, s.now)
 			}
 		})
 	})
 }
 
-// send brings a turn to a worker, which runs it, queues it or declines.
-func (p *play) send(one *turn, index int, exclude []string) {
+// send delivers a turn to a worker, which runs it, queues it or declines it.
+func (s *simulation) send(turn *simTurn, index int, exclude []string) {
 	if index < 0 {
-		p.lost++
+		s.dropped++
 		return
 	}
-	one.worker = index
-	worker := p.workers[index]
-	one.node.own[index]++
-	if worker.running < loadPlaces {
-		p.start(one)
+	turn.worker = index
+	worker := s.workers[index]
+	turn.node.running[index]++
+	if worker.running < simConcurrency {
+		s.start(turn)
 		return
 	}
-	if p.free(worker.zone) {
-		p.queued++
+	if s.zoneHasCapacity(worker.zone) {
+		s.queuedDespiteCapacity++
 	}
-	if len(worker.queue) >= loadQueue {
-		p.declines++
-		p.leave(one)
+	if len(worker.queue) >= simQueueLimit {
+		s.declines++
+		s.release(turn)
 		if len(exclude) >= 3 {
-			p.lost++
+			s.dropped++
 			return
 		}
-		p.place(one, append(slices.Clone(exclude), worker.name))
+		s.route(turn, append(slices.Clone(exclude), worker.name))
 		return
 	}
-	worker.queue = append(worker.queue, one)
-	p.mostQueued = max(p.mostQueued, len(worker.queue))
+	worker.queue = append(worker.queue, turn)
+	s.mostQueued = max(s.mostQueued, len(worker.queue))
 }
 
-func (p *play) start(one *turn) {
-	worker := p.workers[one.worker]
+func (s *simulation) start(turn *simTurn) {
+	worker := s.workers[turn.worker]
 	worker.running++
-	p.waits = append(p.waits, p.now.Sub(one.came))
-	took := time.Duration((0.5 + 0.5*p.random.ExpFloat64()) * float64(loadTurn))
-	if one.home >= 0 && one.home != one.worker {
-		took += loadFresh * time.Millisecond / loadRead
+	s.waits = append(s.waits, s.now.Sub(turn.arrived))
+	duration := time.Duration((0.5 + 0.5*s.random.ExpFloat64()) * float64(simTurnTime))
+	if turn.home >= 0 && turn.home != turn.worker {
+		duration += simFreshTokens * time.Millisecond / simTokensPerMillisecond
 	}
-	p.worked += took
-	p.after(took, func() {
+	s.busyTime += duration
+	s.after(duration, func() {
 		worker.running--
-		p.leave(one)
+		s.release(turn)
 		if len(worker.queue) > 0 {
 			next := worker.queue[0]
 			worker.queue = worker.queue[1:]
-			p.start(next)
+			s.start(next)
 		}
-		if p.way == exact {
-			p.serveLine()
+		if s.strategy == omniscient {
+			s.drainBacklog()
 		}
 	})
 }
 
-// leave takes a turn off a worker.
-func (p *play) leave(one *turn) {
-	worker := p.workers[one.worker]
-	one.node.own[one.worker]--
-	if p.way == kept {
-		one.node.tallies[worker.zone].End(worker.name, 0, p.now.Sub(one.placed))
-		p.tellLater(one.node, worker.zone)
+// release removes a turn from its worker.
+func (s *simulation) release(turn *simTurn) {
+	worker := s.workers[turn.worker]
+	turn.node.running[turn.worker]--
+	if s.strategy == keeperAssigned {
+		turn.node.loads[worker.zone].End(worker.name, 0, s.now.Sub(turn.begun))
+		s.scheduleReport(turn.node, worker.zone)
 	}
 }
 
-// measured is what callers got.
-type measured struct {
+// waitStats summarizes the waits of all requests.
+type waitStats struct {
 	mean, p95, longest time.Duration
-	share              float64 // of requests that waited at a worker while its zone had a free place
+	misqueued          float64 // share of requests queued at a worker while its zone had free capacity
 }
 
-func (p *play) measured() measured {
-	slices.Sort(p.waits)
+func (s *simulation) stats() waitStats {
+	slices.Sort(s.waits)
 	var sum time.Duration
-	for _, wait := range p.waits {
+	for _, wait := range s.waits {
 		sum += wait
 	}
-	return measured{
-		mean:    sum / time.Duration(len(p.waits)),
-		p95:     p.waits[len(p.waits)*95/100],
-		longest: p.waits[len(p.waits)-1],
-		share:   float64(p.queued) / float64(len(p.waits)),
+	return waitStats{
+		mean:      sum / time.Duration(len(s.waits)),
+		p95:       s.waits[len(s.waits)*95/100],
+		longest:   s.waits[len(s.waits)-1],
+		misqueued: float64(s.queuedDespiteCapacity) / float64(len(s.waits)),
 	}
 }
--- a/internal/room/queue.go
+++ b/internal/room/queue.go
@@ -9,46 +9,46 @@
 )
 
 const (
-	// untimedSlack is what a program counts as being able to wait, for each step of its urgency, of
-	// which it is not known by when it must be over.
-	untimedSlack = 500 * time.Millisecond
-	// lostBehind is how far a program stands behind that will be late whatever is done.
-	lostBehind = 2 * time.Second
-	// maxWaiting bounds the questions that a keeper holds.
-	maxWaiting = 256
+	// defaultSlackStep is the assumed slack per level of urgency of a program without a known
+	// deadline.
+	defaultSlackStep = 500 * time.Millisecond
+	// latePenalty moves back the start deadline of a program that misses its deadline anyway.
+	latePenalty = 2 * time.Second
+	// maxQueued limits the queries held per group.
+	maxQueued = 256
 )
 
-// rank is the moment by which a program's request has to begin. All are ranked by a moment in
-// time, so that one who waits comes before all who arrive long after it, whatever they are.
-func rank(program standing.Program, now time.Time) time.Time {
+// startDeadline returns the time by which a program's request has to start. All queries are ordered by
+// such a time, so that a waiting query comes before any that arrives much later.
+func startDeadline(program standing.Program, now time.Time) time.Time {
 	slack, known := program.Slack()
 	switch {
 	case !known:
-		return now.Add(time.Duration(program.Urgency+1) * untimedSlack)
+		return now.Add(time.Duration(program.Urgency+1) * defaultSlackStep)
 	case slack < 0:
-		return now.Add(lostBehind)
+		return now.Add(latePenalty)
 	default:
 		return now.Add(slack)
 	}
 }
 
-// queue holds questions in the order in which they get places.
-type queue []*Question
+// queryQueue holds queries in the order in which they get capacity.
+type queryQueue []*Query
 
-// insert puts a question in its place.
-func (q *queue) insert(one *Question) {
-	index, _ := slices.BinarySearchFunc(*q, one, compareWaiting)
-	*q = slices.Insert(*q, index, one)
+// insert adds a query at its position.
+func (q *queryQueue) insert(query *Query) {
+	index, _ := slices.BinarySearchFunc(*q, query, compareQueries)
+	*q = slices.Insert(*q, index, query)
 }
 
-// compareWaiting orders questions.
-func compareWaiting(a, b *Question) int {
-	return cmp.Or(a.rank.Compare(b.rank), cmp.Compare(a.number, b.number))
+// compareQueries orders queries by start deadline, then by order of submission.
+func compareQueries(a, b *Query) int {
+	return cmp.Or(a.startBy.Compare(b.startBy), cmp.Compare(a.number, b.number))
 }
 
-// remove takes a question out. It reports whether it was there.
-func (q *queue) remove(one *Question) bool {
-	index := slices.Index(*q, one)
+// remove removes a query and reports whether it was queued.
+func (q *queryQueue) remove(query *Query) bool {
+	index := slices.Index(*q, query)
 	if index < 0 {
 		return false
 	}
@@ -56,8 +56,8 @@
 	return true
 }
 
-// ahead is how many questions come before one.
-func (q queue) ahead(one *Question) int {
-	index, _ := slices.BinarySearchFunc(q, one, compareWaiting)
+// ahead returns the number of queries before one that is queued or could be.
+func (q queryQueue) ahead(query *Query) int {
+	index, _ := slices.BinarySearchFunc(q, query, compareQueries)
 	return index
 }
--- a/internal/room/reporter.go
+++ b/internal/room/reporter.go
@@ -15,114 +15,119 @@
 )
 
 const (
-	// A keeper is waited for as long as answers from its place are seen to take, from askWait to
-	// longestAskWait, and as long as it may hold the question. It usually answers in 1 to 10 ms.
-	askWait        = 20 * time.Millisecond
-	longestAskWait = 60 * time.Millisecond
-	// A report for which nobody waits is given longer: it is lost for sure, then.
-	tellWait        = 100 * time.Millisecond
-	longestTellWait = 300 * time.Millisecond
-	// tellTick is how often it is looked at least whether a keeper is to be told.
-	tellTick = 50 * time.Millisecond
-	// maxTallies bounds the groups in which a node has something running.
-	maxTallies = 512
+	// queryTimeout and maxQueryTimeout bound the wait for a keeper's answer, beyond the time that it
+	// may hold the query. In between, the observed response times of the peer decide.
+	queryTimeout    = 20 * time.Millisecond
+	maxQueryTimeout = 60 * time.Millisecond
+	// reportTimeout and maxReportTimeout are the same for reports without a query. No request waits
+	// for these, so they get more time, and a timeout is conclusive.
+	reportTimeout    = 100 * time.Millisecond
+	maxReportTimeout = 300 * time.Millisecond
+	// reportTick is the maximum time between two checks for due reports.
+	reportTick = 50 * time.Millisecond
+	// maxGroups limits the groups of which a node tracks its own load.
+	maxGroups = 512
 )
 
-// Peers asks other nodes.
+// Peers sends requests to other nodes.
 type Peers interface {
 	Room(ctx context.Context, keeper budget.Holder, request Request) (Answer, error)
 }
 
-// Workers tell in which groups workers are. ok is false where that is not known, or room is not kept
+// Workers maps workers to groups. ok is false if the group is not known, or if capacity is not tracked
 // for the service.
 type Workers interface {
-	// GroupOf is the group of the worker of a key.
+	// GroupOf returns the group of a worker, given its key.
 	GroupOf(service, worker string) (group Group, ok bool)
-	// GroupIn is the group of a zone for a program that begins, by its key.
+	// GroupIn returns the group of a zone for a new program, given the program's key.
 	GroupIn(service, zone, key string) (group Group, ok bool)
-	// Others lists the other zones of the region in which workers of a service may get a request,
-	// nearest first, and how long a message there and its answer take.
+	// Others returns the other zones of the region in which workers of a service may get requests,
+	// nearest first.
 	Others(service, zone string) []Distant
-	// Near reports whether a zone is of this node's region.
+	// Near reports whether a zone is in this node's region.
 	Near(zone string) bool
-	// Shunned lists the workers of a group that this node has just seen fail, or decline.
+	// Shunned returns the workers of a group that this node has just seen fail or decline a request.
 	Shunned(group Group) []string
 }
 
-// Distant is a zone and the way there.
+// Distant is another zone and the round-trip time to it.
 type Distant struct {
 	Zone      string
 	RoundTrip time.Duration
 }
 
-// Learner is what this node learns of workers, and is told.
+// Learner supplies this node's samples of worker behavior and receives the merged verdicts of all
+// nodes.
 type Learner interface {
-	// TakeSamples returns what was seen of a service's workers since it was called last.
+	// TakeSamples returns the samples of a service's workers since the last call.
 	TakeSamples(service string) []experience.Sample
-	// NoteVerdicts takes over what all nodes together have seen.
+	// NoteVerdicts replaces the known verdicts.
 	NoteVerdicts(verdicts []experience.Verdict)
 }
 
-// ReporterOptions of a Reporter.
+// ReporterOptions configures a Reporter.
 type ReporterOptions struct {
 	Self    budget.Holder
 	Zone    string
 	Slots   *Slots
 	Peers   Peers
 	Workers Workers
-	// Patience is how long other nodes' answers are seen to take; nil: not known.
+	// Patience is the observed response times of other nodes; nil: unknown.
 	Patience wait.Patience
-	Keeper   *Keeper // of this process
-	// Learner may be nil.
+	Keeper   *Keeper // the keeper of this process
+	// Learner is optional.
 	Learner Learner
-	// Count is told what came of each question, and Told of each report that came alone.
+	// Count is called with the result of each Find. Told is called after each report without a query;
+	// heard is whether a keeper accepted it.
 	Count  func(Found)
 	Told   func(heard bool)
 	Logger log.Interface
 }
 
-// Reporter tells keepers what this node has running, and asks them for places.
+// Reporter reports this node's running requests to the keepers of their groups, and queries them for
+// workers.
 type Reporter struct {
 	options ReporterOptions
-	wake    chan struct{} // something has changed that a keeper should hear of
+	wake    chan struct{} // signals Run that a report may be due
 
 	mutex    sync.Mutex
-	tallies  map[Group]*told
+	groups   map[Group]*groupState
 	suspects suspects
 }
 
-// told is a tally and to whom it was told.
-type told struct {
-	*Tally
-	keeper  string // process that was told last
-	telling bool   // a report is under way that came alone
-	learnt  []experience.Sample
+// groupState is this node's load in a group and the state of its reports.
+type groupState struct {
+	*NodeLoad
+	keeper    string // process that received the last request
+	reporting bool   // a report without a query is in flight
+	samples   []experience.Sample
 }
 
-// NewReporter returns a reporter that has nothing running.
+// NewReporter returns a Reporter without running requests. Run has to be started.
 func NewReporter(options ReporterOptions) *Reporter {
-	return &Reporter{options: options, wake: make(chan struct{}, 1), tallies: map[Group]*told{}, suspects: suspects{}}
+	return &Reporter{options: options, wake: make(chan struct{}, 1), groups: map[Group]*groupState{}, suspects: suspects{}}
 }
 
-// Begin counts a request at a worker until its place is ended. It is nil if no room is kept there.
+// Begin counts a request at a worker until the Place is ended. It returns nil if capacity is not
+// tracked there.
 func (r *Reporter) Begin(service, worker string, tokens int) *Place {
 	group, ok := r.options.Workers.GroupOf(service, worker)
 	if !ok {
 		return nil
 	}
-	defer r.changed()
+	defer r.wakeRun()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	tally := r.tally(group)
-	if tally == nil {
+	state := r.groupState(group)
+	if state == nil {
 		return nil
 	}
-	tally.Begin(worker, tokens)
-	return &Place{reporter: r, group: group, worker: worker, tokens: tokens, since: time.Now()}
+	state.Begin(worker, tokens)
+	return &Place{reporter: r, group: group, worker: worker, tokens: tokens, started: time.Now()}
 }
 
-// changed lets Run look whether a keeper is to be told.
-func (r *Reporter) changed() {
+// wakeRun makes Run check for due reports. It does not block.
+func (r *Reporter) wakeRun() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -130,39 +135,40 @@
 }
 
 func (r *Reporter) end(place *Place) {
-	defer r.changed()
+	defer r.wakeRun()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if tally, ok := r.tallies[place.group]; ok {
-		tally.End(place.worker, place.tokens, time.Since(place.since))
+	if state, ok := r.groups[place.group]; ok {
+		state.End(place.worker, place.tokens, time.Since(place.started))
 	}
 }
 
 func (r *Reporter) declined(place *Place) {
-	defer r.changed()
+	defer r.wakeRun()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if tally, ok := r.tallies[place.group]; ok {
-		tally.Declined(place.worker)
+	if state, ok := r.groups[place.group]; ok {
+		state.Declined(place.worker)
 	}
 }
 
-// tally is that of a group; nil if there are too many. The caller holds the mutex.
-func (r *Reporter) tally(group Group) *told {
-	known, ok := r.tallies[group]
-	if !ok && len(r.tallies) < maxTallies {
-		known = &told{Tally: NewTally(group)}
-		r.tallies[group] = known
+// groupState returns the state of a group, creating it if needed; nil if there are too many. The
+// caller holds the mutex.
+func (r *Reporter) groupState(group Group) *groupState {
+	state, ok := r.groups[group]
+	if !ok && len(r.groups) < maxGroups {
+		state = &groupState{NodeLoad: NewNodeLoad(group)}
+		r.groups[group] = state
 	}
-	return known
+	return state
 }
 
-// Run tells keepers what has changed, until ctx ends.
+// Run sends due reports until ctx ends.
 func (r *Reporter) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		due, next := r.due(time.Now())
 		for _, group := range due {
-			go r.tell(ctx, group)
+			go r.sendReport(ctx, group)
 		}
 		timer := time.NewTimer(next)
 		select {
@@ -174,91 +180,93 @@
 	}
 }
 
-// due lists the groups whose keepers are to be told, and forgets those in which nothing is left. next
-// is when to look again.
+// due returns the groups for which a report is due, and removes idle groups. next is the time until
+// the next check.
 func (r *Reporter) due(now time.Time) (due []Group, next time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	next = tellTick
-	for group, tally := range r.tallies {
-		if tally.Idle(now) {
-			delete(r.tallies, group)
+	next = reportTick
+	for group, state := range r.groups {
+		if state.Idle(now) {
+			delete(r.groups, group)
 			continue
 		}
-		at, ok := tally.Due()
+		at, ok := state.NextReport()
 		switch {
-		case !ok || tally.telling:
+		case !ok || state.reporting:
 		case now.Before(at):
 			next = min(next, at.Sub(now))
 		default:
-			tally.telling = true
+			state.reporting = true
 			due = append(due, group)
 		}
 	}
 	return due, next
 }
 
-// tell tells a group's keeper what runs. A keeper that did not answer is tried again by this.
-func (r *Reporter) tell(ctx context.Context, group Group) {
-	keeper, passed, ok := r.options.Slots.keeper(group, r.untried)
+// sendReport sends a report to a group's keeper. A suspected keeper is probed in this way once its
+// backoff is over.
+func (r *Reporter) sendReport(ctx context.Context, group Group) {
+	keeper, passed, ok := r.options.Slots.keeper(group, r.inBackoff)
 	var answer Answer
 	if ok {
-		ctx, cancel := context.WithTimeout(ctx, r.options.Patience.Of(keeper.Process, tellWait, longestTellWait))
+		ctx, cancel := context.WithTimeout(ctx, r.options.Patience.Of(keeper.Process, reportTimeout, maxReportTimeout))
 		defer cancel()
-		request, _ := r.request(group, keeper, passed, nil)
+		request, _ := r.newRequest(group, keeper, passed, nil)
 		answer, ok = r.send(ctx, group, keeper, request, true)
 		r.options.Told(ok && answer.Keeper)
 	}
-	defer r.changed()
+	defer r.wakeRun()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	tally, known := r.tallies[group]
+	state, known := r.groups[group]
 	if !known {
 		return
 	}
-	tally.telling = false
+	state.reporting = false
 	if !ok || !answer.Keeper {
-		tally.Unsaid(time.Now())
+		state.ReportLost(time.Now())
 	}
 }
 
-// request is what a keeper is sent. sequence is that of its report.
-func (r *Reporter) request(group Group, keeper budget.Holder, passed bool, ask *Ask) (request Request, sequence uint64) {
-	learnt := r.learnt(group)
+// newRequest returns a request for a keeper and the sequence of its report; 0 if this node tracks too
+// many groups.
+func (r *Reporter) newRequest(group Group, keeper budget.Holder, passed bool, ask *Ask) (request Request, sequence uint64) {
+	samples := r.collectSamples(group)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	tally := r.tally(group)
-	if tally == nil {
+	state := r.groupState(group)
+	if state == nil {
 		return Request{}, 0
 	}
-	tally.keeper = keeper.Process
-	report := tally.Report(r.options.Self.Process, time.Now())
-	report.Learnt = learnt
+	state.keeper = keeper.Process
+	report := state.Report(r.options.Self.Process, time.Now())
+	report.Learnt = samples
 	if ask != nil {
-		tally.Asked(report.Sequence)
+		state.QuerySent(report.Sequence)
 	}
 	return Request{Process: keeper.Process, Passed: passed, Report: report, Ask: ask}, report.Sequence
 }
 
-// send sends a keeper a request, and takes in what it says of the group. ok is false if it did not
-// answer; sure says that this tells that it will not.
-func (r *Reporter) send(ctx context.Context, group Group, keeper budget.Holder, request Request, sure bool) (answer Answer, ok bool) {
+// send sends a request to a keeper and handles the answer. ok is false if the keeper did not answer.
+// conclusive says that one missing answer suffices to suspect it.
+func (r *Reporter) send(ctx context.Context, group Group, keeper budget.Holder, request Request, conclusive bool) (answer Answer, ok bool) {
 	if keeper.Process == r.options.Self.Process {
 		answer = r.options.Keeper.Answer(ctx, request)
 	} else {
 		var err error
 		answer, err = r.options.Peers.Room(ctx, keeper, request)
 		if err != nil {
-			r.noteError(ctx, keeper, sure, err)
+			r.handleError(ctx, keeper, conclusive, err)
 			return Answer{}, false
 		}
 	}
-	r.heard(group, keeper, answer)
+	r.handleAnswer(group, keeper, answer)
 	return answer, true
 }
 
-// heard takes in a keeper's answer.
-func (r *Reporter) heard(group Group, keeper budget.Holder, answer Answer) {
+// handleAnswer updates the state of the group and of the keeper from an answer.
+func (r *Reporter) handleAnswer(group Group, keeper budget.Holder, answer Answer) {
 	if !answer.Keeper {
 		r.options.Slots.Owners.Doubt()
 	}
@@ -267,42 +275,43 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.suspects.heard(keeper.Process) {
-		r.options.Logger.WithField("keeper", keeper.Process).Info("keeper of room answers again")
+	if r.suspects.recordAnswer(keeper.Process) {
+		r.options.Logger.WithField("keeper", keeper.Process).Info("capacity keeper answers again, using it again")
 	}
-	if tally, known := r.tallies[group]; known && answer.Keeper && answer.Settled {
-		tally.Hear(answer.Busy, time.Now())
+	if state, known := r.groups[group]; known && answer.Keeper && answer.Settled {
+		state.SetBusy(answer.Busy, time.Now())
 	}
 }
 
-// noteError notes that a keeper did not answer. An asker that has gone tells nothing of it, and one
-// that knows no such question never will.
-func (r *Reporter) noteError(ctx context.Context, keeper budget.Holder, sure bool, err error) {
+// handleError records a missing answer. A canceled request says nothing about the keeper. A keeper
+// that does not know the method runs an older version and will never answer.
+func (r *Reporter) handleError(ctx context.Context, keeper budget.Holder, conclusive bool, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	sure = sure || fault.Is(err, fault.Invalid)
+	conclusive = conclusive || fault.Is(err, fault.Invalid)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.suspects.missed(keeper.Process, sure, time.Now()) {
-		r.options.Logger.WithError(err).WithField("keeper", keeper.Process).Warn("keeper of room does not answer, passed over")
+	if r.suspects.recordMiss(keeper.Process, conclusive, time.Now()) {
+		r.options.Logger.WithError(err).WithField("keeper", keeper.Process).Warn("capacity keeper does not answer, trying the next slot owner")
 	}
 }
 
-func (r *Reporter) passedOver(process string) bool {
+func (r *Reporter) isSuspected(process string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.suspects.passedOver(process)
+	return r.suspects.suspected(process)
 }
 
-func (r *Reporter) untried(process string) bool {
+func (r *Reporter) inBackoff(process string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.suspects.untried(process, time.Now())
+	return r.suspects.inBackoff(process, time.Now())
 }
 
-// learnt is what this node has seen of a group's workers and not told yet.
-func (r *Reporter) learnt(group Group) []experience.Sample {
+// collectSamples returns the samples of a group's workers that have not been sent yet. Samples of
+// other groups of the service stay until their next report.
+func (r *Reporter) collectSamples(group Group) []experience.Sample {
 	if r.options.Learner == nil {
 		return nil
 	}
@@ -314,51 +323,51 @@
 		if !ok {
 			continue
 		}
-		if tally := r.tally(other); tally != nil && len(tally.learnt) < mostInGroup {
-			tally.learnt = append(tally.learnt, sample)
+		if state := r.groupState(other); state != nil && len(state.samples) < targetGroupSize {
+			state.samples = append(state.samples, sample)
 		}
 	}
-	tally := r.tally(group)
-	if tally == nil {
+	state := r.groupState(group)
+	if state == nil {
 		return nil
 	}
-	learnt := tally.learnt
-	tally.learnt = nil
-	return learnt
+	pending := state.samples
+	state.samples = nil
+	return pending
 }
 
-// Holds is how many places the requests of this node have.
-func (r *Reporter) Holds() (places int) {
+// Holds returns the number of running requests that this node counts.
+func (r *Reporter) Holds() (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, tally := range r.tallies {
-		for _, present := range tally.running {
-			places += present.requests
+	for _, state := range r.groups {
+		for _, current := range state.running {
+			count += current.requests
 		}
 	}
-	return places
+	return count
 }
 
-// Busy is the mean share of places taken in the groups of a service in which this node has something
-// running, by their keepers' words, and the age of the oldest of them. Words older than longest do not
-// count; known is false if there are no others.
+// Busy returns the mean utilization of a service's groups in which this node has state, as their
+// keepers last reported it, and the age of the oldest value. Values older than longest are ignored;
+// known is false if none is left.
 func (r *Reporter) Busy(service string, longest time.Duration) (busy float64, age time.Duration, known bool) {
 	now := time.Now()
-	words := 0
+	count := 0
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for group, tally := range r.tallies {
+	for group, state := range r.groups {
 		if group.Service != service {
 			continue
 		}
-		if word, since, ok := tally.Busy(now); ok && since <= longest {
-			words++
-			busy += word
-			age = max(age, since)
+		if groupBusy, groupAge, ok := state.Busy(now); ok && groupAge <= longest {
+			count++
+			busy += groupBusy
+			age = max(age, groupAge)
 		}
 	}
-	if words == 0 {
+	if count == 0 {
 		return 0, 0, false
 	}
-	return busy / float64(words), age, true
+	return busy / float64(count), age, true
 }
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -1,10 +1,14 @@
-// Package room keeps account of how full workers are, over all nodes, and gives their places out.
+// Package room tracks the load of workers across all nodes and assigns requests to workers that have
+// free capacity.
 //
-// The workers of a service fall into groups. Each group has a keeper, the owner of a directory slot,
-// whom nodes tell what they have running there and whom they ask where to send the next request
-// while room is short. The account helps performance and promises nothing: it is in the keeper's
-// memory only, a new keeper starts from what nodes tell it, and a node that hears nothing in time
-// goes by its own knowledge.
+// The workers of a service in a zone are divided into groups. Each group has a keeper: the owner of a
+// directory slot, chosen by rendezvous hashing. Nodes report their running requests to the keeper.
+// While capacity is short, they also query it for a worker; the keeper answers, or holds the query
+// until capacity is free.
+//
+// Load reports only improve placement; correctness does not depend on them. A keeper holds them in
+// memory, a new keeper rebuilds them from the next reports, and a node that gets no answer in time
+// chooses a worker from local knowledge.
 package room
 
 import (
@@ -14,99 +18,102 @@
 	"github.com/cloverwheel/cloverwheel/internal/standing"
 )
 
-// Running is how many requests of one node a worker has now.
+// Running is the load that one node's requests put on a worker.
 type Running struct {
-	Worker   string // its key
+	Worker   string // worker key
 	Requests int
-	Tokens   int // that they hold, at most
+	Tokens   int // maximum number of tokens that the requests hold
 }
 
-// Report is what a node tells the keeper of a group. It replaces the node's report before.
+// Report is a node's load in a group. It replaces the node's previous report to the keeper.
 type Report struct {
-	From     string // process of the node
-	Sequence uint64 // rises with each report of the process
+	From     string // process name of the node
+	Sequence uint64 // increases with each report of the process
 	Group    Group
-	Running  []Running // of the group's workers; those not named have none of this node
-	// Lasts is for how long the report counts if no other follows.
+	Running  []Running // this node's requests in the group; workers without any are left out
+	// Lasts is how long the report counts if no other follows.
 	Lasts time.Duration
-	// Pending are the sequences of the node's questions that it still waits for: what was given
-	// out in answer to them is not among Running.
+	// Pending are the sequences of the queries that the node still waits for. What they were granted
+	// is not included in Running.
 	Pending []uint64
-	// Ended requests have held their places for Held in all since the report before.
+	// Ended is the number of requests that ended since the previous report, and Held the total time
+	// that they occupied their workers.
 	Ended int
 	Held  time.Duration
-	// Declined are the workers that have said since the report before that they are full.
+	// Declined are the keys of workers that declined a request since the previous report.
 	Declined []string
-	Learnt   []experience.Sample
+	// Learnt are the node's samples of worker behavior that it has not sent before.
+	Learnt []experience.Sample
 }
 
-// Request asks the keeper for a place, besides telling what runs.
+// Request is a message to a keeper: a report and, optionally, a query for a worker.
 type Request struct {
-	Process string // that is asked; another one at its address is not the keeper
-	// Passed says that the asker has passed over a process that should keep the group, since
-	// that did not answer.
+	Process string // process name of the receiver; another process at its address rejects the request
+	// Passed says that the sender has skipped a process that ranks before this one as keeper, because
+	// it does not answer.
 	Passed bool
 	Report Report
-	// Ask is nil if only the report is told.
+	// Ask is nil for a report without a query.
 	Ask *Ask
 }
 
-// Ask describes the request that needs a place.
+// Ask describes a request that needs a worker.
 type Ask struct {
 	Program standing.Program
-	Home    string   // key of the worker that knows its context; empty: none does
+	Home    string   // key of the worker that holds its context; empty: none
 	Fresh   int      // tokens that any other worker has to read
-	Tokens  int      // that it may hold in all
+	Tokens  int      // maximum number of tokens in memory
 	Exclude []string // keys of workers that may not get it
-	// Patience is how long the keeper may hold the question until there is room.
+	// Patience is how long the keeper may hold the query until there is capacity.
 	Patience time.Duration
 }
 
-// Outcome is a keeper's decision.
+// Outcome is a keeper's decision on a query.
 type Outcome int
 
-// The decisions.
+// Values of Outcome.
 const (
-	Unknown Outcome = iota // the keeper cannot tell: the node decides by itself
-	Go                     // to the worker named
-	Wait                   // there is no room now; ask again after Answer.After
-	Refuse                 // there will be none in time; come back after Answer.After
+	Unknown Outcome = iota // the keeper cannot decide; the node chooses a worker itself
+	Go                     // send the request to Answer.Worker
+	Wait                   // no capacity now; ask again after Answer.After
+	Refuse                 // no capacity in time; retry after Answer.After
 )
 
-// String names an outcome in metrics and log lines.
+// String returns the name of the outcome in metrics and log lines.
 func (o Outcome) String() string {
 	return [...]string{"unknown", "go", "wait", "refuse"}[o]
 }
 
-// Answer is the keeper's word.
+// Answer is a keeper's reply to a Request. The zero value means that the receiver is not the keeper.
 type Answer struct {
-	Keeper  bool // the process asked keeps the group
+	Keeper  bool // the receiver is the group's keeper
 	Outcome Outcome
-	Worker  string        // key of the worker to send to, with Go
+	Worker  string        // worker key, with Go
 	After   time.Duration // with Wait and Refuse
-	Reason  Reason        // for the log: why so
-	// Busy is the share of the group's places that are taken, above 1 if requests wait at workers.
-	// It counts only if Settled: the keeper has heard of all nodes.
+	Reason  Reason        // for logs and metrics
+	// Busy is the utilization of the group: running requests as a share of the workers' concurrency
+	// limits, above 1 if requests queue at workers. It is valid only if Settled, which says that all
+	// nodes have had time to report.
 	Busy    float64
 	Settled bool
-	// Waiting is how many questions the keeper holds.
+	// Waiting is the number of queries ahead of this one, or of all held queries without one.
 	Waiting int
-	// HeldFor is how long the keeper has held this one.
+	// HeldFor is how long the keeper held this query.
 	HeldFor time.Duration
-	// Avoid are the workers that the fleet's experience speaks against now.
+	// Avoid are the current verdicts on the group's workers, merged from the samples of all nodes.
 	Avoid []experience.Verdict
 }
 
-// Reason is why a keeper decided so.
+// Reason explains a keeper's decision. It is a metric label.
 type Reason string
 
-// The reasons.
+// Values of Reason.
 const (
-	ReasonHome     Reason = "home"     // the worker that knows the context has room
-	ReasonSooner   Reason = "sooner"   // it will have room before another has read the context
-	ReasonRoomiest Reason = "roomiest" // the worker with most room
-	ReasonOverbook Reason = "overbook" // all are full, and one ends before the request arrives
-	ReasonFull     Reason = "full"     // all are
-	ReasonNew      Reason = "new"      // the keeper has not heard of all nodes yet
-	ReasonNone     Reason = "none"     // the group has no worker that may get requests
+	ReasonHome       Reason = "home"     // the worker that holds the context has capacity
+	ReasonHomeSooner Reason = "sooner"   // the home worker will have capacity before another one has read the context
+	ReasonMostFree   Reason = "roomiest" // the worker with most free capacity
+	ReasonOvercommit Reason = "overbook" // all workers are at their limits; one request is expected to end in time
+	ReasonFull       Reason = "full"     // no worker has capacity
+	ReasonUnsettled  Reason = "new"      // not all nodes have had time to report
+	ReasonNoWorkers  Reason = "none"     // the group has no worker that may receive requests
 )
--- a/internal/room/slots.go
+++ b/internal/room/slots.go
@@ -8,35 +8,38 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 )
 
-// Owners tell which processes own directory slots.
-type Owners interface {
-	// Owner is the owner of a slot, unless it is unknown or has just not answered.
+// SlotOwners resolves the owners of directory slots.
+type SlotOwners interface {
+	// Owner returns the owner of a slot, which is empty if unknown. ok is false if the owner has just
+	// failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// Doubt notes that another process sees the slots otherwise.
+	// Doubt records that another process disagrees on the ownership of slots.
 	Doubt()
 }
 
-// Slots tell who keeps each group: the owner of a slot in the region of the group's workers.
+// Slots resolves the keeper of each group: the owner of a directory slot in the region of the group's
+// workers.
 type Slots struct {
 	Layout directory.Layout
 	Places *locality.Map
-	Owners Owners
+	Owners SlotOwners
 
-	orders sync.Map // Group -> []int
+	ranked sync.Map // cache of slotsFor: Group -> []int
 }
 
-// keeper is the process that keeps a group, as far as this node knows: the owner of the first slot
-// in the group's order that stands in its zone, or else of the first one. Processes that skip names
-// are passed over; passed says that one of them would have come before.
+// keeper returns the process that this node considers the keeper of a group: the first answering owner
+// in the group's zone, in the order of its ranked slots, or else the first in another zone. Processes
+// for which skip is true are skipped. passed reports that a process of higher rank was skipped or does
+// not answer.
 func (s *Slots) keeper(group Group, skip func(process string) bool) (keeper budget.Holder, passed, ok bool) {
-	for _, slot := range s.order(group) {
-		owner, answers := s.Owners.Owner(slot)
-		near := locality.ZoneOf(owner.Process) == group.Zone
+	for _, slot := range s.slotsFor(group) {
+		owner, answering := s.Owners.Owner(slot)
+		sameZone := locality.ZoneOf(owner.Process) == group.Zone
 		switch {
-		case owner.Process == "" || ok && !near:
-		case !answers || skip(owner.Process):
+		case owner.Process == "" || ok && !sameZone:
+		case !answering || skip(owner.Process):
 			passed = true
-		case near:
+		case sameZone:
 			return owner, passed, true
 		default:
 			keeper, ok = owner, true
@@ -45,12 +48,12 @@
 	return keeper, passed, ok
 }
 
-// order is the order of the slots whose owners may keep a group.
-func (s *Slots) order(group Group) []int {
-	if known, ok := s.orders.Load(group); ok {
-		return known.([]int)
+// slotsFor returns the slots whose owners may keep a group, best first.
+func (s *Slots) slotsFor(group Group) []int {
+	if cached, ok := s.ranked.Load(group); ok {
+		return cached.([]int)
 	}
-	order := group.slotOrder(s.Layout.Of(s.Places.Region(group.Zone)))
-	s.orders.Store(group, order)
-	return order
+	ranked := group.rankSlots(s.Layout.Of(s.Places.Region(group.Zone)))
+	s.ranked.Store(group, ranked)
+	return ranked
 }
--- a/internal/room/suspects.go
+++ b/internal/room/suspects.go
@@ -6,62 +6,62 @@
 )
 
 const (
-	// missesToSuspect is how many questions in a row go unanswered before a keeper is passed over:
-	// one may be lost.
+	// missesToSuspect is how many consecutive queries have to time out before a keeper is skipped. A
+	// single message may be lost.
 	missesToSuspect = 2
-	// firstPause and longestPause bound how long a suspect is told nothing. Then a report tries
-	// it, for which nobody waits.
-	firstPause   = 500 * time.Millisecond
-	longestPause = 4 * time.Second
-	// forgetSuspect is after how long one is forgotten that nobody names any more.
-	forgetSuspect = time.Minute
+	// initialBackoff and maxBackoff bound the time for which a suspected keeper receives nothing.
+	// After that a report without a query probes it.
+	initialBackoff = 500 * time.Millisecond
+	maxBackoff     = 4 * time.Second
+	// suspectTTL is how long an entry is kept after its last backoff ended.
+	suspectTTL = time.Minute
 )
 
-// suspects are the keepers that do not answer. It knows no clock.
+// suspects are the keepers that failed to answer, by process name. The type reads no clock.
 type suspects map[string]*suspect
 
 type suspect struct {
-	misses int
-	pause  time.Duration
-	until  time.Time
+	misses  int
+	backoff time.Duration
+	retryAt time.Time
 }
 
-// missed notes that a process did not answer. It reports whether it is passed over from now on that
-// was not before.
-func (s suspects) missed(process string, sure bool, now time.Time) (news bool) {
-	maps.DeleteFunc(s, func(_ string, known *suspect) bool { return now.Sub(known.until) > forgetSuspect })
-	known, ok := s[process]
+// recordMiss records that a process did not answer; if conclusive, one miss suffices to suspect it. It
+// reports whether the process is newly suspected.
+func (s suspects) recordMiss(process string, conclusive bool, now time.Time) (changed bool) {
+	maps.DeleteFunc(s, func(_ string, entry *suspect) bool { return now.Sub(entry.retryAt) > suspectTTL })
+	entry, ok := s[process]
 	if !ok {
-		known = &suspect{until: now}
-		s[process] = known
+		entry = &suspect{retryAt: now}
+		s[process] = entry
 	}
-	known.misses++
-	if sure {
-		known.misses = max(known.misses, missesToSuspect)
+	entry.misses++
+	if conclusive {
+		entry.misses = max(entry.misses, missesToSuspect)
 	}
-	if known.misses < missesToSuspect || now.Before(known.until) {
+	if entry.misses < missesToSuspect || now.Before(entry.retryAt) {
 		return false
 	}
-	news = known.pause == 0
-	known.pause = min(max(2*known.pause, firstPause), longestPause)
-	known.until = now.Add(known.pause)
-	return news
+	changed = entry.backoff == 0
+	entry.backoff = min(max(2*entry.backoff, initialBackoff), maxBackoff)
+	entry.retryAt = now.Add(entry.backoff)
+	return changed
 }
 
-// heard notes that a process answered. It reports whether it was passed over.
-func (s suspects) heard(process string) (news bool) {
-	known, ok := s[process]
+// recordAnswer clears a process that answered and reports whether it was suspected.
+func (s suspects) recordAnswer(process string) (changed bool) {
+	entry, ok := s[process]
 	delete(s, process)
-	return ok && known.pause > 0
+	return ok && entry.backoff > 0
 }
 
-// passedOver reports whether no request may wait for a process.
-func (s suspects) passedOver(process string) bool {
-	known, ok := s[process]
-	return ok && known.pause > 0
+// suspected reports whether queries have to skip a process.
+func (s suspects) suspected(process string) bool {
+	entry, ok := s[process]
+	return ok && entry.backoff > 0
 }
 
-// untried reports whether a process must not be told either.
-func (s suspects) untried(process string, now time.Time) bool {
-	return s.passedOver(process) && now.Before(s[process].until)
+// inBackoff reports whether a process must not be probed with a report either.
+func (s suspects) inBackoff(process string, now time.Time) bool {
+	return s.suspected(process) && now.Before(s[process].retryAt)
 }
--- a/internal/room/tally.go
+++ b/internal/room/tally.go
@@ -6,152 +6,155 @@
 )
 
 const (
-	// tellBusy and tellCalm are the least time between two reports of a node that come alone, while
-	// the group is busy and while it is not. tellGranted is that for a place that the keeper has
-	// given out itself: well before it would take it for lost.
-	tellBusy    = 10 * time.Millisecond
-	tellGranted = 150 * time.Millisecond
-	tellCalm    = 400 * time.Millisecond
-	// renewAfter is when a report is told anew of which nothing has changed, and reportLasts how
-	// long it counts: two in a row may be lost.
-	renewAfter  = 300 * time.Millisecond
-	reportLasts = 900 * time.Millisecond
-	// calmBelow is the share of taken places up to which a node goes by its own knowledge: most
-	// workers that it may pick have room then.
-	calmBelow = 0.5
-	// A keeper's word counts for wordLasts, and for longer if it was that the group was idle.
-	wordLasts     = time.Second
-	idleBelow     = 0.25
-	idleWordLasts = 10 * time.Second
-	// maxDeclined bounds the workers of which a report says that they have declined.
+	// reportDelayBusy and reportDelayNormal are the minimum times between two reports without a query,
+	// at high and at low load. reportDelayGranted is used if only requests granted by the keeper have
+	// changed; it has to be well below grantTTL.
+	reportDelayBusy    = 10 * time.Millisecond
+	reportDelayGranted = 150 * time.Millisecond
+	reportDelayNormal  = 400 * time.Millisecond
+	// renewInterval is the time after which an unchanged report is repeated, and reportTTL how long a
+	// report counts. Two consecutive reports may be lost.
+	renewInterval = 300 * time.Millisecond
+	reportTTL     = 900 * time.Millisecond
+	// decideLocallyBelow is the utilization below which a node chooses workers without the keeper:
+	// most of them have capacity then.
+	decideLocallyBelow = 0.5
+	// A known utilization is valid for busyTTL, or for idleBusyTTL if it is below idleBelow.
+	busyTTL     = time.Second
+	idleBelow   = 0.25
+	idleBusyTTL = 10 * time.Second
+	// maxDeclined limits Report.Declined.
 	maxDeclined = 16
 )
 
-// Tally is what one node has running at the workers of a group, and what its keeper said last. It
-// knows no clock.
-type Tally struct {
-	group    Group
-	sequence uint64
-	running  map[string]load // by worker
-	pending  []uint64
-	ended    int
-	held     time.Duration
-	declined []string
-	changed  bool // since the last report, in what the keeper does not know
-	granted  bool // likewise, in what it has given out
-	told     time.Time
-	busy     float64
-	word     time.Time // when the keeper last said how busy the group is; zero: never
+// NodeLoad is the load of one node in a group, and the utilization that the group's keeper last
+// reported. It reads no clock; callers pass the time.
+type NodeLoad struct {
+	group          Group
+	sequence       uint64
+	running        map[string]workerLoad // by worker key
+	pendingQueries []uint64
+	ended          int
+	held           time.Duration
+	declined       []string
+	changed        bool // changes since the last report that the keeper does not know
+	granted        bool // changes since the last report that the keeper has granted
+	reportedAt     time.Time
+	busy           float64
+	busyAt         time.Time // when busy was received; zero: never
 }
 
-// NewTally returns the tally of a node that has nothing running.
-func NewTally(group Group) *Tally { return &Tally{group: group, running: map[string]load{}} }
+// NewNodeLoad returns the load of a node without running requests.
+func NewNodeLoad(group Group) *NodeLoad {
+	return &NodeLoad{group: group, running: map[string]workerLoad{}}
+}
 
-// Begin counts a request at a worker that this node has chosen.
-func (t *Tally) Begin(worker string, tokens int) {
-	t.add(worker, 1, tokens)
-	t.changed = true
+// Begin counts a request at a worker chosen by this node.
+func (l *NodeLoad) Begin(worker string, tokens int) {
+	l.add(worker, 1, tokens)
+	l.changed = true
 }
 
-// BeginGranted counts one at a worker that the keeper has named.
-func (t *Tally) BeginGranted(worker string, tokens int) {
-	t.add(worker, 1, tokens)
-	t.granted = true
+// BeginGranted counts a request at a worker assigned by the keeper.
+func (l *NodeLoad) BeginGranted(worker string, tokens int) {
+	l.add(worker, 1, tokens)
+	l.granted = true
 }
 
-// End takes a request off that has held its place for a while.
-func (t *Tally) End(worker string, tokens int, held time.Duration) {
-	t.add(worker, -1, -tokens)
-	t.changed = true
-	t.ended++
-	t.held += held
+// End removes a request that occupied the worker for held.
+func (l *NodeLoad) End(worker string, tokens int, held time.Duration) {
+	l.add(worker, -1, -tokens)
+	l.changed = true
+	l.ended++
+	l.held += held
 }
 
-func (t *Tally) add(worker string, requests, tokens int) {
-	present := t.running[worker]
-	present.requests += requests
-	present.tokens += tokens
-	if present.requests <= 0 {
-		delete(t.running, worker)
+func (l *NodeLoad) add(worker string, requests, tokens int) {
+	current := l.running[worker]
+	current.requests += requests
+	current.tokens += tokens
+	if current.requests <= 0 {
+		delete(l.running, worker)
 		return
 	}
-	t.running[worker] = present
+	l.running[worker] = current
 }
 
-// Declined notes that a worker said that it is full.
-func (t *Tally) Declined(worker string) {
-	if len(t.declined) < maxDeclined && !slices.Contains(t.declined, worker) {
-		t.declined = append(t.declined, worker)
+// Declined records that a worker declined a request because it is full.
+func (l *NodeLoad) Declined(worker string) {
+	if len(l.declined) < maxDeclined && !slices.Contains(l.declined, worker) {
+		l.declined = append(l.declined, worker)
 	}
-	t.changed = true
+	l.changed = true
 }
 
-// Report is what the keeper is told now.
-func (t *Tally) Report(from string, now time.Time) Report {
-	t.sequence++
+// Report returns the next report to the keeper and resets the changes.
+func (l *NodeLoad) Report(from string, now time.Time) Report {
+	l.sequence++
 	report := Report{
-		From: from, Sequence: t.sequence, Group: t.group, Lasts: reportLasts,
-		Pending: slices.Clone(t.pending), Ended: t.ended, Held: t.held, Declined: t.declined,
+		From: from, Sequence: l.sequence, Group: l.group, Lasts: reportTTL,
+		Pending: slices.Clone(l.pendingQueries), Ended: l.ended, Held: l.held, Declined: l.declined,
 	}
-	for worker, present := range t.running {
-		report.Running = append(report.Running, Running{Worker: worker, Requests: present.requests, Tokens: present.tokens})
+	for worker, current := range l.running {
+		report.Running = append(report.Running, Running{Worker: worker, Requests: current.requests, Tokens: current.tokens})
 	}
-	t.ended, t.held, t.declined, t.changed, t.granted, t.told = 0, 0, nil, false, false, now
+	l.ended, l.held, l.declined, l.changed, l.granted, l.reportedAt = 0, 0, nil, false, false, now
 	return report
 }
 
-// Asked notes that a question is waited for that went with a report.
-func (t *Tally) Asked(sequence uint64) { t.pending = append(t.pending, sequence) }
+// QuerySent records that the node waits for the answer to the query sent with a report.
+func (l *NodeLoad) QuerySent(sequence uint64) { l.pendingQueries = append(l.pendingQueries, sequence) }
 
-// Answered notes that a question is not waited for any more. What it was given counts as running
-// before.
-func (t *Tally) Answered(sequence uint64) {
-	t.pending = slices.DeleteFunc(t.pending, func(other uint64) bool { return other == sequence })
-	t.granted = true
+// QueryDone records that the node does not wait for a query any more. The caller has to count a
+// granted request before the next report.
+func (l *NodeLoad) QueryDone(sequence uint64) {
+	l.pendingQueries = slices.DeleteFunc(l.pendingQueries, func(other uint64) bool { return other == sequence })
+	l.granted = true
 }
 
-// Unsaid notes that what was told last was not heard.
-func (t *Tally) Unsaid(now time.Time) { t.changed, t.told = true, now }
+// ReportLost records that the last report did not reach the keeper, so that it is repeated.
+func (l *NodeLoad) ReportLost(now time.Time) { l.changed, l.reportedAt = true, now }
 
-// Hear takes in a keeper's word.
-func (t *Tally) Hear(busy float64, now time.Time) { t.busy, t.word = busy, now }
+// SetBusy records the utilization that the keeper reported.
+func (l *NodeLoad) SetBusy(busy float64, now time.Time) { l.busy, l.busyAt = busy, now }
 
-// Busy is the keeper's last word, and how old it is.
-func (t *Tally) Busy(now time.Time) (busy float64, age time.Duration, known bool) {
-	return t.busy, now.Sub(t.word), !t.word.IsZero()
+// Busy returns the utilization that the keeper last reported, and its age.
+func (l *NodeLoad) Busy(now time.Time) (busy float64, age time.Duration, known bool) {
+	return l.busy, now.Sub(l.busyAt), !l.busyAt.IsZero()
 }
 
-// Calm reports whether a node need not ask: it has heard lately that there is room, or it has heard
-// nothing ever.
-func (t *Tally) Calm(now time.Time) bool {
-	age := now.Sub(t.word)
+// CanDecideLocally reports whether the node may choose a worker without the keeper: the last
+// utilization is recent and low, or none was ever received.
+func (l *NodeLoad) CanDecideLocally(now time.Time) bool {
+	age := now.Sub(l.busyAt)
 	switch {
-	case t.word.IsZero():
+	case l.busyAt.IsZero():
 		return true
-	case t.busy < idleBelow:
-		return age <= idleWordLasts
+	case l.busy < idleBelow:
+		return age <= idleBusyTTL
 	default:
-		return t.busy < calmBelow && age <= wordLasts
+		return l.busy < decideLocallyBelow && age <= busyTTL
 	}
 }
 
-// Due is when the keeper is to be told next; ok is false while there is nothing to tell.
-func (t *Tally) Due() (at time.Time, ok bool) {
+// NextReport returns when the next report is due. ok is false if there is nothing to report.
+func (l *NodeLoad) NextReport() (at time.Time, ok bool) {
 	switch {
-	case t.changed && t.busy >= calmBelow:
-		return t.told.Add(tellBusy), true
-	case t.granted:
-		return t.told.Add(tellGranted), true
-	case t.changed:
-		return t.told.Add(tellCalm), true
-	case len(t.running) > 0:
-		return t.told.Add(renewAfter), true
+	case l.changed && l.busy >= decideLocallyBelow:
+		return l.reportedAt.Add(reportDelayBusy), true
+	case l.granted:
+		return l.reportedAt.Add(reportDelayGranted), true
+	case l.changed:
+		return l.reportedAt.Add(reportDelayNormal), true
+	case len(l.running) > 0:
+		return l.reportedAt.Add(renewInterval), true
 	default:
 		return time.Time{}, false
 	}
 }
 
-// Idle reports whether the tally holds nothing that is worth keeping.
-func (t *Tally) Idle(now time.Time) bool {
-	return len(t.running) == 0 && len(t.pending) == 0 && !t.changed && !t.granted && now.Sub(t.word) > idleWordLasts
+// Idle reports whether nothing is running, pending or unreported, and the last utilization has
+// expired.
+func (l *NodeLoad) Idle(now time.Time) bool {
+	return len(l.running) == 0 && len(l.pendingQueries) == 0 && !l.changed && !l.granted && now.Sub(l.busyAt) > idleBusyTTL
 }
--- a/internal/room/world_test.go
+++ b/internal/room/world_test.go
@@ -22,107 +22,108 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// world is some nodes of one zone before workers that all of them know. Nodes 0 and 1 own slots.
-type world struct {
+// testCluster is a set of nodes in one zone with workers known to all of them. Nodes 0 and 1 own the
+// slots.
+type testCluster struct {
 	t       *testing.T
 	owners  []budget.Holder // by slot
 	workers []string
-	nodes   []*worldNode
+	nodes   []*testNode
 	hop     time.Duration
-	board   seen // what all nodes have seen of workers
+	merged  sampleRecorder // samples of all nodes, merged by keepers
 
-	mutex  sync.Mutex
-	silent map[string]bool // processes that answer nobody
-	cut    map[[2]string]bool
-	old    map[string]bool // processes that do not know the question
-	doubts int
+	mutex        sync.Mutex
+	unresponsive map[string]bool // processes that do not answer
+	cut          map[[2]string]bool
+	outdated     map[string]bool // processes of an older version, which do not know the method
+	doubts       int
 }
 
-type worldNode struct {
-	world    *world
+type testNode struct {
+	cluster  *testCluster
 	self     budget.Holder
 	keeper   *Keeper
 	reporter *Reporter
 	found    []Found
-	seen     seen
+	samples  sampleRecorder
 }
 
-const worldPlaces = 4
+const testConcurrency = 4
 
-func newWorld(t *testing.T, nodes, workers int) *world {
-	w := &world{t: t, hop: time.Millisecond, silent: map[string]bool{}, cut: map[[2]string]bool{}, old: map[string]bool{}}
+func newTestCluster(t *testing.T, nodes, workers int) *testCluster {
+	c := &testCluster{t: t, hop: time.Millisecond, unresponsive: map[string]bool{}, cut: map[[2]string]bool{}, outdated: map[string]bool{}}
 	for index := range workers {
-		w.workers = append(w.workers, fmt.Sprint("w", index))
+		c.workers = append(c.workers, fmt.Sprint("w", index))
 	}
 	for index := range nodes {
 		process := locality.ProcessName("z", fmt.Sprint("n", index), "1")
-		w.nodes = append(w.nodes, &worldNode{world: w, self: budget.Holder{Process: process, Address: process}})
+		c.nodes = append(c.nodes, &testNode{cluster: c, self: budget.Holder{Process: process, Address: process}})
 	}
-	w.owners = make([]budget.Holder, directory.Layout{}.Count())
-	for slot := range w.owners {
-		w.owners[slot] = w.nodes[slot%2].self
+	c.owners = make([]budget.Holder, directory.Layout{}.Count())
+	for slot := range c.owners {
+		c.owners[slot] = c.nodes[slot%2].self
 	}
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
-	for _, node := range w.nodes {
+	for _, node := range c.nodes {
 		slots := &Slots{Owners: node}
-		node.keeper = NewKeeper(KeeperOptions{Process: node.self.Process, Slots: slots, Members: node.members, Experience: &w.board, Count: func(Outcome, Reason) {}, Logger: logger})
+		node.keeper = NewKeeper(KeeperOptions{Process: node.self.Process, Slots: slots, Members: node.members, Experience: &c.merged, Count: func(Outcome, Reason) {}, Logger: logger})
 		node.reporter = NewReporter(ReporterOptions{
-			Self: node.self, Zone: "z", Slots: slots, Peers: node, Workers: node, Keeper: node.keeper, Learner: &node.seen,
+			Self: node.self, Zone: "z", Slots: slots, Peers: node, Workers: node, Keeper: node.keeper, Learner: &node.samples,
 			Count: func(found Found) { node.found = append(node.found, found) }, Told: func(bool) {}, Logger: logger,
 		})
 		go node.reporter.Run(t.Context())
 	}
-	return w
+	return c
 }
 
-// first is the node that keeps the group.
-func (w *world) first() int {
-	keeper, _, _ := w.nodes[0].reporter.options.Slots.keeper(worldGroup, func(string) bool { return false })
-	return slices.IndexFunc(w.nodes, func(node *worldNode) bool { return node.self == keeper })
+// keeperIndex returns the index of the node that keeps the group.
+func (c *testCluster) keeperIndex() int {
+	keeper, _, _ := c.nodes[0].reporter.options.Slots.keeper(testGroup, func(string) bool { return false })
+	return slices.IndexFunc(c.nodes, func(node *testNode) bool { return node.self == keeper })
 }
 
-var worldGroup = Group{Service: "s", Zone: "z"}
+var testGroup = Group{Service: "s", Zone: "z"}
 
-func (n *worldNode) Owner(slot int) (budget.Holder, bool) { return n.world.owners[slot], true }
+func (n *testNode) Owner(slot int) (budget.Holder, bool) { return n.cluster.owners[slot], true }
 
-func (n *worldNode) Doubt() {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
-	n.world.doubts++
+func (n *testNode) Doubt() {
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
+	n.cluster.doubts++
 }
 
-func (n *worldNode) members(Group) (members []Member, ok bool) {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
-	for _, worker := range n.world.workers {
-		members = append(members, Member{Worker: worker, Places: worldPlaces})
+func (n *testNode) members(Group) (members []Member, ok bool) {
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
+	for _, worker := range n.cluster.workers {
+		members = append(members, Member{Worker: worker, Places: testConcurrency})
 	}
 	return members, true
 }
 
-func (n *worldNode) GroupOf(_, worker string) (Group, bool) { return worldGroup, worker != "" }
-func (n *worldNode) GroupIn(_, _, _ string) (Group, bool)   { return worldGroup, true }
-func (n *worldNode) Others(_, _ string) []Distant           { return nil }
-func (n *worldNode) Near(string) bool                       { return true }
-func (n *worldNode) Shunned(Group) []string                 { return nil }
-func (w *world) set(states map[string]bool, of int, to bool) {
-	w.locked(func() { states[w.process(of)] = to })
+func (n *testNode) GroupOf(_, worker string) (Group, bool) { return testGroup, worker != "" }
+func (n *testNode) GroupIn(_, _, _ string) (Group, bool)   { return testGroup, true }
+func (n *testNode) Others(_, _ string) []Distant           { return nil }
+func (n *testNode) Near(string) bool                       { return true }
+func (n *testNode) Shunned(Group) []string                 { return nil }
+func (c *testCluster) setState(states map[string]bool, of int, to bool) {
+	c.withLock(func() { states[c.process(of)] = to })
 }
-func (w *world) process(index int) string { return w.nodes[index].self.Process }
-func (w *world) locked(do func())         { w.mutex.Lock(); defer w.mutex.Unlock(); do() }
-func (w *world) cutFrom(from, to int) {
-	w.locked(func() { w.cut[[2]string{w.process(from), w.process(to)}] = true })
+func (c *testCluster) process(index int) string { return c.nodes[index].self.Process }
+func (c *testCluster) withLock(do func())       { c.mutex.Lock(); defer c.mutex.Unlock(); do() }
+func (c *testCluster) cutLink(from, to int) {
+	c.withLock(func() { c.cut[[2]string{c.process(from), c.process(to)}] = true })
 }
-func (n *worldNode) fate(to string) (lost, unknown bool) {
-	w := n.world
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.silent[to] || w.silent[n.self.Process] || w.cut[[2]string{n.self.Process, to}], w.old[to]
+func (n *testNode) linkState(to string) (lost, unknown bool) {
+	c := n.cluster
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.unresponsive[to] || c.unresponsive[n.self.Process] || c.cut[[2]string{n.self.Process, to}], c.outdated[to]
 }
 
 // Room implements Peers.
-func (n *worldNode) Room(ctx context.Context, keeper budget.Holder, request Request) (Answer, error) {
-	lost, unknown := n.fate(keeper.Process)
+func (n *testNode) Room(ctx context.Context, keeper budget.Holder, request Request) (Answer, error) {
+	lost, unknown := n.linkState(keeper.Process)
 	if lost {
 		<-ctx.Done()
 		return Answer{}, ctx.Err()
@@ -130,53 +131,53 @@
 	if unknown {
 		return Answer{}, fault.New(fault.Invalid, "unknown peer method", "run the same version on all nodes")
 	}
-	if err := wait.For(ctx, n.world.hop); err != nil {
+	if err := wait.For(ctx, n.cluster.hop); err != nil {
 		return Answer{}, err
 	}
-	index := slices.IndexFunc(n.world.nodes, func(other *worldNode) bool { return other.self == keeper })
+	index := slices.IndexFunc(n.cluster.nodes, func(other *testNode) bool { return other.self == keeper })
 	if index < 0 {
-		return Answer{}, errors.New("nobody there")
+		return Answer{}, errors.New("no such node")
 	}
-	answer := n.world.nodes[index].keeper.Answer(ctx, request)
-	if err := wait.For(ctx, n.world.hop); err != nil {
+	answer := n.cluster.nodes[index].keeper.Answer(ctx, request)
+	if err := wait.For(ctx, n.cluster.hop); err != nil {
 		return Answer{}, err
 	}
 	return answer, nil
 }
 
-// find asks for a place, and takes the worker that a blind node would where there is none.
-func (n *worldNode) find(wanted Wanted) (Found, *Place) {
+// find asks for a worker and falls back to the first one if none is assigned.
+func (n *testNode) find(wanted Wanted) (Found, *Place) {
 	wanted.Service = "s"
 	wanted.Allows = func(string) bool { return true }
-	found := n.reporter.Find(n.world.t.Context(), wanted)
+	found := n.reporter.Find(n.cluster.t.Context(), wanted)
 	if found.Place != nil {
 		return found, found.Place
 	}
-	return found, n.reporter.Begin("s", n.world.workers[0], 0)
+	return found, n.reporter.Begin("s", n.cluster.workers[0], 0)
 }
 
-// fill gives a node so many requests, spread over the workers.
-func (n *worldNode) fill(requests int) (places []*Place) {
+// beginRequests starts requests on a node, spread over the workers.
+func (n *testNode) beginRequests(requests int) (places []*Place) {
 	for index := range requests {
-		places = append(places, n.reporter.Begin("s", n.world.workers[index%len(n.world.workers)], 0))
+		places = append(places, n.reporter.Begin("s", n.cluster.workers[index%len(n.cluster.workers)], 0))
 	}
 	return places
 }
 
-// settle lets the keeper hear of all nodes.
-func settle() { time.Sleep(2*settling + 100*time.Millisecond) }
+// settle waits until the keeper has received reports of all nodes.
+func settle() { time.Sleep(2*settleTime + 100*time.Millisecond) }
 
-// inWorld runs a test in virtual time.
-func inWorld(t *testing.T, nodes, workers int, test func(t *testing.T, w *world)) {
-	synctest.Test(t, func(t *testing.T) { test(t, newWorld(t, nodes, workers)) })
+// runCluster runs a test in virtual time.
+func runCluster(t *testing.T, nodes, workers int, test func(t *testing.T, c *testCluster)) {
+	synctest.Test(t, func(t *testing.T) { test(t, newTestCluster(t, nodes, workers)) })
 }
 
-// TestNobodyWaitsWhileTheGroupIsCalm, and messages are few.
-func TestNobodyWaitsWhileTheGroupIsCalm(t *testing.T) {
-	inWorld(t, 4, 4, func(t *testing.T, w *world) {
-		w.nodes[2].fill(4)
+// TestNoQueryAtLowLoad guards against queries to the keeper while most workers have capacity.
+func TestNoQueryAtLowLoad(t *testing.T) {
+	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(4)
 		settle()
-		found, place := w.nodes[2].find(Wanted{})
+		found, place := c.nodes[2].find(Wanted{})
 		require.Equal(t, SourceCalm, found.Source)
 		require.Zero(t, found.Took)
 		require.InDelta(t, 0.25, found.Busy, 0)
@@ -184,103 +185,105 @@
 	})
 }
 
-// TestTheKeeperNamesTheWorkerWithRoom while the group is busy.
-func TestTheKeeperNamesTheWorkerWithRoom(t *testing.T) {
-	inWorld(t, 4, 4, func(t *testing.T, w *world) {
-		w.nodes[2].fill(15) // of 16 places; the last worker has 3
+// TestKeeperAssignsFreeWorker guards against a request sent to a full worker while another one has
+// capacity.
+func TestKeeperAssignsFreeWorker(t *testing.T) {
+	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(15) // of 16; the last worker has 3 requests
 		settle()
-		w.nodes[3].fill(0)
-		found, place := w.nodes[3].find(Wanted{})
-		require.Equal(t, SourceCalm, found.Source, "it has heard nothing yet")
+		c.nodes[3].beginRequests(0)
+		found, place := c.nodes[3].find(Wanted{})
+		require.Equal(t, SourceCalm, found.Source, "no status received yet")
 		place.End()
 		settle()
-		found, place = w.nodes[3].find(Wanted{})
+		found, place = c.nodes[3].find(Wanted{})
 		require.Equal(t, SourceKeeper, found.Source)
 		require.Equal(t, "w3", place.Worker())
-		require.LessOrEqual(t, found.Took, 2*w.hop)
+		require.LessOrEqual(t, found.Took, 2*c.hop)
 	})
 }
 
-// TestAPlaceThatComesFreeIsGivenOn at once: to one who waits, also where a client left or a send
-// failed, since all end their places alike.
-func TestAPlaceThatComesFreeIsGivenOn(t *testing.T) {
-	inWorld(t, 4, 1, func(t *testing.T, w *world) {
-		places := w.nodes[2].fill(worldPlaces + overbooked)
-		w.nodes[3].fill(1)
+// TestFreedCapacityGoesToQueuedRequest guards against freed capacity that stays idle while a query
+// waits. Canceled and failed requests release capacity in the same way.
+func TestFreedCapacityGoesToQueuedRequest(t *testing.T) {
+	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
+		places := c.nodes[2].beginRequests(testConcurrency + overcommit)
+		c.nodes[3].beginRequests(1)
 		settle()
 		begun := time.Now()
 		time.AfterFunc(50*time.Millisecond, func() { places[0].End(); places[1].End() })
-		found, _ := w.nodes[3].find(Wanted{Longest: 400 * time.Millisecond})
+		found, _ := c.nodes[3].find(Wanted{Longest: 400 * time.Millisecond})
 		require.Equal(t, SourceKeeper, found.Source)
 		require.Equal(t, "w0", found.Place.Worker())
-		require.LessOrEqual(t, time.Since(begun), 50*time.Millisecond+tellBusy+2*tellTick+4*w.hop)
+		require.LessOrEqual(t, time.Since(begun), 50*time.Millisecond+reportDelayBusy+2*reportTick+4*c.hop)
 	})
 }
 
-// TestNobodyWaitsForLongerThanHeMay.
-func TestNobodyWaitsForLongerThanHeMay(t *testing.T) {
-	inWorld(t, 4, 1, func(t *testing.T, w *world) {
-		w.nodes[2].fill(20)
-		w.nodes[3].fill(1)
+// TestMaximumWaitIsKept guards against waiting longer for capacity than the request allows.
+func TestMaximumWaitIsKept(t *testing.T) {
+	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(20)
+		c.nodes[3].beginRequests(1)
 		settle()
 		for _, longest := range []time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond} {
-			found, place := w.nodes[3].find(Wanted{Longest: longest})
+			found, place := c.nodes[3].find(Wanted{Longest: longest})
 			require.Equal(t, SourceFull, found.Source)
-			require.LessOrEqual(t, found.Took, longest+10*w.hop)
+			require.LessOrEqual(t, found.Took, longest+10*c.hop)
 			place.End()
 		}
 	})
 }
 
-// TestAnAskerThatLeavesTakesNoPlace.
-func TestAnAskerThatLeavesTakesNoPlace(t *testing.T) {
-	inWorld(t, 4, 1, func(t *testing.T, w *world) {
-		places := w.nodes[2].fill(worldPlaces + overbooked)
-		held := w.nodes[3].fill(1)
+// TestCanceledRequestTakesNoCapacity guards against capacity lost to a request canceled while it
+// waited.
+func TestCanceledRequestTakesNoCapacity(t *testing.T) {
+	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
+		places := c.nodes[2].beginRequests(testConcurrency + overcommit)
+		held := c.nodes[3].beginRequests(1)
 		settle()
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
-		found := w.nodes[3].reporter.Find(ctx, Wanted{Service: "s", Longest: 400 * time.Millisecond, Allows: func(string) bool { return true }})
+		found := c.nodes[3].reporter.Find(ctx, Wanted{Service: "s", Longest: 400 * time.Millisecond, Allows: func(string) bool { return true }})
 		require.Nil(t, found.Place)
 		require.LessOrEqual(t, found.Took, 21*time.Millisecond)
 		for _, place := range append(places, held...) {
 			place.End()
 		}
-		time.Sleep(grantLasts + 100*time.Millisecond)
-		require.Zero(t, w.nodes[w.first()].keeper.Busy(worldGroup))
+		time.Sleep(grantTTL + 100*time.Millisecond)
+		require.Zero(t, c.nodes[c.keeperIndex()].keeper.Busy(testGroup))
 	})
 }
 
-// trouble is a failure, and how it is asked for places while and after it lasts.
-type trouble struct {
-	begin func(w *world, keeper int)
-	end   func(w *world, keeper int)
-	alone bool // only the asker does not reach the keeper: who stands in knows of nobody else
+// keeperFailure is a failure of the keeper.
+type keeperFailure struct {
+	start     func(w *testCluster, keeper int)
+	stop      func(w *testCluster, keeper int)
+	askerOnly bool // only the asker cannot reach the keeper; the replacement has no other node's reports
 }
 
-// TestALostKeeperCostsLittle: a keeper is killed, paused for 4 s, cut one way, or an old build takes
-// its place. Nobody waits for it for long, requests go as they do without one, and within a second a
-// keeper names the worker with room again. A node that alone is cut off from it goes on as without one.
-func TestALostKeeperCostsLittle(t *testing.T) {
-	for name, trouble := range map[string]trouble{
-		"killed":      {begin: func(w *world, keeper int) { w.set(w.silent, keeper, true) }},
-		"cut one way": {begin: func(w *world, keeper int) { w.cutFrom(3, keeper) }, alone: true},
-		"old build":   {begin: func(w *world, keeper int) { w.set(w.old, keeper, true) }},
+// TestKeeperFailover guards against long waits when a keeper is killed, paused for 4 s, unreachable
+// one way or replaced by an older version. Within a second another keeper assigns workers. A node that
+// alone cannot reach the keeper chooses from local knowledge.
+func TestKeeperFailover(t *testing.T) {
+	for name, failure := range map[string]keeperFailure{
+		"killed":      {start: func(c *testCluster, keeper int) { c.setState(c.unresponsive, keeper, true) }},
+		"cut one way": {start: func(c *testCluster, keeper int) { c.cutLink(3, keeper) }, askerOnly: true},
+		"old build":   {start: func(c *testCluster, keeper int) { c.setState(c.outdated, keeper, true) }},
 		"paused": {
-			begin: func(w *world, keeper int) { w.set(w.silent, keeper, true) },
-			end:   func(w *world, keeper int) { w.set(w.silent, keeper, false) },
+			start: func(c *testCluster, keeper int) { c.setState(c.unresponsive, keeper, true) },
+			stop:  func(c *testCluster, keeper int) { c.setState(c.unresponsive, keeper, false) },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 4, 4, func(t *testing.T, w *world) {
-				w.nodes[2].fill(15) // w3 alone has room
-				w.nodes[3].fill(1)
+			runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
+				c.nodes[2].beginRequests(15) // only w3 has capacity
+				c.nodes[3].beginRequests(1)
 				settle()
 				settle()
-				keeper := w.first()
-				trouble.begin(w, keeper)
+				keeper := c.keeperIndex()
+				failure.start(c, keeper)
 				ask := func() Found {
-					found, place := w.nodes[3].find(Wanted{Longest: 400 * time.Millisecond})
+					found, place := c.nodes[3].find(Wanted{Longest: 400 * time.Millisecond})
 					place.End()
 					time.Sleep(30 * time.Millisecond)
 					return found
@@ -289,166 +292,166 @@
 				for begun := time.Now(); time.Since(begun) < time.Second; {
 					found := ask()
 					waited += found.Took
-					require.Contains(t, []Source{SourceKeeper, SourceSilent, SourceNew, SourceCalm}, found.Source)
+					require.Contains(t, []Source{SourceKeeper, SourceNoAnswer, SourceUnsettled, SourceCalm}, found.Source)
 				}
-				require.LessOrEqual(t, waited, missesToSuspect*askWait+time.Second/10)
+				require.LessOrEqual(t, waited, missesToSuspect*queryTimeout+time.Second/10)
 				for begun := time.Now(); time.Since(begun) < 3*time.Second; {
 					found := ask()
-					require.LessOrEqual(t, found.Took, 10*w.hop)
-					if trouble.alone {
+					require.LessOrEqual(t, found.Took, 10*c.hop)
+					if failure.askerOnly {
 						continue
 					}
 					require.Equal(t, SourceKeeper, found.Source, "after %v", time.Since(begun))
-					require.NotEqual(t, w.process(keeper), found.Keeper)
+					require.NotEqual(t, c.process(keeper), found.Keeper)
 					require.Equal(t, "w3", found.Place.Worker())
 				}
-				if trouble.end == nil {
+				if failure.stop == nil {
 					return
 				}
-				trouble.end(w, keeper)
-				for begun := time.Now(); time.Since(begun) < 2*longestPause; {
+				failure.stop(c, keeper)
+				for begun := time.Now(); time.Since(begun) < 2*maxBackoff; {
 					ask()
 				}
 				found := ask()
 				require.Equal(t, SourceKeeper, found.Source)
-				require.Equal(t, w.process(keeper), found.Keeper, "it keeps the group again")
+				require.Equal(t, c.process(keeper), found.Keeper, "the recovered process must be keeper again")
 				require.Equal(t, "w3", found.Place.Worker())
 			})
 		})
 	}
 }
 
-// TestTwoKeepersAtOnce: nodes that see the slots differently tell two keepers. Each knows a part, no
-// request waits longer than it may, and a keeper by its own view sends those away who ask it by
-// an old one.
+// TestTwoKeepersAtOnce guards against excessive waits when nodes disagree on the slot owners and
+// report to different keepers, and against a process that answers as keeper when it is not.
 func TestTwoKeepersAtOnce(t *testing.T) {
-	inWorld(t, 6, 4, func(t *testing.T, w *world) {
-		first := w.first()
+	runCluster(t, 6, 4, func(t *testing.T, c *testCluster) {
+		first := c.keeperIndex()
 		second := 1 - first
 		for _, index := range []int{3, 5} {
-			w.cutFrom(index, first)
+			c.cutLink(index, first)
 		}
 		for index := 2; index < 6; index++ {
-			w.nodes[index].fill(4) // 16 of 16 places
+			c.nodes[index].beginRequests(4) // all 16 in use
 		}
 		settle()
 		settle()
 		for range 20 {
 			for index := 2; index < 6; index++ {
-				found, place := w.nodes[index].find(Wanted{Longest: 100 * time.Millisecond})
-				require.LessOrEqual(t, found.Took, 100*time.Millisecond+10*w.hop)
+				found, place := c.nodes[index].find(Wanted{Longest: 100 * time.Millisecond})
+				require.LessOrEqual(t, found.Took, 100*time.Millisecond+10*c.hop)
 				place.End()
 			}
 			time.Sleep(30 * time.Millisecond)
 		}
-		last := func(index int) Found { return w.nodes[index].found[len(w.nodes[index].found)-1] }
-		require.Equal(t, w.process(first), last(2).Keeper)
-		require.Equal(t, w.process(second), last(3).Keeper)
+		last := func(index int) Found { return c.nodes[index].found[len(c.nodes[index].found)-1] }
+		require.Equal(t, c.process(first), last(2).Keeper)
+		require.Equal(t, c.process(second), last(3).Keeper)
 
-		answer := w.nodes[second].keeper.Answer(t.Context(), Request{Process: w.process(second), Report: Report{From: "x", Group: worldGroup}})
-		require.False(t, answer.Keeper, "it does not keep the group, nor was another passed over")
-		answer = w.nodes[first].keeper.Answer(t.Context(), Request{Process: "of an earlier process", Report: Report{From: "x", Group: worldGroup}})
+		answer := c.nodes[second].keeper.Answer(t.Context(), Request{Process: c.process(second), Report: Report{From: "x", Group: testGroup}})
+		require.False(t, answer.Keeper, "not the keeper, and no other process was passed over")
+		answer = c.nodes[first].keeper.Answer(t.Context(), Request{Process: "of an earlier process", Report: Report{From: "x", Group: testGroup}})
 		require.False(t, answer.Keeper)
 	})
 }
 
-// TestANodeThatDiesFreesItsPlaces within a second.
-func TestANodeThatDiesFreesItsPlaces(t *testing.T) {
-	inWorld(t, 4, 13, func(t *testing.T, w *world) {
-		w.nodes[2].fill(50) // of 52
-		w.nodes[3].fill(1)
+// TestDeadNodeFreesItsCapacity guards against capacity that stays occupied for more than a second
+// after a node dies.
+func TestDeadNodeFreesItsCapacity(t *testing.T) {
+	runCluster(t, 4, 13, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(50) // of 52
+		c.nodes[3].beginRequests(1)
 		settle()
 		settle()
 		busy := func() float64 {
-			found, place := w.nodes[3].find(Wanted{})
+			found, place := c.nodes[3].find(Wanted{})
 			place.End()
 			return found.Busy
 		}
 		require.Greater(t, busy(), 0.9)
-		w.set(w.silent, 2, true)
+		c.setState(c.unresponsive, 2, true)
 		time.Sleep(time.Second)
 		require.Less(t, busy(), 0.1)
 	})
 }
 
-// TestAWorkerThatStartsAgainIsAnother: its key names the incarnation; what ran at the one before does
-// not count against it.
-func TestAWorkerThatStartsAgainIsAnother(t *testing.T) {
-	inWorld(t, 4, 3, func(t *testing.T, w *world) {
-		w.nodes[2].fill(11) // w2 has 3, the others 4
-		w.nodes[3].fill(1)  // and w0 one more
+// TestRestartedWorkerIsNewWorker guards against counting the requests of a worker's previous
+// incarnation. The worker key names the incarnation.
+func TestRestartedWorkerIsNewWorker(t *testing.T) {
+	runCluster(t, 4, 3, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(11) // w2 has 3, the others 4
+		c.nodes[3].beginRequests(1)  // w0 has one more
 		settle()
 		settle()
-		found, place := w.nodes[3].find(Wanted{})
+		found, place := c.nodes[3].find(Wanted{})
 		require.Equal(t, "w2", found.Place.Worker())
 		place.End()
-		w.locked(func() { w.workers[0] = "w0@2" })
+		c.withLock(func() { c.workers[0] = "w0@2" })
 		time.Sleep(100 * time.Millisecond)
-		found, place = w.nodes[3].find(Wanted{Home: "w0"})
+		found, place = c.nodes[3].find(Wanted{Home: "w0"})
 		require.Equal(t, "w0@2", found.Place.Worker())
 		place.End()
 	})
 }
 
-// seen is an Experience and a Learner: one worker is spoken against once it was told of.
-type seen struct {
-	mutex   sync.Mutex
-	untold  []experience.Sample
-	learnt  []experience.Sample
-	noted   []experience.Verdict
-	against []experience.Verdict
+// sampleRecorder implements Experience and Learner. It returns verdicts once it has received a sample.
+type sampleRecorder struct {
+	mutex    sync.Mutex
+	pending  []experience.Sample
+	learnt   []experience.Sample
+	verdicts []experience.Verdict
+	avoid    []experience.Verdict
 }
 
-func (s *seen) do(what func()) {
+func (s *sampleRecorder) withLock(what func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	what()
 }
 
-func (s *seen) Learn(_ Group, _ string, samples []experience.Sample, _ time.Time) {
+func (s *sampleRecorder) Learn(_ Group, _ string, samples []experience.Sample, _ time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.learnt = append(s.learnt, samples...)
 }
 
-func (s *seen) Verdicts(Group, time.Time) []experience.Verdict {
+func (s *sampleRecorder) Verdicts(Group, time.Time) []experience.Verdict {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.learnt) == 0 {
 		return nil
 	}
-	return s.against
+	return s.avoid
 }
 
-func (s *seen) TakeSamples(string) []experience.Sample {
+func (s *sampleRecorder) TakeSamples(string) []experience.Sample {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	taken := s.untold
-	s.untold = nil
+	taken := s.pending
+	s.pending = nil
 	return taken
 }
 
-func (s *seen) NoteVerdicts(verdicts []experience.Verdict) {
+func (s *sampleRecorder) NoteVerdicts(verdicts []experience.Verdict) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.noted = verdicts
+	s.verdicts = verdicts
 }
 
-// TestExperienceRidesOnReports: samples go to the keeper, verdicts come back, and a worker that is to be
-// avoided is offered to nobody.
-func TestExperienceRidesOnReports(t *testing.T) {
-	inWorld(t, 4, 4, func(t *testing.T, w *world) {
-		w.board.do(func() { w.board.against = []experience.Verdict{{Worker: "w3", Until: time.Minute}} })
-		node := &w.nodes[2].seen
-		node.do(func() { node.untold = []experience.Sample{{Worker: "w3", Requests: 9, Failures: 9}} })
-		w.nodes[2].fill(14) // w2 and w3 have room
-		w.nodes[3].fill(1)
+// TestSamplesAndVerdictsTravelWithReports guards against samples that do not reach the keeper,
+// verdicts that do not reach the nodes, and assigning requests to a worker to be avoided.
+func TestSamplesAndVerdictsTravelWithReports(t *testing.T) {
+	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
+		c.merged.withLock(func() { c.merged.avoid = []experience.Verdict{{Worker: "w3", Until: time.Minute}} })
+		node := &c.nodes[2].samples
+		node.withLock(func() { node.pending = []experience.Sample{{Worker: "w3", Requests: 9, Failures: 9}} })
+		c.nodes[2].beginRequests(14) // w2 and w3 have capacity
+		c.nodes[3].beginRequests(1)
 		settle()
 		settle()
-		w.board.do(func() { require.Len(t, w.board.learnt, 1) })
-		node.do(func() { require.Equal(t, w.board.against, node.noted) })
+		c.merged.withLock(func() { require.Len(t, c.merged.learnt, 1) })
+		node.withLock(func() { require.Equal(t, c.merged.avoid, node.verdicts) })
 		for range 4 {
-			found, _ := w.nodes[3].find(Wanted{Exclude: []string{"w0"}})
+			found, _ := c.nodes[3].find(Wanted{Exclude: []string{"w0"}})
 			require.NotEqual(t, "w3", found.Place.Worker())
 		}
 	})
