--- a/internal/room/account.go
+++ b/internal/room/account.go
@@ -9,11 +9,11 @@
 	// settleTime is how long a new GroupLoad collects reports before it answers queries. By then every
 	// node has noticed that the previous keeper fails to answer its renewed reports.
 	settleTime = renewInterval + reportTimeout + 100*time.Millisecond
-	// silenceTimeout is how long no report may arrive before the load counts as new again.
+	// silenceTimeout is the time without any report after which the load has to settle again.
 	silenceTimeout = time.Second
 	// grantTTL is how long a grant counts if no report covers it.
 	grantTTL = 400 * time.Millisecond
-	// declineBackoff is how long a worker that declined a request counts as full.
+	// declineBackoff is how long a worker that declined a request gets no further one.
 	declineBackoff = 60 * time.Millisecond
 	// maxReportTTL caps Report.Lasts.
 	maxReportTTL = 2 * time.Second
@@ -41,7 +41,7 @@
 	lastReport    time.Time // arrival of the latest report of any node
 	nodes         map[string]*nodeState
 	loads         map[string]workerLoad // by worker key
-	declined      map[string]time.Time  // by worker key: until when it counts as full
+	declined      map[string]time.Time  // by worker key: until when it gets no request
 	lastSweep     time.Time
 	holdTime      time.Duration // average time that a request occupies a worker; 0: unknown
 }
--- a/internal/room/decide.go
+++ b/internal/room/decide.go
@@ -115,18 +115,20 @@
 	return member.Memory == 0 || current.requests == 0 || current.tokens+ask.Tokens <= member.Memory
 }
 
-// timeToFree returns when a worker is expected to have capacity below its concurrency limit.
+// timeToFree returns the expected time until a worker runs fewer requests than its concurrency limit.
 func (l *GroupLoad) timeToFree(member Member) time.Duration {
 	excess := l.loads[member.Worker].requests - member.Places + 1
 	return time.Duration(max(excess, 0)) * l.meanHoldTime() / time.Duration(max(member.Places, 1))
 }
 
-// expectedWait returns when some worker is expected to have capacity for a query that has ahead others
-// before it.
+// expectedWait returns the expected time until a worker has capacity for a query with ahead others
+// before it. It is at least minRetryAfter.
 func (l *GroupLoad) expectedWait(ahead int) time.Duration {
 	return max(minRetryAfter, time.Duration(ahead+1)*l.meanHoldTime()/time.Duration(max(l.totalCapacity(), 1)))
 }
 
+// meanHoldTime returns the average time that a request occupies a worker, or a default before any report
+// of it.
 func (l *GroupLoad) meanHoldTime() time.Duration {
 	if l.holdTime == 0 {
 		return defaultHoldTime
@@ -134,7 +136,7 @@
 	return l.holdTime
 }
 
-// prefillTime returns the estimated time to read tokens.
+// prefillTime returns the estimated time in which a worker reads tokens.
 func prefillTime(tokens int) time.Duration {
 	return time.Duration(tokens) * time.Millisecond / prefillTokensPerMillisecond
 }
--- a/internal/room/desk.go
+++ b/internal/room/desk.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// homeWindow is how many queries at the head of the queue are dispatched first if their home
-	// worker has capacity. Another worker would have to read the context again.
+	// homeWindow is the number of queries at the head of the queue among which those with capacity at
+	// their home worker go first. Another worker would have to read the context again.
 	homeWindow = 24
-	// maxBypass is how long after its start deadline the first query in the queue may be bypassed in
-	// this way.
+	// maxBypass is how long after its start deadline the first query may still be bypassed by such
+	// queries.
 	maxBypass = 250 * time.Millisecond
 )
 
@@ -84,8 +84,8 @@
 	return s.dispatchFirst(resolved, len(s.queue), anywhere, now)
 }
 
-// dispatchFirst assigns free capacity to the eligible ones of the first limit queries. It appends to
-// resolved.
+// dispatchFirst assigns free capacity to the eligible queries among the first limit of the queue and
+// appends their answers to resolved.
 func (s *Scheduler) dispatchFirst(resolved []Resolved, limit int, eligible func(*Query) bool, now time.Time) []Resolved {
 	remaining := s.queue[:0]
 	for index, query := range s.queue {
--- a/internal/room/find.go
+++ b/internal/room/find.go
@@ -38,13 +38,13 @@
 
 // Values of Source.
 const (
-	SourceNone      Source = "none"   // no group: capacity of the service is not tracked, or the home worker is in another region
-	SourceCalm      Source = "calm"   // the last status is recent and shows low load; no query was sent
+	SourceNone      Source = "none"   // no group: capacity is not tracked, the home worker is in another region, or this zone is not allowed
+	SourceCalm      Source = "calm"   // the load is low or not known yet; no query was sent
 	SourceKeeper    Source = "keeper" // the group's keeper assigned a worker
 	SourceOtherZone Source = "away"   // the keeper of a group in another zone assigned a worker, since the first group was full
 	SourceFull      Source = "full"   // no keeper had capacity within the maximum wait
-	SourceUnsettled Source = "new"    // the keeper has not received reports of all nodes yet
-	SourceNoAnswer  Source = "silent" // no keeper answered in time
+	SourceUnsettled Source = "new"    // the keeper cannot decide: not all nodes have reported yet, or it has no eligible worker
+	SourceNoAnswer  Source = "silent" // no keeper is known, or it did not answer in time
 )
 
 // Found is the result of Find. Without a Place the node chooses a worker from local knowledge.
@@ -52,15 +52,15 @@
 	Place  *Place
 	Source Source
 	Group  Group
-	Keeper string // process that was queried last
-	Reason Reason // reason of the keeper's decision
-	Busy   float64
-	Age    time.Duration // age of Busy
-	Took   time.Duration
+	Keeper string        // process that was queried last
+	Reason Reason        // reason of the keeper's decision
+	Busy   float64       // utilization of the group, see Answer.Busy; 0 if not known
+	Age    time.Duration // age of Busy; 0 if a query returned it
+	Took   time.Duration // duration of Find
 }
 
-// Find looks for a worker for a request. It queries the group's keeper unless the load is known to be
-// low.
+// Find looks for a worker for a request. It queries the group's keeper unless the load is low or not
+// known yet. If the group is full, it may query another zone, and waits for up to Wanted.Longest.
 func (r *Reporter) Find(ctx context.Context, wanted Wanted) Found {
 	begun := time.Now()
 	found := r.find(ctx, wanted, begun)
@@ -160,7 +160,8 @@
 	return answer, found
 }
 
-// query sends a query to a keeper and waits for the answer. The sequence is 0 if no query was sent.
+// query sends a query to a keeper and waits for the answer. It returns the sequence of the query, 0 if
+// none was sent, and whether the keeper answered.
 func (r *Reporter) query(ctx context.Context, group Group, keeper budget.Holder, passed bool, ask Ask) (Answer, uint64, bool) {
 	timeout := r.options.Patience.Of(keeper.Process, queryTimeout, maxQueryTimeout)
 	queryCtx, cancel := context.WithTimeout(ctx, timeout+ask.Patience)
--- a/internal/room/group.go
+++ b/internal/room/group.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// targetGroupSize is the number of workers above which a zone's workers are split into more groups. It
+// targetGroupSize is the average number of workers per group above which a zone gets more groups. It
 // is large enough that some worker of a group usually has capacity, and small enough to bound the
 // messages that one keeper handles.
 const targetGroupSize = 16
--- a/internal/room/keeper.go
+++ b/internal/room/keeper.go
@@ -23,7 +23,9 @@
 
 // Experience merges the nodes' samples of worker behavior into verdicts.
 type Experience interface {
+	// Learn adds a node's samples of a group's workers.
 	Learn(group Group, from string, samples []experience.Sample, now time.Time)
+	// Verdicts returns the merged verdicts on a group's workers.
 	Verdicts(group Group, now time.Time) []experience.Verdict
 }
 
@@ -62,8 +64,9 @@
 	return &Keeper{options: options, schedulers: map[Group]*groupScheduler{}}
 }
 
-// Answer handles a request of a node. It blocks while the query is held. The zero Answer means that
-// this process is not the group's keeper, or cannot act as one.
+// Answer handles a request of a node. It blocks while the query is held. Keeper is false in the
+// answer if this process is not the group's keeper, does not know all of its workers or keeps too many
+// groups.
 func (k *Keeper) Answer(ctx context.Context, request Request) Answer {
 	group := request.Report.Group
 	if !k.isKeeperFor(request) {
@@ -213,7 +216,7 @@
 		}
 		scheduler = &groupScheduler{Scheduler: NewScheduler(), answers: map[*Query]chan<- Answer{}}
 		k.schedulers[group] = scheduler
-		k.options.Logger.WithField("group", group.String()).Info("now keeping the capacity of a worker group")
+		k.options.Logger.WithField("group", group.String()).Info("became capacity keeper of a worker group; collecting load reports before answering queries")
 	}
 	scheduler.lastUsed = now
 	return scheduler
@@ -228,7 +231,7 @@
 	maps.DeleteFunc(k.schedulers, func(group Group, scheduler *groupScheduler) bool {
 		expired := now.Sub(scheduler.lastUsed) > schedulerTTL && len(scheduler.answers) == 0
 		if expired {
-			k.options.Logger.WithField("group", group.String()).Info("no requests for a worker group any more, dropping its capacity state")
+			k.options.Logger.WithField("group", group.String()).Info("no more load reports or queries for a worker group; dropping its capacity state")
 		}
 		return expired
 	})
--- a/internal/room/load_test.go
+++ b/internal/room/load_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// measureStrategy simulates a load with a strategy and returns the wait statistics.
+// measureStrategy simulates a load with a strategy and returns the wait statistics. With a keeper,
+// it fails if a request is held despite free capacity or dropped.
 func measureStrategy(t *testing.T, load float64, strategy strategy, hop time.Duration) waitStats {
 	sim := newSimulation(t, strategy, hop)
 	sim.run(load)
--- a/internal/room/place.go
+++ b/internal/room/place.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Place is a request's claim on capacity of a worker, from the choice of the worker until the request
-// ends. Methods of a nil Place do nothing.
+// Place is the capacity that a request occupies at a worker, from the choice of the worker until End is
+// called. Methods of a nil Place do nothing.
 type Place struct {
 	reporter *Reporter
 	group    Group
--- a/internal/room/play_test.go
+++ b/internal/room/play_test.go
@@ -50,10 +50,10 @@
 	nextEvent  int
 	workers    []*simWorker
 	nodes      []*simNode
-	schedulers []*Scheduler
-	pending    map[*Query]func(Answer)
-	snapshot   []int
-	backlog    []*simTurn // turns that wait for capacity with the omniscient strategy
+	schedulers []*Scheduler            // by zone
+	pending    map[*Query]func(Answer) // callbacks of the queries without an answer
+	snapshot   []int                   // by worker: requests running and queued, up to 100 ms ago
+	backlog    []*simTurn              // turns that wait for capacity with the omniscient strategy
 	busyTime   time.Duration
 
 	waits                 []time.Duration // from arrival at a node until a worker runs it
@@ -74,9 +74,9 @@
 type simNode struct {
 	name       string
 	zone       int
-	loads      []*NodeLoad
+	loads      []*NodeLoad // by zone
 	nextReport []time.Time // by zone: when the next report is due
-	running    []int
+	running    []int       // by worker: own requests running or queued
 }
 
 type simTurn struct {
@@ -84,7 +84,7 @@
 	arrived time.Time
 	home    int // index of a worker; -1: none
 	worker  int
-	begun   time.Time
+	begun   time.Time // when the worker was chosen
 }
 
 type event struct {
@@ -131,6 +131,7 @@
 	return s
 }
 
+// after schedules a function in virtual time.
 func (s *simulation) after(d time.Duration, do func()) {
 	s.nextEvent++
 	heap.Push(&s.events, event{at: s.now.Add(d), number: s.nextEvent, do: do})
--- a/internal/room/reporter.go
+++ b/internal/room/reporter.go
@@ -31,6 +31,7 @@
 
 // Peers sends requests to other nodes.
 type Peers interface {
+	// Room sends a request to a keeper and returns its answer.
 	Room(ctx context.Context, keeper budget.Holder, request Request) (Answer, error)
 }
 
@@ -109,7 +110,7 @@
 }
 
 // Begin counts a request at a worker until the Place is ended. It returns nil if capacity is not
-// tracked there.
+// tracked there, or if this node tracks too many groups.
 func (r *Reporter) Begin(service, worker string, tokens int) *Place {
 	group, ok := r.options.Workers.GroupOf(service, worker)
 	if !ok {
@@ -134,6 +135,7 @@
 	}
 }
 
+// end removes the request of a place from the load.
 func (r *Reporter) end(place *Place) {
 	defer r.wakeRun()
 	r.mutex.Lock()
@@ -143,6 +145,7 @@
 	}
 }
 
+// declined records that the worker of a place declined its request.
 func (r *Reporter) declined(place *Place) {
 	defer r.wakeRun()
 	r.mutex.Lock()
@@ -276,7 +279,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.suspects.recordAnswer(keeper.Process) {
-		r.options.Logger.WithField("keeper", keeper.Process).Info("capacity keeper answers again, using it again")
+		r.options.Logger.WithField("keeper", keeper.Process).Info("capacity keeper answers again; resuming queries to it")
 	}
 	if state, known := r.groups[group]; known && answer.Keeper && answer.Settled {
 		state.SetBusy(answer.Busy, time.Now())
@@ -293,7 +296,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.suspects.recordMiss(keeper.Process, conclusive, time.Now()) {
-		r.options.Logger.WithError(err).WithField("keeper", keeper.Process).Warn("capacity keeper does not answer, trying the next slot owner")
+		r.options.Logger.WithError(err).WithField("keeper", keeper.Process).Warn("capacity keeper does not answer; sending queries to the next slot owner until it does")
 	}
 }
 
@@ -310,7 +313,7 @@
 }
 
 // collectSamples returns the samples of a group's workers that have not been sent yet. Samples of
-// other groups of the service stay until their next report.
+// other groups of the service stay until their next report, up to targetGroupSize per group.
 func (r *Reporter) collectSamples(group Group) []experience.Sample {
 	if r.options.Learner == nil {
 		return nil
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -31,7 +31,7 @@
 	Sequence uint64 // increases with each report of the process
 	Group    Group
 	Running  []Running // this node's requests in the group; workers without any are left out
-	// Lasts is how long the report counts if no other follows.
+	// Lasts is how long the report counts if no other follows. The keeper caps it.
 	Lasts time.Duration
 	// Pending are the sequences of the queries that the node still waits for. What they were granted
 	// is not included in Running.
@@ -84,21 +84,23 @@
 	return [...]string{"unknown", "go", "wait", "refuse"}[o]
 }
 
-// Answer is a keeper's reply to a Request. The zero value means that the receiver is not the keeper.
+// Answer is a keeper's reply to a Request. The zero value means that the receiver is not the keeper or
+// cannot act as one.
 type Answer struct {
 	Keeper  bool // the receiver is the group's keeper
 	Outcome Outcome
 	Worker  string        // worker key, with Go
 	After   time.Duration // with Wait and Refuse
-	Reason  Reason        // for logs and metrics
+	Reason  Reason        // why the keeper decided so; for logs and metrics
 	// Busy is the utilization of the group: running requests as a share of the workers' concurrency
 	// limits, above 1 if requests queue at workers. It is valid only if Settled, which says that all
 	// nodes have had time to report.
 	Busy    float64
 	Settled bool
-	// Waiting is the number of queries ahead of this one, or of all held queries without one.
+	// Waiting is the number of held queries: those ahead of this one, or all of them in the answer to a
+	// report without a query.
 	Waiting int
-	// HeldFor is how long the keeper held this query.
+	// HeldFor is how long the keeper held this query; 0 if it was answered at once.
 	HeldFor time.Duration
 	// Avoid are the current verdicts on the group's workers, merged from the samples of all nodes.
 	Avoid []experience.Verdict
--- a/internal/room/slots.go
+++ b/internal/room/slots.go
@@ -10,8 +10,8 @@
 
 // SlotOwners resolves the owners of directory slots.
 type SlotOwners interface {
-	// Owner returns the owner of a slot, which is empty if unknown. ok is false if the owner has just
-	// failed to answer.
+	// Owner returns the owner of a slot, and whether it may be contacted: it is known and has not just
+	// failed to answer. An unknown owner is empty.
 	Owner(slot int) (budget.Holder, bool)
 	// Doubt records that another process disagrees on the ownership of slots.
 	Doubt()
@@ -30,7 +30,7 @@
 // keeper returns the process that this node considers the keeper of a group: the first answering owner
 // in the group's zone, in the order of its ranked slots, or else the first in another zone. Processes
 // for which skip is true are skipped. passed reports that a process of higher rank was skipped or does
-// not answer.
+// not answer. ok is false if there is no such owner.
 func (s *Slots) keeper(group Group, skip func(process string) bool) (keeper budget.Holder, passed, ok bool) {
 	for _, slot := range s.slotsFor(group) {
 		owner, answering := s.Owners.Owner(slot)
--- a/internal/room/suspects.go
+++ b/internal/room/suspects.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// missesToSuspect is how many consecutive queries have to time out before a keeper is skipped. A
-	// single message may be lost.
+	// missesToSuspect is the number of consecutive queries without an answer after which a keeper is
+	// skipped. A single message may be lost.
 	missesToSuspect = 2
 	// initialBackoff and maxBackoff bound the time for which a suspected keeper receives nothing.
 	// After that a report without a query probes it.
@@ -21,9 +21,9 @@
 type suspects map[string]*suspect
 
 type suspect struct {
-	misses  int
-	backoff time.Duration
-	retryAt time.Time
+	misses  int           // consecutive misses; a conclusive one counts as missesToSuspect
+	backoff time.Duration // 0: not suspected yet
+	retryAt time.Time     // when the backoff ends
 }
 
 // recordMiss records that a process did not answer; if conclusive, one miss suffices to suspect it. It
@@ -55,7 +55,8 @@
 	return ok && entry.backoff > 0
 }
 
-// suspected reports whether queries have to skip a process.
+// suspected reports whether queries have to skip a process. They do so even after the
+// backoff, until the process answers or its entry expires.
 func (s suspects) suspected(process string) bool {
 	entry, ok := s[process]
 	return ok && entry.backoff > 0
--- a/internal/room/tally.go
+++ b/internal/room/tally.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// reportDelayBusy and reportDelayNormal are the minimum times between two reports without a query,
-	// at high and at low load. reportDelayGranted is used if only requests granted by the keeper have
-	// changed; it has to be well below grantTTL.
+	// reportDelayBusy and reportDelayNormal are the minimum times from the last report until one without
+	// a query, at high and at low load. reportDelayGranted is used after a query has ended, unless
+	// reportDelayBusy applies; it has to be well below grantTTL, the lifetime of an unreported grant.
 	reportDelayBusy    = 10 * time.Millisecond
 	reportDelayGranted = 150 * time.Millisecond
 	reportDelayNormal  = 400 * time.Millisecond
@@ -19,7 +19,8 @@
 	// decideLocallyBelow is the utilization below which a node chooses workers without the keeper:
 	// most of them have capacity then.
 	decideLocallyBelow = 0.5
-	// A known utilization is valid for busyTTL, or for idleBusyTTL if it is below idleBelow.
+	// A utilization received from the keeper is valid for busyTTL, or for idleBusyTTL if it is below
+	// idleBelow.
 	busyTTL     = time.Second
 	idleBelow   = 0.25
 	idleBusyTTL = 10 * time.Second
@@ -33,12 +34,12 @@
 	group          Group
 	sequence       uint64
 	running        map[string]workerLoad // by worker key
-	pendingQueries []uint64
-	ended          int
-	held           time.Duration
+	pendingQueries []uint64              // sequences of the queries that the node waits for
+	ended          int                   // requests ended since the last report
+	held           time.Duration         // total time that these occupied their workers
 	declined       []string
 	changed        bool // changes since the last report that the keeper does not know
-	granted        bool // changes since the last report that the keeper has granted
+	granted        bool // queries ended since the last report; the keeper knows what it granted
 	reportedAt     time.Time
 	busy           float64
 	busyAt         time.Time // when busy was received; zero: never
--- a/internal/room/world_test.go
+++ b/internal/room/world_test.go
@@ -29,14 +29,14 @@
 	owners  []budget.Holder // by slot
 	workers []string
 	nodes   []*testNode
-	hop     time.Duration
+	hop     time.Duration  // one-way latency between nodes
 	merged  sampleRecorder // samples of all nodes, merged by keepers
 
 	mutex        sync.Mutex
-	unresponsive map[string]bool // processes that do not answer
-	cut          map[[2]string]bool
-	outdated     map[string]bool // processes of an older version, which do not know the method
-	doubts       int
+	unresponsive map[string]bool    // processes that do not answer
+	cut          map[[2]string]bool // by sender and receiver: links that lose all messages
+	outdated     map[string]bool    // processes of an older version, which do not know the method
+	doubts       int                // calls of Doubt
 }
 
 type testNode struct {
@@ -114,6 +114,8 @@
 func (c *testCluster) cutLink(from, to int) {
 	c.withLock(func() { c.cut[[2]string{c.process(from), c.process(to)}] = true })
 }
+
+// linkState reports whether messages to a process are lost, and whether it does not know the method.
 func (n *testNode) linkState(to string) (lost, unknown bool) {
 	c := n.cluster
 	c.mutex.Lock()
@@ -239,14 +241,14 @@
 func TestCanceledRequestTakesNoCapacity(t *testing.T) {
 	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
 		places := c.nodes[2].beginRequests(testConcurrency + overcommit)
-		held := c.nodes[3].beginRequests(1)
+		others := c.nodes[3].beginRequests(1)
 		settle()
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
 		found := c.nodes[3].reporter.Find(ctx, Wanted{Service: "s", Longest: 400 * time.Millisecond, Allows: func(string) bool { return true }})
 		require.Nil(t, found.Place)
 		require.LessOrEqual(t, found.Took, 21*time.Millisecond)
-		for _, place := range append(places, held...) {
+		for _, place := range append(places, others...) {
 			place.End()
 		}
 		time.Sleep(grantTTL + 100*time.Millisecond)
@@ -256,8 +258,8 @@
 
 // keeperFailure is a failure of the keeper.
 type keeperFailure struct {
-	start     func(w *testCluster, keeper int)
-	stop      func(w *testCluster, keeper int)
+	start     func(c *testCluster, keeper int)
+	stop      func(c *testCluster, keeper int)
 	askerOnly bool // only the asker cannot reach the keeper; the replacement has no other node's reports
 }
 
@@ -321,8 +323,8 @@
 	}
 }
 
-// TestTwoKeepersAtOnce guards against excessive waits when nodes disagree on the slot owners and
-// report to different keepers, and against a process that answers as keeper when it is not.
+// TestTwoKeepersAtOnce guards against excessive waits while some nodes cannot reach the keeper and use
+// another one, and against a process that answers as keeper when it is not.
 func TestTwoKeepersAtOnce(t *testing.T) {
 	runCluster(t, 6, 4, func(t *testing.T, c *testCluster) {
 		first := c.keeperIndex()
@@ -396,10 +398,10 @@
 // sampleRecorder implements Experience and Learner. It returns verdicts once it has received a sample.
 type sampleRecorder struct {
 	mutex    sync.Mutex
-	pending  []experience.Sample
-	learnt   []experience.Sample
-	verdicts []experience.Verdict
-	avoid    []experience.Verdict
+	pending  []experience.Sample  // returned by TakeSamples
+	learnt   []experience.Sample  // received by Learn
+	verdicts []experience.Verdict // received by NoteVerdicts
+	avoid    []experience.Verdict // returned by Verdicts
 }
 
 func (s *sampleRecorder) withLock(what func()) {
