--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,9 +1,11 @@
-// Package admission decides at a program's first turn whether it is let in. A program that is in
-// stays in, at every node and every try: while room is short, programs are refused as wholes, before
-// any of their work is done, and not in the middle.
+// Package admission implements admission control for programs under overload.
 //
-// The load that it answers: more programs begin than the workers can end in time, so that each turn
-// waits, all programs end late, and the late ones go on pressing. It knows no clock and no network.
+// A program is a sequence of requests, called turns. The decision is made at the first turn only: a
+// program that was admitted is never refused later, by any node or on any retry. Under overload,
+// whole programs are thus refused before they cost any work. Without admission control every turn
+// would queue, all programs would miss their deadlines, and the late ones would add to the load.
+//
+// The package uses neither the clock nor the network; callers pass the current time.
 package admission
 
 import (
@@ -15,116 +17,122 @@
 	"github.com/cloverwheel/cloverwheel/internal/standing"
 )
 
-// Reason is why a program is in or refused.
+// Reason is why a program was admitted or refused. Its values are metric labels and log fields.
 type Reason string
 
-// The reasons.
+// Reasons to admit a program, followed by reasons to refuse it.
 const (
-	UnderWay Reason = "under_way" // it has had a turn
-	Untimed  Reason = "untimed"   // its caller does not say by when it must be over
-	Room     Reason = "room"      // nothing known here says that all workers have queues
-	Promised Reason = "promised"  // it was told to come back now
-	InTime   Reason = "in_time"   // it can bear the waits of the present load
-	Leaves   Reason = "leaves"    // its client leaves before its first turn could end
-	TooLate  Reason = "too_late"  // it cannot be in time whatever is done
-	Crowded  Reason = "crowded"   // at the present load it would not be in time
+	UnderWay            Reason = "under_way" // a turn of the program has already run
+	ReasonNoDeadline    Reason = "untimed"   // the program has no deadline or no key
+	ReasonNotOverloaded Reason = "room"      // no evidence that all workers are queueing
+	ReasonReturning     Reason = "promised"  // the program was refused before and retries when it was told to
+	ReasonInTime        Reason = "in_time"   // the program has enough slack for the expected queueing
+	ReasonClientTimeout Reason = "leaves"    // the client would time out before the first turn ends
+	ReasonTooLate       Reason = "too_late"  // the program will miss its deadline even without queueing
+	ReasonOverloaded    Reason = "crowded"   // the program would miss its deadline at the present load
 )
 
-// Verdict is a decision.
+// Verdict is an admission decision.
 type Verdict struct {
-	In     bool
+	In     bool // the program is admitted
 	Reason Reason
-	After  time.Duration // when to come back, if it is refused
+	After  time.Duration // delay before the client should retry; meaningful only if refused
 }
 
-// Ask is a program's first turn that asks to be let in.
+// Ask is the input of an admission decision: the program of a turn and the state of the queue that
+// it would join.
 type Ask struct {
 	Program standing.Program
-	// Left is how long its caller still waits for this turn.
-	Left time.Duration
-	// Ahead is how many programs were told to come back and have not yet.
+	// TimeLeft is the time until the caller's timeout for this turn.
+	TimeLeft time.Duration
+	// Ahead is the number of refused programs whose time to retry has not come yet.
 	Ahead int
-	// Pace is how many first turns a second were let in of late; 0: none.
+	// Pace is the recent rate of admitted first turns per second; 0 if there were none.
 	Pace float64
 }
 
 const (
-	// enoughEvents is how many first events must be known before load is judged by them.
-	enoughEvents = 3
-	// crowdedShare of them must have waited for all workers to be taken to have queues.
-	crowdedShare = 0.75
-	// fullyBusy is the share of places taken above which a keeper's word tells of queues.
-	fullyBusy = 1.0
-	// freshFor is how old the newest sign of queues may be: about what a turn takes.
-	freshFor = 500 * time.Millisecond
-	// A program whose slack is the sum of the waits that it must expect would end in time if these
-	// grew no further. Refusing begins above that and is complete below, so that nodes do not let
-	// in all programs in one moment and none in the next.
-	certainly = 3.0
-	never     = 1.0
-	// shortestRetry is the earliest return, and retryShare the part of the time that a client has
-	// left for which it waits at most before it returns.
-	shortestRetry = 120 * time.Millisecond
-	retryShare    = 1.0 / 3
-	// retrySpread is the part of a return's time that is spread, so that not all come back at once.
-	retrySpread = 0.3
+	// minEvents is the number of samples required before load is judged by them. A sample is the
+	// first event of a new program's turn or a worker's report that it is full.
+	minEvents = 3
+	// overloadedShare is the share of samples that must have queued or been declined for all workers
+	// to count as queueing.
+	overloadedShare = 0.75
+	// fullUtilization is the reported utilization above which requests queue at workers.
+	fullUtilization = 1.0
+	// maxSignalAge is the age beyond which the newest sample is ignored, about the duration of a turn.
+	maxSignalAge = 500 * time.Millisecond
+	// The ratio of a program's slack to its expected queueing determines the share of such programs
+	// that is admitted: all from admitAllRatio up, none from admitNoneRatio down, linear in between.
+	// At a ratio of 1 a program just meets its deadline if the queues grow no further. The ramp
+	// keeps nodes from alternating between admitting all programs and admitting none.
+	admitAllRatio  = 3.0
+	admitNoneRatio = 1.0
+	// minRetryAfter is the shortest retry delay at a known admission rate. maxRetryShare is the largest
+	// share of the client's remaining time that a retry delay may take; it takes precedence.
+	minRetryAfter = 120 * time.Millisecond
+	maxRetryShare = 1.0 / 3
+	// retryJitter is the share of a retry delay by which it is shortened at most, to spread retries.
+	retryJitter = 0.3
 )
 
-// KeeperAge is how old a keeper's word may be.
+// KeeperAge is the greatest age at which a utilization report is used.
 const KeeperAge = 500 * time.Millisecond
 
-// Decide decides whether a program is let in, or when it may come back.
+// Decide decides whether to admit a program and, if not, when its client should retry.
 func Decide(ask Ask, load Load) Verdict {
 	program := ask.Program
 	switch {
 	case !program.Begins:
 		return Verdict{In: true, Reason: UnderWay}
 	case !program.Timed || program.Key == "":
-		return Verdict{In: true, Reason: Untimed}
-	case !load.Crowded():
-		return Verdict{In: true, Reason: Room}
-	case ask.Left < load.Behind.mean()+load.Idle:
-		return Verdict{Reason: Leaves, After: ask.latest()}
+		return Verdict{In: true, Reason: ReasonNoDeadline}
+	case !load.Overloaded():
+		return Verdict{In: true, Reason: ReasonNotOverloaded}
+	case ask.TimeLeft < load.New.mean()+load.UnloadedTime:
+		return Verdict{Reason: ReasonClientTimeout, After: ask.maxRetryAfter()}
 	case program.Returns:
-		return Verdict{In: true, Reason: Promised}
-	case program.Lost():
-		return Verdict{Reason: TooLate, After: ask.latest()}
-	case rank(program.Key) < bearable(program, load):
-		return Verdict{In: true, Reason: InTime}
+		return Verdict{In: true, Reason: ReasonReturning}
+	case program.Late():
+		return Verdict{Reason: ReasonTooLate, After: ask.maxRetryAfter()}
+	case hashRank(program.Key) < admittedShare(program, load):
+		return Verdict{In: true, Reason: ReasonInTime}
 	default:
-		return Verdict{Reason: Crowded, After: ask.after()}
+		return Verdict{Reason: ReasonOverloaded, After: ask.retryAfter()}
 	}
 }
 
-// bearable is which share of the programs with such a standing is let in.
-func bearable(program standing.Program, load Load) float64 {
-	expected := float64(load.Wait(program.Turns))
-	if expected <= 0 {
+// admittedShare returns the share of programs with this slack that is admitted: none at 0 or less, all
+// at 1 or more.
+func admittedShare(program standing.Program, load Load) float64 {
+	expectedWait := float64(load.ExpectedWait(program.Turns))
+	if expectedWait <= 0 {
 		return 1
 	}
 	slack, _ := program.Slack()
-	return (float64(slack)/expected - never) / (certainly - never)
+	return (float64(slack)/expectedWait - admitNoneRatio) / (admitAllRatio - admitNoneRatio)
 }
 
-// rank places programs evenly from 0 to 1, alike on all nodes: where nodes let in the same share,
-// they let in the same programs.
-func rank(key string) float64 { return float64(xxhash.Sum64String(key)) / math.MaxUint64 }
+// hashRank maps a program's key uniformly to [0, 1]. All nodes compute the same rank, so nodes that
+// admit the same share of programs admit the same ones.
+func hashRank(key string) float64 { return float64(xxhash.Sum64String(key)) / math.MaxUint64 }
 
-// after is when the program may come back: once those before it have been let in, at the pace of late.
-func (a Ask) after() time.Duration {
+// retryAfter returns the delay after which the programs ahead of this one should have been admitted
+// at the recent rate.
+func (a Ask) retryAfter() time.Duration {
 	if a.Pace <= 0 {
-		return a.latest()
+		return a.maxRetryAfter()
 	}
-	wait := time.Duration(float64(a.Ahead+1) / a.Pace * float64(time.Second))
-	return min(max(a.spread(wait), shortestRetry), a.latest())
+	delay := time.Duration(float64(a.Ahead+1) / a.Pace * float64(time.Second))
+	return min(max(a.withJitter(delay), minRetryAfter), a.maxRetryAfter())
 }
 
-// latest is when its client returns at the latest.
-func (a Ask) latest() time.Duration {
-	return max(a.spread(time.Duration(retryShare*float64(a.Left))), 0)
+// maxRetryAfter returns the longest delay after which the client should retry.
+func (a Ask) maxRetryAfter() time.Duration {
+	return max(a.withJitter(time.Duration(maxRetryShare*float64(a.TimeLeft))), 0)
 }
 
-// spread shortens a wait by the program's rank.
-func (a Ask) spread(wait time.Duration) time.Duration {
-	return wait - time.Duration(retrySpread*rank(a.Program.Key)*float64(wait))
+// withJitter shortens a delay in proportion to the program's rank.
+func (a Ask) withJitter(delay time.Duration) time.Duration {
+	return delay - time.Duration(retryJitter*hashRank(a.Program.Key)*float64(delay))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,10 +11,10 @@
 	"github.com/cloverwheel/cloverwheel/internal/standing"
 )
 
-// crowded is a load at which each turn waits.
-func crowded(wait time.Duration) Load {
-	waits := Waits{Events: 10, Waited: 10, Excess: 10 * wait}
-	return Load{Ahead: waits, Behind: waits}
+// overloaded returns a load at which each turn queues for so long.
+func overloaded(wait time.Duration) Load {
+	waits := WaitStats{Events: 10, Waited: 10, Excess: 10 * wait}
+	return Load{Others: waits, New: waits}
 }
 
 func newProgram(key string) standing.Program {
@@ -22,116 +22,123 @@
 }
 
 func ask(program standing.Program) Ask {
-	return Ask{Program: program, Left: 3 * time.Second, Pace: 10, Ahead: 4}
+	return Ask{Program: program, TimeLeft: 3 * time.Second, Pace: 10, Ahead: 4}
 }
 
-func TestWhatIsUnderWayIsNeverRefused(t *testing.T) {
+// A program in progress must not be refused, however overloaded the workers are.
+func TestProgramInProgressIsNeverRefused(t *testing.T) {
 	program := newProgram("p")
 	program.Begins, program.Finish = false, 0
-	require.Equal(t, Verdict{In: true, Reason: UnderWay}, Decide(ask(program), crowded(time.Second)))
+	require.Equal(t, Verdict{In: true, Reason: UnderWay}, Decide(ask(program), overloaded(time.Second)))
 }
 
-func TestProgramsWithoutATimeAreLetIn(t *testing.T) {
-	require.Equal(t, Untimed, Decide(ask(standing.Program{Key: "p", Begins: true}), crowded(time.Second)).Reason)
+func TestProgramWithoutDeadlineIsAdmitted(t *testing.T) {
+	require.Equal(t, ReasonNoDeadline, Decide(ask(standing.Program{Key: "p", Begins: true}), overloaded(time.Second)).Reason)
 }
 
-func TestAProgramThatIsLateAnywayIsRefusedUnderOverloadOnly(t *testing.T) {
+func TestLateProgramIsRefusedOnlyUnderOverload(t *testing.T) {
 	program := newProgram("p")
 	program.Finish = 0
 	require.True(t, Decide(ask(program), Load{}).In)
-	verdict := Decide(ask(program), crowded(time.Second))
-	require.Equal(t, TooLate, verdict.Reason)
+	verdict := Decide(ask(program), overloaded(time.Second))
+	require.Equal(t, ReasonTooLate, verdict.Reason)
 	require.False(t, verdict.In)
 }
 
-func TestAProgramThatCanBearTheWaitIsLetIn(t *testing.T) {
-	require.Equal(t, InTime, Decide(ask(newProgram("p")), crowded(10*time.Millisecond)).Reason)
-	require.Equal(t, Crowded, Decide(ask(newProgram("p")), crowded(time.Second)).Reason)
+func TestProgramIsAdmittedIfItsSlackCoversTheWait(t *testing.T) {
+	require.Equal(t, ReasonInTime, Decide(ask(newProgram("p")), overloaded(10*time.Millisecond)).Reason)
+	require.Equal(t, ReasonOverloaded, Decide(ask(newProgram("p")), overloaded(time.Second)).Reason)
 }
 
-func TestNodesLetTheSameProgramsIn(t *testing.T) {
+// Ranks must be uniform: otherwise nodes would admit another share than intended.
+func TestHashRankIsUniform(t *testing.T) {
 	in := 0
 	for index := range 1000 {
-		if rank(fmt.Sprint("p", index)) < 0.3 {
+		if hashRank(fmt.Sprint("p", index)) < 0.3 {
 			in++
 		}
 	}
 	require.InDelta(t, 300, in, 60)
 }
 
-func TestNobodyIsRefusedWhileAFreePlaceIsKnown(t *testing.T) {
+// Programs must not be refused without recent evidence that all workers have queues.
+func TestNoRefusalWithoutEvidenceOfOverload(t *testing.T) {
 	for name, load := range map[string]Load{
-		"the newest did not wait": {Behind: Waits{Events: 10, Waited: 9, Excess: time.Minute}, Free: true},
-		"nothing is known":        {},
-		"what is known is old":    {Behind: crowded(time.Second).Behind, Age: time.Second},
-		"the keeper says so":      {Behind: crowded(time.Second).Behind, Keeper: &Keeper{Busy: 0.9}},
+		"newest sample did not queue": {New: WaitStats{Events: 10, Waited: 9, Excess: time.Minute}, WorkerFree: true},
+		"no samples":                  {},
+		"samples are stale":           {New: overloaded(time.Second).New, Age: time.Second},
+		"utilization report below 1":  {New: overloaded(time.Second).New, Utilization: &Keeper{Busy: 0.9}},
 	} {
-		require.Equal(t, Room, Decide(ask(newProgram("p")), load).Reason, name)
+		require.Equal(t, ReasonNotOverloaded, Decide(ask(newProgram("p")), load).Reason, name)
 	}
 }
 
-func TestAKeepersWordCountsWhileItIsNew(t *testing.T) {
-	load := Load{Keeper: &Keeper{Busy: 1.5}}
-	require.True(t, load.Crowded())
-	load.Keeper.Age = time.Minute
-	require.False(t, load.Crowded())
+func TestStaleUtilizationReportIsIgnored(t *testing.T) {
+	load := Load{Utilization: &Keeper{Busy: 1.5}}
+	require.True(t, load.Overloaded())
+	load.Utilization.Age = time.Minute
+	require.False(t, load.Overloaded())
 }
 
-func TestWhoWasToldToComeNowIsLetIn(t *testing.T) {
+// A program that retries when it was told to must be admitted, even if it will be late.
+func TestReturningProgramIsAdmitted(t *testing.T) {
 	program := newProgram("p")
 	program.Returns, program.Finish = true, 0
-	require.Equal(t, Promised, Decide(ask(program), crowded(time.Second)).Reason)
+	require.Equal(t, ReasonReturning, Decide(ask(program), overloaded(time.Second)).Reason)
 }
 
-func TestReturnsHold(t *testing.T) {
+// A retry delay must be neither negative nor longer than a third of the client's remaining time.
+func TestRetryDelayIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		program := newProgram(rapid.String().Draw(t, "key"))
 		a := Ask{
-			Program: program,
-			Left:    time.Duration(rapid.IntRange(0, 10_000).Draw(t, "left")) * time.Millisecond,
-			Ahead:   rapid.IntRange(0, 100).Draw(t, "ahead"),
-			Pace:    rapid.Float64Range(0, 100).Draw(t, "pace"),
+			Program:  program,
+			TimeLeft: time.Duration(rapid.IntRange(0, 10_000).Draw(t, "left")) * time.Millisecond,
+			Ahead:    rapid.IntRange(0, 100).Draw(t, "ahead"),
+			Pace:     rapid.Float64Range(0, 100).Draw(t, "pace"),
 		}
-		verdict := Decide(a, crowded(time.Second))
+		verdict := Decide(a, overloaded(time.Second))
 		if verdict.In {
 			return
 		}
 		require.GreaterOrEqual(t, verdict.After, time.Duration(0))
-		require.LessOrEqual(t, verdict.After, a.Left/3+time.Millisecond, "no client waits longer")
+		require.LessOrEqual(t, verdict.After, a.TimeLeft/3+time.Millisecond, "retry delay exceeds a third of the time left")
 	})
 }
 
-func TestTheLaterOnesToldComeLater(t *testing.T) {
+func TestRetryDelayGrowsWithProgramsAhead(t *testing.T) {
 	few, many := ask(newProgram("p")), ask(newProgram("p"))
 	few.Ahead, many.Ahead = 1, 5
-	require.Less(t, Decide(few, crowded(time.Second)).After, Decide(many, crowded(time.Second)).After)
+	require.Less(t, Decide(few, overloaded(time.Second)).After, Decide(many, overloaded(time.Second)).After)
 }
 
-// seeGate lets a gate see first turns that waited for so long each.
-func seeGate(gate *Gate, wait time.Duration, now time.Time) {
+// observeWaits makes a gate observe ten first turns that queued for so long each.
+func observeWaits(gate *Gate, wait time.Duration, now time.Time) {
 	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
 	for range 10 {
 		gate.First(gate.Sent("s", newProgram("x"), idle, now.Add(-wait-idle.First)), now)
 	}
 }
 
-func TestGateRemembersWhomItTold(t *testing.T) {
+// A refused program that retries too early must be refused again; on time it must be admitted.
+func TestGateAdmitsRefusedProgramAtItsRetryTime(t *testing.T) {
 	gate, now := NewGate(nil), time.Unix(1000, 0)
-	seeGate(gate, 2*time.Second, now)
-	told, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
-	require.False(t, told.In)
-	seeGate(gate, 2*time.Second, now.Add(told.After/2))
-	early, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(told.After/2))
-	require.False(t, early.In, "it was told to come later")
-	now = now.Add(told.After + early.After)
-	seeGate(gate, 2*time.Second, now)
-	then, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
-	require.Equal(t, Promised, then.Reason)
+	observeWaits(gate, 2*time.Second, now)
+	first, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
+	require.False(t, first.In)
+	observeWaits(gate, 2*time.Second, now.Add(first.After/2))
+	early, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(first.After/2))
+	require.False(t, early.In, "admitted before its retry time")
+	now = now.Add(first.After + early.After)
+	observeWaits(gate, 2*time.Second, now)
+	returned, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
+	require.Equal(t, ReasonReturning, returned.Reason)
 	other, _, _ := gate.Decide("s", newProgram("q"), 3*time.Second, now)
 	require.False(t, other.In)
 }
 
-func TestGateSeesTurnsThatWaitStill(t *testing.T) {
+// Turns still queueing must count as load before their first event arrives.
+func TestGateCountsPendingTurns(t *testing.T) {
 	gate, now := NewGate(nil), time.Unix(1000, 0)
 	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
 	var sendings []*Sending
@@ -139,55 +146,57 @@
 		sendings = append(sendings, gate.Sent("s", newProgram("x"), idle, now))
 	}
 	_, _, load := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(50*time.Millisecond))
-	require.False(t, load.Crowded())
+	require.False(t, load.Overloaded())
 	_, _, load = gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
-	require.True(t, load.Crowded())
+	require.True(t, load.Overloaded())
 	for _, sending := range sendings {
 		gate.Ended(sending, now.Add(50*time.Millisecond))
 	}
 	_, _, load = gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
-	require.Zero(t, load.Behind.Events)
+	require.Zero(t, load.New.Events)
 }
 
-func TestATurnThatWaitedInVainStillCounts(t *testing.T) {
+// A turn that ends without a first event must count with the time that it queued.
+func TestTurnWithoutFirstEventCounts(t *testing.T) {
 	gate, now := NewGate(nil), time.Unix(1000, 0)
 	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
 	for range 5 {
 		gate.Ended(gate.Sent("s", newProgram("x"), idle, now.Add(-3*time.Second)), now)
 	}
 	_, _, load := gate.Decide("s", newProgram("p"), 3*time.Second, now)
-	require.True(t, load.Crowded())
-	require.Equal(t, 5*(3*time.Second-idle.First), load.Behind.Excess)
+	require.True(t, load.Overloaded())
+	require.Equal(t, 5*(3*time.Second-idle.First), load.New.Excess)
 }
 
-func TestNobodyWaitsForATurnThatCannotEndInTime(t *testing.T) {
+// Under overload, a turn whose client would time out first must be refused at once, even on return.
+func TestTurnBeyondClientTimeoutIsRefused(t *testing.T) {
 	program := newProgram("p")
 	program.Returns = true
 	hopeless := ask(program)
-	hopeless.Left = 500 * time.Millisecond
-	require.Equal(t, Leaves, Decide(hopeless, crowded(time.Second)).Reason)
-	require.True(t, Decide(hopeless, Load{}).In, "on a calm system it may try")
+	hopeless.TimeLeft = 500 * time.Millisecond
+	require.Equal(t, ReasonClientTimeout, Decide(hopeless, overloaded(time.Second)).Reason)
+	require.True(t, Decide(hopeless, Load{}).In, "refused without overload")
 }
 
-func TestUrgentTurnsDoNotWaitForLessUrgentOnes(t *testing.T) {
+func TestLoadIsTrackedPerUrgency(t *testing.T) {
 	gate, now := NewGate(nil), time.Unix(1000, 0)
-	seeGate(gate, 2*time.Second, now)
-	less := newProgram("p")
-	less.Urgency = 2
-	_, _, load := gate.Decide("s", less, 3*time.Second, now)
-	require.Zero(t, load.Behind.Events, "each urgency has its own queue")
+	observeWaits(gate, 2*time.Second, now)
+	lessUrgent := newProgram("p")
+	lessUrgent.Urgency = 2
+	_, _, load := gate.Decide("s", lessUrgent, 3*time.Second, now)
+	require.Zero(t, load.New.Events, "each urgency has its own queue")
 }
 
-func TestAGatesMemoryIsBounded(t *testing.T) {
+func TestGateMemoryIsBounded(t *testing.T) {
 	gate, now := NewGate(nil), time.Unix(1000, 0)
-	for index := range 3 * toldKept {
-		seeGate(gate, 2*time.Second, now)
+	for index := range 3 * maxRefused {
+		observeWaits(gate, 2*time.Second, now)
 		program := newProgram(fmt.Sprint("p", index))
 		program.Finish = 0
 		gate.Decide("s", program, 3*time.Second, now)
 		gate.Decide(fmt.Sprint("s", index), program, 3*time.Second, now)
 	}
-	require.LessOrEqual(t, len(gate.told.returns), toldKept)
-	require.LessOrEqual(t, len(gate.told.order), toldKept)
-	require.LessOrEqual(t, len(gate.windows), queuesKept)
+	require.LessOrEqual(t, len(gate.refused.returnAt), maxRefused)
+	require.LessOrEqual(t, len(gate.refused.order), maxRefused)
+	require.LessOrEqual(t, len(gate.windows), maxQueues)
 }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -10,149 +10,153 @@
 )
 
 const (
-	// toldKept bounds the programs that are remembered as told to come back.
-	toldKept = 2048
-	// returnsFor is for how long after the time told a program still counts as one that returns.
-	returnsFor = 3 * time.Second
-	// queuesKept bounds the queues whose load is followed.
-	queuesKept = 64
+	// maxRefused is the maximum number of refused programs remembered.
+	maxRefused = 2048
+	// returnWindow is how long after its retry time a refused program still counts as returning.
+	returnWindow = 3 * time.Second
+	// maxQueues is the maximum number of queues whose load is tracked.
+	maxQueues = 64
 )
 
-// Keepers tells the word of who keeps account of a service's room.
+// Keepers provides reports of the utilization of a service's workers.
 type Keepers interface {
-	// Busy returns nil if nobody is known to keep it.
+	// Busy returns the newest report for a service, or nil if there is none.
 	Busy(service string) *Keeper
 }
 
-// queue is where turns wait for each other: workers take the more urgent first.
+// queue identifies the turns of a service that compete with each other. Workers take turns of a more
+// urgent priority first, so each urgency has its own queue.
 type queue struct {
 	service string
 	urgency int
 }
 
-// Gate remembers what admission at one node is decided by. It is safe for concurrent use, and
-// bounded in memory.
+// Gate makes the admission decisions of one node. It tracks the recent load of each queue and the
+// programs that it refused. It is safe for concurrent use and bounded in memory.
 type Gate struct {
 	keepers Keepers
 	mutex   sync.Mutex
 	windows map[queue]*window
-	told    told
+	refused refusedPrograms
 }
 
-// NewGate returns one that has seen nothing; keepers may be nil.
+// NewGate returns a Gate without history. If keepers is nil, only the load seen by this node counts.
 func NewGate(keepers Keepers) *Gate {
-	return &Gate{keepers: keepers, windows: map[queue]*window{}, told: told{returns: map[uint64]time.Time{}}}
+	return &Gate{keepers: keepers, windows: map[queue]*window{}, refused: refusedPrograms{returnAt: map[uint64]time.Time{}}}
 }
 
-// Decide decides on a program's turn, and remembers whom it told to come back.
-func (g *Gate) Decide(service string, program standing.Program, left time.Duration, now time.Time) (Verdict, Ask, Load) {
-	ask := Ask{Program: program, Left: left}
+// Decide decides whether to admit the program of a turn whose caller times out after timeLeft. It records
+// when a refused program is to retry. It also returns the inputs of the decision, for logging; they
+// are empty but for the program and the time left if the program had a turn before.
+func (g *Gate) Decide(service string, program standing.Program, timeLeft time.Duration, now time.Time) (Verdict, Ask, Load) {
+	ask := Ask{Program: program, TimeLeft: timeLeft}
 	if !program.Begins {
 		return Decide(ask, Load{}), ask, Load{}
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	w := g.window(queue{service, program.Urgency})
-	load, let := w.load(now)
+	load, admitted := w.load(now)
 	if g.keepers != nil {
-		load.Keeper = g.keepers.Busy(service)
+		load.Utilization = g.keepers.Busy(service)
 	}
-	ask.Pace = float64(let) / span.Seconds()
-	if load.Crowded() {
-		w.crowded = now
-		ask.Ahead = g.told.ahead(now)
+	ask.Pace = float64(admitted) / windowSpan.Seconds()
+	if load.Overloaded() {
+		w.overloadedAt = now
+		ask.Ahead = g.refused.notYetDue(now)
 	}
 	key := xxhash.Sum64String(program.Key)
-	ask.Program.Returns = g.told.comes(key, now)
+	ask.Program.Returns = g.refused.isDue(key, now)
 	verdict := Decide(ask, load)
 	if verdict.In {
-		w.at(now).let++
-		delete(g.told.returns, key)
+		w.bucketAt(now).admitted++
+		delete(g.refused.returnAt, key)
 	} else {
-		g.told.add(key, now.Add(verdict.After))
+		g.refused.add(key, now.Add(verdict.After))
 	}
 	return verdict, ask, load
 }
 
-// Sent takes in that a program's turn is sent to a worker. First or Ended is to be called of what
-// it returns.
-func (g *Gate) Sent(service string, program standing.Program, idle Idle, now time.Time) *Sending {
+// Sent records that a program's turn is sent to a worker; unloaded is how long such a turn takes without
+// queueing. The caller must pass the result to First or Ended.
+func (g *Gate) Sent(service string, program standing.Program, unloaded Idle, now time.Time) *Sending {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	behind := standing.Classify(program) == standing.New
-	sending := &Sending{window: g.window(queue{service, program.Urgency}), sent: now, idle: idle, behind: behind}
+	newProgram := standing.Classify(program) == standing.ClassNew
+	sending := &Sending{window: g.window(queue{service, program.Urgency}), sent: now, unloaded: unloaded, newProgram: newProgram}
 	sending.window.pending[sending] = struct{}{}
-	sending.window.idle = idle.Whole
+	sending.window.unloadedTime = unloaded.Whole
 	return sending
 }
 
-// First takes in that the first event of a turn comes.
+// First records the arrival of a turn's first event.
 func (g *Gate) First(sending *Sending, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(sending.window.pending, sending)
-	sending.window.first(sending, now)
+	sending.window.firstEvent(sending, now)
 }
 
-// Ended takes in that no first event of a turn comes any more. What it waited for until then counts.
+// Ended records that a turn ended without a first event. It counts as a sample if it had queued.
 func (g *Gate) Ended(sending *Sending, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(sending.window.pending, sending)
 	if _, waited := sending.excess(now); waited {
-		sending.window.first(sending, now)
+		sending.window.firstEvent(sending, now)
 	}
 }
 
-// Declined takes in that a worker said that it is full.
+// Declined records that a worker declined a turn because it is full.
 func (g *Gate) Declined(service string, urgency int, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.window(queue{service, urgency}).declined(now)
 }
 
-// window is that of a queue. The caller holds the mutex.
+// window returns the window of a queue and adds it if needed. The caller must hold the mutex.
 func (g *Gate) window(of queue) *window {
 	w, ok := g.windows[of]
 	if ok {
 		return w
 	}
-	if len(g.windows) >= queuesKept {
-		clear(g.windows) // what they hold is of the last second
+	if len(g.windows) >= maxQueues {
+		clear(g.windows) // cheap to lose: a window covers windowSpan only
 	}
 	w = &window{pending: map[*Sending]struct{}{}}
 	g.windows[of] = w
 	return w
 }
 
-// told remembers when programs were told to come back.
-type told struct {
-	returns map[uint64]time.Time
-	order   []uint64
+// refusedPrograms holds the retry times of refused programs by hash of the program's key. Beyond
+// maxRefused entries the oldest are evicted.
+type refusedPrograms struct {
+	returnAt map[uint64]time.Time
+	order    []uint64
 }
 
-// add remembers that a program was told.
-func (t *told) add(key uint64, at time.Time) {
-	if _, known := t.returns[key]; !known {
+// add records that a program is to retry at a given time.
+func (t *refusedPrograms) add(key uint64, at time.Time) {
+	if _, known := t.returnAt[key]; !known {
 		t.order = append(t.order, key)
 	}
-	t.returns[key] = at
-	if len(t.order) > toldKept {
-		delete(t.returns, t.order[0])
+	t.returnAt[key] = at
+	if len(t.order) > maxRefused {
+		delete(t.returnAt, t.order[0])
 		t.order = t.order[1:]
 	}
 }
 
-// comes reports whether a program was told to come back by now.
-func (t *told) comes(key uint64, now time.Time) bool {
-	at, known := t.returns[key]
-	return known && !now.Before(at) && now.Before(at.Add(returnsFor))
+// isDue reports whether a program's retry time has come and is at most returnWindow ago.
+func (t *refusedPrograms) isDue(key uint64, now time.Time) bool {
+	at, known := t.returnAt[key]
+	return known && !now.Before(at) && now.Before(at.Add(returnWindow))
 }
 
-// ahead is how many have been told to come and are still awaited.
-func (t *told) ahead(now time.Time) int {
+// notYetDue returns the number of programs whose retry time is in the future.
+func (t *refusedPrograms) notYetDue(now time.Time) int {
 	count := 0
-	for _, at := range t.returns {
+	for _, at := range t.returnAt {
 		if now.Before(at) {
 			count++
 		}
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -5,46 +5,49 @@
 	"time"
 )
 
-// Load is how full the workers of a service are for turns of one urgency, as one node knows it.
+// Load describes how long turns of one urgency queue at a service's workers, as seen by one node over
+// the last windowSpan.
 type Load struct {
-	// Behind are the turns that come after the others of their urgency, first turns among them:
-	// they have queues to wait in as soon as there are any. Ahead are the others.
-	Ahead, Behind Waits
-	Declines      int // workers' words that they are full, of late
-	// Idle is what one of these turns takes where nothing makes it wait; 0: not known.
-	Idle time.Duration
-	// Free says that the newest of what was seen is a first event of those behind that had not waited: a
-	// worker has a free place.
-	Free bool
-	Age  time.Duration // since the newest of what was seen; 0 while a turn waits that has waited by now
-	// Was says that it was crowded a moment ago: first turns that are refused show nothing.
-	Was bool
-	// Keeper is the word of who keeps account of the workers' room; nil: not known.
-	Keeper *Keeper
-}
-
-// Waits is how some turns waited at their workers of late.
-type Waits struct {
-	Events int           // first events that came, or should have come if they had not to wait
-	Waited int           // of them, those that waited
-	Excess time.Duration // that they came later than where nothing makes them wait, in sum
-}
-
-// mean is what each had to wait.
-func (w Waits) mean() time.Duration {
+	// New counts first turns of programs that do not return after a refusal. Workers take these last
+	// among turns of the same urgency, so they are the first to queue. Others counts all other turns.
+	Others, New WaitStats
+	Declines    int // turns declined by workers because they were full
+	// UnloadedTime is how long a turn takes without queueing; 0 if unknown.
+	UnloadedTime time.Duration
+	// WorkerFree says that the newest sample is a first event of a new program that did not queue, so that
+	// at least one worker has a free place.
+	WorkerFree bool
+	// Age is the time since the newest sample of New or Declines; 0 while a turn of a new program is overdue.
+	Age time.Duration
+	// WasOverloaded says that the queue was overloaded within windowSpan. While first turns are refused
+	// few samples arrive, so then fewer suffice.
+	WasOverloaded bool
+	// Utilization is a report of the workers' utilization over all nodes; nil if there is none.
+	Utilization *Keeper
+}
+
+// WaitStats summarizes how long turns queued at workers.
+type WaitStats struct {
+	Events int           // turns whose first event arrived or is overdue
+	Waited int           // of these, the turns that queued
+	Excess time.Duration // total time that first events took beyond the unloaded time
+}
+
+// mean returns the mean excess of a turn.
+func (w WaitStats) mean() time.Duration {
 	if w.Events == 0 {
 		return 0
 	}
 	return w.Excess / time.Duration(w.Events)
 }
 
-func (w *Waits) add(other Waits) {
+func (w *WaitStats) add(other WaitStats) {
 	w.Events += other.Events
 	w.Waited += other.Waited
 	w.Excess += other.Excess
 }
 
-func (w *Waits) observe(excess time.Duration, waited bool) {
+func (w *WaitStats) observe(excess time.Duration, waited bool) {
 	w.Events++
 	w.Excess += excess
 	if waited {
@@ -52,155 +55,159 @@
 	}
 }
 
-// String tells the load for a log line.
+// String formats the load for a log line.
 func (l Load) String() string {
 	text := fmt.Sprintf("first=%d/%d/%dms next=%d/%d/%dms declines=%d free=%t age_ms=%d",
-		l.Behind.Waited, l.Behind.Events, l.Behind.mean().Milliseconds(),
-		l.Ahead.Waited, l.Ahead.Events, l.Ahead.mean().Milliseconds(), l.Declines, l.Free, min(l.Age, time.Hour).Milliseconds())
-	if l.Keeper != nil {
-		text += fmt.Sprintf(" keeper=%.2f keeper_age_ms=%d", l.Keeper.Busy, l.Keeper.Age.Milliseconds())
+		l.New.Waited, l.New.Events, l.New.mean().Milliseconds(),
+		l.Others.Waited, l.Others.Events, l.Others.mean().Milliseconds(), l.Declines, l.WorkerFree, min(l.Age, time.Hour).Milliseconds())
+	if l.Utilization != nil {
+		text += fmt.Sprintf(" keeper=%.2f keeper_age_ms=%d", l.Utilization.Busy, l.Utilization.Age.Milliseconds())
 	}
 	return text
 }
 
-// Keeper is a word of who keeps account of the workers' room.
+// Keeper is a report of the utilization of a service's workers.
 type Keeper struct {
-	Busy float64 // share of the places that are taken; above 1 if requests wait at workers
-	Age  time.Duration
+	Busy float64       // share of the workers' places in use; above 1 if requests queue at workers
+	Age  time.Duration // since the report was made
 }
 
-// queue is how long a turn waits at a worker: until what waits before it has had its places, each for
-// as long as a turn takes.
-func (k *Keeper) queue(idle time.Duration) time.Duration {
-	return time.Duration(max(0, k.Busy-fullyBusy) * float64(idle))
+// queueWait estimates how long a turn queues at a worker: each multiple of the workers' capacity that
+// is queued takes one unloaded turn to clear.
+func (k *Keeper) queueWait(unloadedTime time.Duration) time.Duration {
+	return time.Duration(max(0, k.Busy-fullUtilization) * float64(unloadedTime))
 }
 
-// Crowded reports whether all that is known says that the workers have queues.
-func (l Load) Crowded() bool {
-	if l.Keeper != nil && l.Keeper.Age <= KeeperAge {
-		return l.Keeper.Busy > fullyBusy
+// Overloaded reports whether all workers appear to have queues. A recent utilization report takes
+// precedence over the node's own samples. Without evidence the result is false.
+func (l Load) Overloaded() bool {
+	if l.Utilization != nil && l.Utilization.Age <= KeeperAge {
+		return l.Utilization.Busy > fullUtilization
 	}
-	if l.Free || l.Age > freshFor {
+	if l.WorkerFree || l.Age > maxSignalAge {
 		return false
 	}
-	signs := l.Behind.Events + l.Declines
-	enough := signs >= enoughEvents || signs > 0 && (l.Was || l.Idle > 0 && l.Behind.Excess >= enoughEvents*l.Idle)
-	return enough && float64(l.Behind.Waited+l.Declines) >= crowdedShare*float64(signs)
+	samples := l.New.Events + l.Declines
+	enough := samples >= minEvents || samples > 0 && (l.WasOverloaded || l.UnloadedTime > 0 && l.New.Excess >= minEvents*l.UnloadedTime)
+	return enough && float64(l.New.Waited+l.Declines) >= overloadedShare*float64(samples)
 }
 
-// Wait is what a program that begins now has to wait in all its turns.
-func (l Load) Wait(turns int) time.Duration {
-	wait := l.Behind.mean() + time.Duration(max(0, turns-1))*l.Ahead.mean()
-	if l.Keeper != nil {
-		wait = max(wait, time.Duration(max(1, turns))*l.Keeper.queue(l.Idle))
+// ExpectedWait estimates the total time that a program with this many turns, beginning now, will queue.
+// Each expected decline by a full worker adds minRetryAfter.
+func (l Load) ExpectedWait(turns int) time.Duration {
+	wait := l.New.mean() + time.Duration(max(0, turns-1))*l.Others.mean()
+	if l.Utilization != nil {
+		wait = max(wait, time.Duration(max(1, turns))*l.Utilization.queueWait(l.UnloadedTime))
 	}
 	if l.Declines == 0 {
 		return wait
 	}
-	each := time.Duration(float64(shortestRetry) * float64(l.Declines) / float64(max(1, l.Behind.Events+l.Ahead.Events)))
-	return wait + time.Duration(max(1, turns))*each
+	perTurn := time.Duration(float64(minRetryAfter) * float64(l.Declines) / float64(max(1, l.New.Events+l.Others.Events)))
+	return wait + time.Duration(max(1, turns))*perTurn
 }
 
 const (
-	// span is for how long what was seen counts, and parts into how many slices it is divided.
-	span  = 1000 * time.Millisecond
-	parts = 8
-	// waitedShare of the time that a turn takes where nothing makes it wait is what it must have
-	// lost to count as one that waited: about what callers' multiples leave each.
+	// windowSpan is how long a sample counts. The span is divided into windowBuckets buckets.
+	windowSpan    = 1000 * time.Millisecond
+	windowBuckets = 8
+	// waitedShare is the excess, as a share of a turn's unloaded time, above which the turn counts as
+	// having queued. It is about the slack per turn that callers' deadlines leave.
 	waitedShare = 1.0 / 3
 )
 
-// slice is what was seen in a part of the span.
-type slice struct {
-	number   int64 // of the part, since the beginning of time
-	ahead    Waits
-	behind   Waits
-	declines int
-	let      int // programs let in
+// bucket holds the samples of one interval of the window.
+type bucket struct {
+	number      int64 // of the interval, counted from the Unix epoch
+	others      WaitStats
+	newPrograms WaitStats
+	declines    int
+	admitted    int // first turns of programs that were admitted
 }
 
-// Idle is what a turn takes where nothing makes it wait.
+// Idle is how long a turn takes without queueing.
 type Idle struct {
-	First time.Duration // until its first event
-	Whole time.Duration
+	First time.Duration // from sending to the first event
+	Whole time.Duration // from arrival to the end
 }
 
-// Sending is a turn at a worker whose first event has not come.
+// Sending is a turn that was sent to a worker and whose first event has not arrived.
 type Sending struct {
-	window *window
-	sent   time.Time
-	idle   Idle
-	behind bool
+	window     *window
+	sent       time.Time
+	unloaded   Idle
+	newProgram bool
 }
 
-// excess is how much longer than where nothing makes it wait the first event takes.
+// excess returns how long the first event has taken beyond the unloaded time, and whether this counts
+// as queueing.
 func (s *Sending) excess(now time.Time) (excess time.Duration, waited bool) {
-	excess = max(0, now.Sub(s.sent)-s.idle.First)
-	return excess, float64(excess) > waitedShare*float64(s.idle.Whole)
+	excess = max(0, now.Sub(s.sent)-s.unloaded.First)
+	return excess, float64(excess) > waitedShare*float64(s.unloaded.Whole)
 }
 
-// window is what was seen in the last span of turns of one urgency before one service.
+// window holds the samples of one queue over the last windowSpan.
 type window struct {
-	slices  [parts]slice
-	pending map[*Sending]struct{}
-	free    bool
-	newest  time.Time
-	crowded time.Time // when it was last taken to be crowded
-	idle    time.Duration
-}
-
-// at is the part of a moment, empty if it is new.
-func (w *window) at(now time.Time) *slice {
-	number := now.UnixNano() / int64(span/parts)
-	part := &w.slices[number%parts]
-	if part.number != number {
-		*part = slice{number: number}
+	buckets      [windowBuckets]bucket
+	pending      map[*Sending]struct{}
+	workerFree   bool
+	newestAt     time.Time
+	overloadedAt time.Time // when the queue was last judged overloaded
+	unloadedTime time.Duration
+}
+
+// bucketAt returns the bucket of a point in time. A bucket that holds an earlier interval is reset.
+func (w *window) bucketAt(now time.Time) *bucket {
+	number := now.UnixNano() / int64(windowSpan/windowBuckets)
+	b := &w.buckets[number%windowBuckets]
+	if b.number != number {
+		*b = bucket{number: number}
 	}
-	return part
+	return b
 }
 
-// first takes in that the first event of a turn comes.
-func (w *window) first(sending *Sending, now time.Time) {
+// firstEvent records the arrival of a turn's first event.
+func (w *window) firstEvent(sending *Sending, now time.Time) {
 	excess, waited := sending.excess(now)
-	if !sending.behind {
-		w.at(now).ahead.observe(excess, waited)
+	if !sending.newProgram {
+		w.bucketAt(now).others.observe(excess, waited)
 		return
 	}
-	w.at(now).behind.observe(excess, waited)
-	w.free, w.newest = !waited, now
+	w.bucketAt(now).newPrograms.observe(excess, waited)
+	w.workerFree, w.newestAt = !waited, now
 }
 
-// declined takes in that a worker said that it is full.
+// declined records that a full worker declined a turn.
 func (w *window) declined(now time.Time) {
-	w.at(now).declines++
-	w.free, w.newest = false, now
+	w.bucketAt(now).declines++
+	w.workerFree, w.newestAt = false, now
 }
 
-// load sums the span up, with the turns that have waited by now and wait still.
-func (w *window) load(now time.Time) (load Load, let int) {
-	oldest := now.UnixNano()/int64(span/parts) - parts
-	for index := range w.slices {
-		part := &w.slices[index]
-		if part.number <= oldest {
+// load sums up the window, including pending turns whose first event is overdue. It also returns the
+// number of programs admitted within the window.
+func (w *window) load(now time.Time) (load Load, admitted int) {
+	oldest := now.UnixNano()/int64(windowSpan/windowBuckets) - windowBuckets
+	for index := range w.buckets {
+		b := &w.buckets[index]
+		if b.number <= oldest {
 			continue
 		}
-		load.Ahead.add(part.ahead)
-		load.Behind.add(part.behind)
-		load.Declines += part.declines
-		let += part.let
+		load.Others.add(b.others)
+		load.New.add(b.newPrograms)
+		load.Declines += b.declines
+		admitted += b.admitted
 	}
-	load.Free, load.Age = w.free, now.Sub(w.newest)
-	load.Idle = w.idle
-	load.Was = now.Sub(w.crowded) < span
+	load.WorkerFree, load.Age = w.workerFree, now.Sub(w.newestAt)
+	load.UnloadedTime = w.unloadedTime
+	load.WasOverloaded = now.Sub(w.overloadedAt) < windowSpan
 	for sending := range w.pending {
 		excess, waited := sending.excess(now)
 		switch {
-		case waited && sending.behind:
-			load.Behind.observe(excess, true)
+		case waited && sending.newProgram:
+			load.New.observe(excess, true)
 			load.Age = 0
 		case waited:
-			load.Ahead.observe(excess, true)
+			load.Others.observe(excess, true)
 		}
 	}
-	return load, let
+	return load, admitted
 }
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -10,210 +10,213 @@
 	"github.com/cloverwheel/cloverwheel/internal/standing"
 )
 
-// The load of the sheet of a deployment whose callers compete for room: programs of two kinds of
-// urgency, with sub-agents, before workers of six places each.
+// Parameters of the simulated deployment: nodes and workers, and the sub-agents and retries of
+// programs.
 const (
-	modelNodes     = 77
-	modelWorkers   = 45
-	modelPlaces    = 6
-	modelQueue     = 18
-	modelDeadline  = 3 * time.Second
-	modelWork      = 160 * time.Millisecond
-	modelFirst     = 40 * time.Millisecond // of a turn, until its first event
-	modelAgents    = 5
-	modelAgentTurn = 2
-	modelSends     = 3 // of a turn by its caller
-	modelPicks     = 5 // of workers, before a turn is refused because they are full
-	modelTries     = 2 // of a send by its client
+	simNodes      = 77
+	simWorkers    = 45
+	simPlaces     = 6                      // turns that a worker runs at a time
+	simQueue      = 18                     // queue length of a worker
+	simDeadline   = 3 * time.Second        // client timeout of a turn
+	simWork       = 160 * time.Millisecond // mean run time of a turn
+	simFirstEvent = 40 * time.Millisecond  // from the start of a turn to its first event
+	simAgents     = 5                      // sub-agents of a fan-out
+	simAgentTurns = 2                      // turns of each sub-agent
+	simSends      = 3                      // sends of a turn by its caller
+	simPicks      = 5                      // workers tried before a turn is declined
+	simTries      = 2                      // tries of each send by the client
 )
 
-// kind is a kind of programs.
+// kind is a kind of program. A program's deadline is multiple times its unloaded duration plus objective.
 type kind struct {
 	name      string
 	urgency   int
-	perSecond float64
-	turns     int
+	perSecond float64 // arrival rate
+	turns     int     // mean number of turns
 	pause     time.Duration
-	fan       float64 // share of turns after which sub-agents follow
-	multiple  float64 // of its time on idle workers that its caller gives it
+	fan       float64 // share of turns followed by a fan-out to sub-agents
+	multiple  float64
 	objective time.Duration
 }
 
-var sheet = []kind{
+// workload has two kinds of programs of different urgency.
+var workload = []kind{
 	{name: "draft", urgency: 0, perSecond: 46, turns: 4, pause: 40 * time.Millisecond, fan: 0.05, multiple: 1.4, objective: 200 * time.Millisecond},
 	{name: "assist", urgency: 2, perSecond: 25.1, turns: 7, pause: 150 * time.Millisecond, fan: 0.25, multiple: 1.3, objective: 400 * time.Millisecond},
 }
 
-// happening is something that happens at a time.
-type happening struct {
+// event is a scheduled function call. Events at the same time run in the order of scheduling.
+type event struct {
 	at    time.Duration
 	order int
-	do    func()
+	run   func()
 }
 
-type timeline []happening
+// timeline is a heap of events; it implements heap.Interface.
+type timeline []event
 
 func (t timeline) Len() int { return len(t) }
 func (t timeline) Less(a, b int) bool {
 	return t[a].at < t[b].at || t[a].at == t[b].at && t[a].order < t[b].order
 }
 func (t timeline) Swap(a, b int) { t[a], t[b] = t[b], t[a] }
-func (t *timeline) Push(x any)   { *t = append(*t, x.(happening)) }
+func (t *timeline) Push(x any)   { *t = append(*t, x.(event)) }
 func (t *timeline) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
 }
 
-// modelNode is a node's own knowledge.
-type modelNode struct {
+// simNode is a node; nodes share no state.
+type simNode struct {
 	learner *standing.Learner
 	gate    *Gate
 }
 
-// modelWorker is a worker's places and queue.
-type modelWorker struct {
+// simWorker is a worker with its queue, in order of priority.
+type simWorker struct {
 	running int
-	queue   []*modelTurn
+	queue   []*simTurn
 }
 
-// modelProgram is a program under way.
-type modelProgram struct {
-	kind    kind
-	name    string
-	began   time.Duration
-	given   time.Duration
-	fans    []bool // after which turns sub-agents follow
-	place   int
-	agents  int // lines of sub-agents under way
-	refused int
-	failed  bool
-	ended   time.Duration // 0: it has not
+// simProgram is the state of a program.
+type simProgram struct {
+	kind     kind
+	name     string
+	beganAt  time.Duration
+	budget   time.Duration
+	fansOut  []bool // whether sub-agents follow, by turn
+	position int    // of the current turn of the main line, from 1
+	agents   int    // sub-agents still running
+	refused  int    // number of refusals
+	failed   bool
+	ended    time.Duration // 0 until the program has ended
 }
 
-// modelTurn is one turn of a line.
-type modelTurn struct {
-	program  *modelProgram
-	line     string
-	place    int
-	left     int // turns of the line after it
-	sends    int
-	tries    int
-	node     *modelNode
-	turn     standing.Turn
-	stands   standing.Program
-	priority int
-	begun    time.Duration // its first try
-	came     time.Duration // this try
-	work     time.Duration
-	sending  *Sending
+// simTurn is one turn of a program's main line or of a sub-agent.
+type simTurn struct {
+	program     *simProgram
+	line        string
+	position    int
+	left        int // turns that follow on the line
+	sends       int
+	tries       int
+	node        *simNode
+	turn        standing.Turn
+	stands      standing.Program
+	priority    int
+	firstSentAt time.Duration // first try of the current send
+	sentAt      time.Duration // current try
+	work        time.Duration
+	sending     *Sending
 }
 
-// model plays programs against nodes, each of which decides by what it has seen itself.
-type model struct {
-	random   *rand.Rand
-	now      time.Duration
-	timeline timeline
-	count    int
-	nodes    []*modelNode
-	workers  []*modelWorker
-	programs []*modelProgram
-	admits   bool // admission is asked
-	waits    []time.Duration
-	// refusedFree are those of the refusals at which a place was free and nothing waited.
-	refusals, refusedFree int
+// simulation is a discrete-event simulation of programs that arrive at nodes. Each node makes its
+// admission decisions from its own observations.
+type simulation struct {
+	random    *rand.Rand
+	now       time.Duration
+	timeline  timeline
+	count     int // events scheduled so far
+	nodes     []*simNode
+	workers   []*simWorker
+	programs  []*simProgram
+	admission bool            // admission control is on
+	waits     []time.Duration // queueing time of each turn that ran
+	// refusedWithRoom counts the refusals made while a worker had a free place and none had a queue.
+	refusals, refusedWithRoom int
 }
 
-var modelStart = time.Unix(10_000, 0)
+var simStart = time.Unix(10_000, 0)
 
-func newModel(seed uint64, admits bool) *model {
-	m := &model{random: rand.New(rand.NewPCG(seed, 1)), admits: admits}
-	for range modelNodes {
-		m.nodes = append(m.nodes, &modelNode{learner: standing.NewLearner(), gate: NewGate(nil)})
+func newSimulation(seed uint64, admission bool) *simulation {
+	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), admission: admission}
+	for range simNodes {
+		s.nodes = append(s.nodes, &simNode{learner: standing.NewLearner(), gate: NewGate(nil)})
 	}
-	for range modelWorkers {
-		m.workers = append(m.workers, &modelWorker{})
+	for range simWorkers {
+		s.workers = append(s.workers, &simWorker{})
 	}
-	return m
+	return s
 }
 
-func (m *model) clock() time.Time { return modelStart.Add(m.now) }
+func (s *simulation) clock() time.Time { return simStart.Add(s.now) }
 
-func (m *model) after(wait time.Duration, do func()) {
-	m.count++
-	heap.Push(&m.timeline, happening{at: m.now + wait, order: m.count, do: do})
+func (s *simulation) schedule(delay time.Duration, run func()) {
+	s.count++
+	heap.Push(&s.timeline, event{at: s.now + delay, order: s.count, run: run})
 }
 
-// play lets programs come until a moment, burst times as many between two others, and ends once
-// nothing happens any more.
-func (m *model) play(until, from, to time.Duration, burst float64) {
-	for _, kind := range sheet {
-		m.arrive(kind, until, from, to, burst)
+// simulate runs the simulation until no events are left. Programs arrive until a given time. Between
+// from and to, the arrival rate is multiplied by burst.
+func (s *simulation) simulate(until, from, to time.Duration, burst float64) {
+	for _, kind := range workload {
+		s.scheduleArrivals(kind, until, from, to, burst)
 	}
-	for m.timeline.Len() > 0 {
-		next := heap.Pop(&m.timeline).(happening)
-		m.now = next.at
-		next.do()
+	for s.timeline.Len() > 0 {
+		next := heap.Pop(&s.timeline).(event)
+		s.now = next.at
+		next.run()
 	}
 }
 
-func (m *model) arrive(kind kind, until, from, to time.Duration, burst float64) {
+func (s *simulation) scheduleArrivals(kind kind, until, from, to time.Duration, burst float64) {
 	rate := kind.perSecond
-	if m.now >= from && m.now < to {
+	if s.now >= from && s.now < to {
 		rate *= burst
 	}
-	m.after(time.Duration(m.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		if m.now >= until {
+	s.schedule(time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		if s.now >= until {
 			return
 		}
-		m.begin(kind)
-		m.arrive(kind, until, from, to, burst)
+		s.begin(kind)
+		s.scheduleArrivals(kind, until, from, to, burst)
 	})
 }
 
-func (m *model) begin(kind kind) {
-	program := &modelProgram{kind: kind, began: m.now, name: fmt.Sprint("p", len(m.programs))}
-	turns := max(1, int(float64(kind.turns)*(0.6+0.8*m.random.Float64())+0.5))
-	idle := time.Duration(turns)*(modelWork+24*time.Millisecond) + time.Duration(turns-1)*kind.pause
+func (s *simulation) begin(kind kind) {
+	program := &simProgram{kind: kind, beganAt: s.now, name: fmt.Sprint("p", len(s.programs))}
+	turns := max(1, int(float64(kind.turns)*(0.6+0.8*s.random.Float64())+0.5))
+	unloaded := time.Duration(turns)*(simWork+24*time.Millisecond) + time.Duration(turns-1)*kind.pause
 	for range turns - 1 {
-		fans := m.random.Float64() < kind.fan
-		program.fans = append(program.fans, fans)
-		if fans {
-			idle += modelAgentTurn * (modelWork + 24*time.Millisecond)
+		fansOut := s.random.Float64() < kind.fan
+		program.fansOut = append(program.fansOut, fansOut)
+		if fansOut {
+			unloaded += simAgentTurns * (simWork + 24*time.Millisecond)
 		}
 	}
-	program.given = time.Duration(kind.multiple*float64(idle)) + kind.objective
-	m.programs = append(m.programs, program)
-	m.next(program)
+	program.budget = time.Duration(kind.multiple*float64(unloaded)) + kind.objective
+	s.programs = append(s.programs, program)
+	s.sendNext(program)
 }
 
-func (m *model) next(program *modelProgram) {
-	program.place++
-	m.send(&modelTurn{program: program, line: "main", place: program.place, begun: m.now})
+func (s *simulation) sendNext(program *simProgram) {
+	program.position++
+	s.send(&simTurn{program: program, line: "main", position: program.position, firstSentAt: s.now})
 }
 
-// send brings a turn to a node.
-func (m *model) send(turn *modelTurn) {
+// send sends a turn to a node.
+func (s *simulation) send(turn *simTurn) {
 	program := turn.program
 	if program.failed {
 		return
 	}
-	if m.left(turn) <= 0 {
+	if s.timeLeft(turn) <= 0 {
 		program.failed = true
 		return
 	}
-	turn.node = m.nodes[(len(program.name)*7+int(rank(program.name)*modelNodes)+turn.tries+turn.sends)%modelNodes]
-	turn.came = m.now
+	turn.node = s.nodes[(len(program.name)*7+int(hashRank(program.name)*simNodes)+turn.tries+turn.sends)%simNodes]
+	turn.sentAt = s.now
 	turn.turn = standing.Turn{
 		Route: program.kind.name, Program: program.name, Line: turn.line, Urgency: program.kind.urgency,
-		Begins: turn.line == "main" && turn.place == 1, Place: turn.place,
-		Timed: true, Finish: max(0, program.given-(m.now-program.began)),
+		Begins: turn.line == "main" && turn.position == 1, Place: turn.position,
+		Timed: true, Finish: max(0, program.budget-(s.now-program.beganAt)),
 	}
-	stands := turn.node.learner.Begin(turn.turn, m.clock())
-	if m.admits {
-		verdict, ask, _ := turn.node.gate.Decide("models", stands, m.left(turn), m.clock())
+	stands := turn.node.learner.Begin(turn.turn, s.clock())
+	if s.admission {
+		verdict, ask, _ := turn.node.gate.Decide("models", stands, s.timeLeft(turn), s.clock())
 		if !verdict.In {
-			m.refuse(turn, verdict.After)
+			s.refuse(turn, verdict.After)
 			return
 		}
 		stands.Returns = ask.Program.Returns
@@ -221,168 +224,170 @@
 	turn.stands = stands
 	first := 2 * program.kind.urgency
 	turn.priority = standing.Band{First: first, Last: first + 3}.Priority(stands)
-	m.place(turn)
+	s.dispatch(turn)
 }
 
-func (m *model) refuse(turn *modelTurn, after time.Duration) {
-	m.refusals++
-	if m.roomy() {
-		m.refusedFree++
+func (s *simulation) refuse(turn *simTurn, after time.Duration) {
+	s.refusals++
+	if s.hasFreePlace() {
+		s.refusedWithRoom++
 	}
 	turn.program.refused++
-	turn.node.learner.End(turn.turn, standing.Took{Failed: true}, m.clock())
-	m.again(turn, after)
+	turn.node.learner.End(turn.turn, standing.Took{Failed: true}, s.clock())
+	s.retry(turn, after)
 }
 
-// roomy reports whether a place is free and nothing waits.
-func (m *model) roomy() bool {
+// hasFreePlace reports whether a worker has a free place and none has a queue.
+func (s *simulation) hasFreePlace() bool {
 	free := false
-	for _, worker := range m.workers {
+	for _, worker := range s.workers {
 		if len(worker.queue) > 0 {
 			return false
 		}
-		free = free || worker.running < modelPlaces
+		free = free || worker.running < simPlaces
 	}
 	return free
 }
 
-// left is how long a turn's client still waits: callers leave once twice the time has passed that they
-// gave their program.
-func (m *model) left(turn *modelTurn) time.Duration {
+// timeLeft returns the time until a turn's client gives up. Callers abandon a program after twice its
+// budget.
+func (s *simulation) timeLeft(turn *simTurn) time.Duration {
 	program := turn.program
-	return min(turn.begun+modelDeadline, program.began+2*program.given) - m.now
+	return min(turn.firstSentAt+simDeadline, program.beganAt+2*program.budget) - s.now
 }
 
-// again lets a turn's client come back, or its caller send it anew, as long as they do.
-func (m *model) again(turn *modelTurn, after time.Duration) {
-	left := m.left(turn)
-	if turn.tries++; turn.tries < modelTries && left > 0 {
-		m.after(min(after, left/3), func() { m.send(turn) })
+// retry schedules the client's next try of a turn or, after the last try, the caller's next send. After
+// the last send the program fails.
+func (s *simulation) retry(turn *simTurn, after time.Duration) {
+	left := s.timeLeft(turn)
+	if turn.tries++; turn.tries < simTries && left > 0 {
+		s.schedule(min(after, left/3), func() { s.send(turn) })
 		return
 	}
 	turn.tries = 0
-	if turn.sends++; turn.sends >= modelSends {
+	if turn.sends++; turn.sends >= simSends {
 		turn.program.failed = true
 		return
 	}
-	m.after(time.Duration(100+m.random.IntN(300))*time.Millisecond, func() {
-		turn.begun = m.now
-		m.send(turn)
+	s.schedule(time.Duration(100+s.random.IntN(300))*time.Millisecond, func() {
+		turn.firstSentAt = s.now
+		s.send(turn)
 	})
 }
 
-// pick is the emptier one of two workers, drawn again while it is full.
-func (m *model) pick() *modelWorker {
-	var one *modelWorker
-	for range modelPicks {
-		one = m.workers[m.random.IntN(modelWorkers)]
-		if two := m.workers[m.random.IntN(modelWorkers)]; two.running+len(two.queue) < one.running+len(one.queue) {
-			one = two
+// pickWorker returns the less loaded of two random workers. If that one's queue is full it draws
+// again, simPicks times at most.
+func (s *simulation) pickWorker() *simWorker {
+	var picked *simWorker
+	for range simPicks {
+		picked = s.workers[s.random.IntN(simWorkers)]
+		if other := s.workers[s.random.IntN(simWorkers)]; other.running+len(other.queue) < picked.running+len(picked.queue) {
+			picked = other
 		}
-		if len(one.queue) < modelQueue {
+		if len(picked.queue) < simQueue {
 			break
 		}
 	}
-	return one
+	return picked
 }
 
-// place sends a turn to the emptier one of two workers.
-func (m *model) place(turn *modelTurn) {
+// dispatch starts or queues a turn at a worker. If the worker's queue is full the turn is declined.
+func (s *simulation) dispatch(turn *simTurn) {
 	turn.sending = nil
 	if whole, first, known := turn.node.learner.Idle(turn.turn.Route); known {
-		turn.sending = turn.node.gate.Sent("models", turn.stands, Idle{First: first, Whole: whole}, m.clock())
+		turn.sending = turn.node.gate.Sent("models", turn.stands, Idle{First: first, Whole: whole}, s.clock())
 	}
-	turn.work = time.Duration((0.5 + m.random.Float64()) * float64(modelWork))
-	one := m.pick()
+	turn.work = time.Duration((0.5 + s.random.Float64()) * float64(simWork))
+	worker := s.pickWorker()
 	switch {
-	case one.running < modelPlaces:
-		m.run(one, turn)
-	case len(one.queue) < modelQueue:
-		at, _ := slices.BinarySearchFunc(one.queue, turn.priority, func(other *modelTurn, priority int) int {
+	case worker.running < simPlaces:
+		s.startTurn(worker, turn)
+	case len(worker.queue) < simQueue:
+		at, _ := slices.BinarySearchFunc(worker.queue, turn.priority, func(other *simTurn, priority int) int {
 			if other.priority <= priority {
 				return -1
 			}
 			return 1
 		})
-		one.queue = slices.Insert(one.queue, at, turn)
+		worker.queue = slices.Insert(worker.queue, at, turn)
 	default:
-		turn.leaves(m.clock())
-		turn.node.gate.Declined("models", turn.program.kind.urgency, m.clock())
-		turn.node.learner.End(turn.turn, standing.Took{Failed: true}, m.clock())
-		m.again(turn, time.Duration(120+m.random.IntN(120))*time.Millisecond)
+		turn.endWithoutEvent(s.clock())
+		turn.node.gate.Declined("models", turn.program.kind.urgency, s.clock())
+		turn.node.learner.End(turn.turn, standing.Took{Failed: true}, s.clock())
+		s.retry(turn, time.Duration(120+s.random.IntN(120))*time.Millisecond)
 	}
 }
 
-// leaves notes that no first event of the turn comes.
-func (t *modelTurn) leaves(now time.Time) {
+// endWithoutEvent records that the turn ended without a first event.
+func (t *simTurn) endWithoutEvent(now time.Time) {
 	if t.sending != nil {
 		t.node.gate.Ended(t.sending, now)
 	}
 }
 
-func (m *model) run(worker *modelWorker, turn *modelTurn) {
+func (s *simulation) startTurn(worker *simWorker, turn *simTurn) {
 	worker.running++
-	m.waits = append(m.waits, m.now-turn.came)
-	waited := m.now - turn.came
-	m.after(modelFirst, func() {
+	s.waits = append(s.waits, s.now-turn.sentAt)
+	waited := s.now - turn.sentAt
+	s.schedule(simFirstEvent, func() {
 		if turn.sending != nil {
-			turn.node.gate.First(turn.sending, m.clock())
+			turn.node.gate.First(turn.sending, s.clock())
 		}
 	})
-	m.after(turn.work, func() {
+	s.schedule(turn.work, func() {
 		worker.running--
-		took := standing.Took{Whole: m.now - turn.came, First: waited + modelFirst, Tokens: 1}
-		turn.node.learner.End(turn.turn, took, m.clock())
-		m.take(worker)
-		m.ended(turn)
+		took := standing.Took{Whole: s.now - turn.sentAt, First: waited + simFirstEvent, Tokens: 1}
+		turn.node.learner.End(turn.turn, took, s.clock())
+		s.startQueued(worker)
+		s.turnEnded(turn)
 	})
 }
 
-// take gives a free place to the next that waits.
-func (m *model) take(worker *modelWorker) {
+// startQueued starts the next turn in a worker's queue whose client has not timed out.
+func (s *simulation) startQueued(worker *simWorker) {
 	for len(worker.queue) > 0 {
 		next := worker.queue[0]
 		worker.queue = worker.queue[1:]
-		if m.left(next) > 0 {
-			m.run(worker, next)
+		if s.timeLeft(next) > 0 {
+			s.startTurn(worker, next)
 			return
 		}
-		next.leaves(m.clock())
-		next.node.learner.End(next.turn, standing.Took{Failed: true, Whole: m.now - next.came}, m.clock())
-		next.tries = modelTries
-		m.again(next, 0)
+		next.endWithoutEvent(s.clock())
+		next.node.learner.End(next.turn, standing.Took{Failed: true, Whole: s.now - next.sentAt}, s.clock())
+		next.tries = simTries
+		s.retry(next, 0)
 	}
 }
 
-// ended goes on after a turn.
-func (m *model) ended(turn *modelTurn) {
+// turnEnded ends the program or schedules what follows the turn.
+func (s *simulation) turnEnded(turn *simTurn) {
 	program := turn.program
 	if turn.line != "main" {
-		m.agentEnded(turn)
+		s.agentEnded(turn)
 		return
 	}
-	if turn.place > len(program.fans) {
-		program.ended = m.now
+	if turn.position > len(program.fansOut) {
+		program.ended = s.now
 		return
 	}
-	if !program.fans[turn.place-1] {
-		m.after(program.kind.pause, func() { m.next(program) })
+	if !program.fansOut[turn.position-1] {
+		s.schedule(program.kind.pause, func() { s.sendNext(program) })
 		return
 	}
-	program.agents = modelAgents
-	for agent := range modelAgents {
-		line := fmt.Sprint("agent", turn.place, agent)
-		m.send(&modelTurn{program: program, line: line, place: turn.place + 1, left: modelAgentTurn - 1, begun: m.now})
+	program.agents = simAgents
+	for agent := range simAgents {
+		line := fmt.Sprint("agent", turn.position, agent)
+		s.send(&simTurn{program: program, line: line, position: turn.position + 1, left: simAgentTurns - 1, firstSentAt: s.now})
 	}
 }
 
-func (m *model) agentEnded(turn *modelTurn) {
+func (s *simulation) agentEnded(turn *simTurn) {
 	program := turn.program
 	if turn.left > 0 {
-		m.send(&modelTurn{program: program, line: turn.line, place: turn.place + 1, left: turn.left - 1, begun: m.now})
+		s.send(&simTurn{program: program, line: turn.line, position: turn.position + 1, left: turn.left - 1, firstSentAt: s.now})
 		return
 	}
 	if program.agents--; program.agents == 0 {
-		m.next(program)
+		s.sendNext(program)
 	}
 }
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -9,21 +9,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// outcome is what callers got.
+// outcome summarizes a simulation.
 type outcome struct {
 	programs, inTime, late, failed int
-	worst                          float64 // share in time of the programs that began in the worst second
-	refused, returned              int     // programs refused once or more; of them, those that ended
-	inAndLate                      int     // let in at once, and late
+	worst                          float64 // lowest share in time among programs that began in the same second
+	refused, returned              int     // programs refused at least once; of these, the ones that ended
+	inAndLate                      int     // never refused, and late
 	longest                        time.Duration
-	refusals, refusedFree          int
+	refusals, refusedWithRoom      int
 }
 
-func (m *model) outcome() outcome {
-	o := outcome{programs: len(m.programs), longest: slices.Max(m.waits), refusals: m.refusals, refusedFree: m.refusedFree}
+func (s *simulation) outcome() outcome {
+	o := outcome{programs: len(s.programs), longest: slices.Max(s.waits), refusals: s.refusals, refusedWithRoom: s.refusedWithRoom}
 	inTime, all := map[time.Duration]int{}, map[time.Duration]int{}
-	for _, program := range m.programs {
-		second := program.began.Truncate(time.Second)
+	for _, program := range s.programs {
+		second := program.beganAt.Truncate(time.Second)
 		all[second]++
 		if program.inTime() {
 			inTime[second]++
@@ -37,9 +37,9 @@
 	return o
 }
 
-func (p *modelProgram) inTime() bool { return p.ended > 0 && p.ended-p.began <= p.given }
+func (p *simProgram) inTime() bool { return p.ended > 0 && p.ended-p.beganAt <= p.budget }
 
-func (o *outcome) count(program *modelProgram) {
+func (o *outcome) count(program *simProgram) {
 	switch {
 	case program.inTime():
 		o.inTime++
@@ -62,56 +62,58 @@
 func (o outcome) share(count int) float64 { return float64(count) / float64(o.programs) }
 
 func (o outcome) String() string {
-	return fmt.Sprintf("in time %.3f, late %.3f, failed %.3f, worst second %.3f; let in at once and late %.3f; refused %d, of them ended %d; refusals %d, of them with room %d; longest wait %v",
-		o.share(o.inTime), o.share(o.late), o.share(o.failed), o.worst, o.share(o.inAndLate), o.refused, o.returned, o.refusals, o.refusedFree, o.longest.Round(time.Millisecond))
+	return fmt.Sprintf("in time %.3f, late %.3f, failed %.3f, worst second %.3f; never refused and late %.3f; refused %d, of these ended %d; refusals %d, of these with a free worker %d; longest wait %v",
+		o.share(o.inTime), o.share(o.late), o.share(o.failed), o.worst, o.share(o.inAndLate), o.refused, o.returned, o.refusals, o.refusedWithRoom, o.longest.Round(time.Millisecond))
 }
 
-// and is what callers got of both days together; the worst second and the longest wait are those of
-// either.
-func (o outcome) and(other outcome) outcome {
+// plus combines the outcomes of two simulations.
+func (o outcome) plus(other outcome) outcome {
 	return outcome{
 		programs: o.programs + other.programs, inTime: o.inTime + other.inTime, late: o.late + other.late, failed: o.failed + other.failed,
 		worst:   min(o.worst, other.worst),
 		refused: o.refused + other.refused, returned: o.returned + other.returned,
 		inAndLate: o.inAndLate + other.inAndLate,
 		longest:   max(o.longest, other.longest),
-		refusals:  o.refusals + other.refusals, refusedFree: o.refusedFree + other.refusedFree,
+		refusals:  o.refusals + other.refusals, refusedWithRoom: o.refusedWithRoom + other.refusedWithRoom,
 	}
 }
 
-// seeds are how many days are played of each load.
+// seeds is the number of simulations for each load.
 const seeds = 4
 
-// overload plays days of 20 s of the sheet's load, several times as much for 6 s of them.
-func overload(times float64, admits bool) outcome {
+// overload simulates 20 s of the workload with an arrival rate several times as high during 6 s, and
+// combines the outcomes of all seeds.
+func overload(times float64, admission bool) outcome {
 	all := outcome{worst: 1}
 	for seed := range uint64(seeds) {
-		m := newModel(seed, admits)
-		m.play(20*time.Second, 4*time.Second, 10*time.Second, times)
-		all = all.and(m.outcome())
+		s := newSimulation(seed, admission)
+		s.simulate(20*time.Second, 4*time.Second, 10*time.Second, times)
+		all = all.plus(s.outcome())
 	}
 	return all
 }
 
-func TestUsualLoadIsNotRefused(t *testing.T) {
+// Programs must not be refused, or late, at the design load.
+func TestNoRefusalsAtDesignLoad(t *testing.T) {
 	t.Parallel()
 	o := overload(1, true)
 	require.Zero(t, o.refusals, o)
 	require.Equal(t, o.programs, o.inTime, o)
 }
 
-// What is asked of four and eight times the load is the share that users ask for on the deployments
-// where it is measured.
+// Under overload, admission control must keep a stated share of programs within their deadlines, do no
+// worse than admitting all, and never refuse a program while a worker is free. The shares for four and
+// eight times the load are those that users require.
 func TestOverload(t *testing.T) {
 	for _, load := range []struct{ times, inTime float64 }{{2.3, 0.95}, {4, 0.75}, {8, 0.45}} {
-		t.Run(fmt.Sprintf("%v times", load.times), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%vx load", load.times), func(t *testing.T) {
 			t.Parallel()
 			before, after := overload(load.times, false), overload(load.times, true)
-			t.Log("all let in: ", before)
-			t.Log("admission: ", after)
+			t.Log("without admission control: ", before)
+			t.Log("with admission control: ", after)
 			require.GreaterOrEqual(t, after.share(after.inTime), load.inTime)
 			require.GreaterOrEqual(t, after.share(after.inTime), before.share(before.inTime))
-			require.Zero(t, after.refusedFree, "refused while a place was free and nothing waited")
+			require.Zero(t, after.refusedWithRoom, "refused while a worker was free and none had a queue")
 		})
 	}
 }
--- a/internal/standing/expectation.go
+++ b/internal/standing/expectation.go
@@ -3,98 +3,102 @@
 import "time"
 
 const (
-	// enoughSeen is how many observations make an estimate.
-	enoughSeen = 8
-	// idleShare is the quantile of the times of turns that is taken for that where nothing makes
-	// a turn wait: under load some turns still meet a free worker.
-	idleShare = 0.1
-	// usualShare is the quantile of what load does not lengthen.
-	usualShare = 0.5
-	// mostTurns bounds the turns of a line that are told apart; longer ones count as loops.
-	mostTurns = 48
-	// countedLines is up to how many lines are counted before all counts are halved.
-	countedLines = 512
-	// givenShare is the part of the time that callers give at a first turn which their program is
-	// taken to need while too little was seen: they give a multiple of it, below two.
-	givenShare = 0.6
-	// leastGivenShare is the quantile of what callers give below which one is taken to have given
-	// more before.
-	leastGivenShare = 0.2
-	// leastShare and mostShare bound that part where it was seen.
-	leastShare = 0.3
-	mostShare  = 0.9
+	// minObservations is the number of observations from which an estimate is used.
+	minObservations = 8
+	// unloadedQuantile is the quantile of turn durations that is taken as the duration without
+	// queueing. Even under load some turns meet a free worker.
+	unloadedQuantile = 0.1
+	// medianQuantile is used for durations that do not depend on load.
+	medianQuantile = 0.5
+	// maxCountedTurns is the number of turns of a line that are counted. Turns beyond it are ignored:
+	// such a line is probably a loop.
+	maxCountedTurns = 48
+	// maxCountedLines is the number of lines above which all counts are halved, so that old lines lose
+	// weight.
+	maxCountedLines = 512
+	// defaultNeedShare is the share of a caller's budget that a program is assumed to need until
+	// estimates are available. Callers' budgets are usually between one and two times the need.
+	defaultNeedShare = 0.6
+	// lowBudgetQuantile is the quantile of budgets at first turns below which a budget is assumed to
+	// be the rest of a larger one, part of which was spent on tries at other nodes.
+	lowBudgetQuantile = 0.2
+	// minNeedShare and maxNeedShare bound the estimated share.
+	minNeedShare = 0.3
+	maxNeedShare = 0.9
 )
 
-// expectation is what is expected of the programs that begin on one route.
-type expectation struct {
-	turn  quantile // of whole turns
-	first quantile // until a turn's first event
-	pause quantile // between two turns of a line
-	given quantile // by callers at first turns
-	// leastGiven is what few callers go below at first turns, but for those that come once more.
-	leastGiven quantile
-	reached    [mostTurns + 1]int
-	guesses    guesses
+// routeStats holds the estimates for programs on one route.
+type routeStats struct {
+	turn   quantile // unloaded duration of a turn
+	first  quantile // unloaded time until a turn's first event
+	pause  quantile // pause between two turns of a line
+	budget quantile // time to the deadline at first turns, median
+	// lowBudget is the lowBudgetQuantile of the time to the deadline at first turns.
+	lowBudget quantile
+	// linesReached counts the lines that completed at least so many turns; index 0 is unused.
+	linesReached [maxCountedTurns + 1]int
+	hints        hintStats
 }
 
-// reach counts that a line begins its place-th turn.
-func (e *expectation) reach(place int) {
-	if place > mostTurns {
+// countReached counts a line that completes its turn number place.
+func (r *routeStats) countReached(place int) {
+	if place > maxCountedTurns {
 		return
 	}
-	e.reached[place]++
-	if e.reached[1] <= countedLines {
+	r.linesReached[place]++
+	if r.linesReached[1] <= maxCountedLines {
 		return
 	}
-	for index := range e.reached {
-		e.reached[index] /= 2
+	for index := range r.linesReached {
+		r.linesReached[index] /= 2
 	}
 }
 
-// following is how many turns follow after the place-th in half of the lines that come so far.
-// Being a median, a few lines that never end do not move it.
-func (e *expectation) following(place int) (count int, known bool) {
-	if place < 1 || place > mostTurns || e.reached[place] < enoughSeen {
+// turnsAfter returns the median number of turns that follow turn number place, among lines that
+// reach it. As a median it is not skewed by a few endless lines.
+func (r *routeStats) turnsAfter(place int) (count int, known bool) {
+	if place < 1 || place > maxCountedTurns || r.linesReached[place] < minObservations {
 		return 0, false
 	}
-	for next := place + 1; next <= mostTurns && 2*e.reached[next] >= e.reached[place]; next++ {
+	for next := place + 1; next <= maxCountedTurns && 2*r.linesReached[next] >= r.linesReached[place]; next++ {
 		count++
 	}
 	return count, true
 }
 
-// needs is what a program takes from the place-th turn of its line on where nothing makes it wait.
-func (e *expectation) needs(place int) (needs time.Duration, turns int, known bool) {
-	following, known := e.following(place)
-	if !known || !e.turn.known() {
+// remaining estimates the time and the turns that a program needs from turn number place on, without
+// queueing.
+func (r *routeStats) remaining(place int) (needs time.Duration, turns int, known bool) {
+	following, known := r.turnsAfter(place)
+	if !known || !r.turn.known() {
 		return 0, 0, false
 	}
-	needs = e.turn.value + time.Duration(following)*(e.turn.value+e.pause.value)
+	needs = r.turn.value + time.Duration(following)*(r.turn.value+r.pause.value)
 	return needs, following + 1, true
 }
 
-// share is which part of the time that callers give at a first turn their programs need.
-func (e *expectation) share() float64 {
-	needs, _, known := e.needs(1)
-	if !known || !e.given.known() {
-		return givenShare
+// needShare estimates the share of callers' budgets at first turns that their programs need.
+func (r *routeStats) needShare() float64 {
+	needs, _, known := r.remaining(1)
+	if !known || !r.budget.known() {
+		return defaultNeedShare
 	}
-	return min(max(float64(needs)/float64(e.given.value), leastShare), mostShare)
+	return min(max(float64(needs)/float64(r.budget.value), minNeedShare), maxNeedShare)
 }
 
-// whole is what a program needs from its first turn on whose caller gives it so long.
-func (e *expectation) whole(given time.Duration) time.Duration {
-	if e.leastGiven.known() {
-		given = max(given, e.leastGiven.value)
+// totalNeed estimates the total time that a program with this budget needs without queueing.
+func (r *routeStats) totalNeed(budget time.Duration) time.Duration {
+	if r.lowBudget.known() {
+		budget = max(budget, r.lowBudget.value)
 	}
-	return time.Duration(e.share() * float64(given))
+	return time.Duration(r.needShare() * float64(budget))
 }
 
-// turnsIn is how many turns fit into a time where nothing makes them wait, one at least; 0: not known.
-func (e *expectation) turnsIn(needs time.Duration) int {
-	if !e.turn.known() {
+// turnsIn returns how many unloaded turns fit into a duration, at least 1; 0 if unknown.
+func (r *routeStats) turnsIn(needs time.Duration) int {
+	if !r.turn.known() {
 		return 0
 	}
-	each := e.turn.value + e.pause.value
+	each := r.turn.value + r.pause.value
 	return max(1, int((needs+each/2)/each))
 }
--- a/internal/standing/guesses.go
+++ b/internal/standing/guesses.go
@@ -1,43 +1,44 @@
 package standing
 
-// guessGain is the weight of the newest observation in the means.
-const guessGain = 1.0 / 32
+// hintGain is the smallest weight of a new observation in the moving averages.
+const hintGain = 1.0 / 32
 
-// Bounds of how much longer or shorter a turn is expected for its caller's guess.
+// Bounds of the factor by which a hint scales the expected duration of a turn.
 const (
-	shortestByGuess = 0.5
-	longestByGuess  = 2.0
+	minHintFactor = 0.5
+	maxHintFactor = 2.0
 )
 
-// guesses follows what callers' guesses of the tokens that a turn generates are worth: how far
-// they are off, against how far the mean is.
-type guesses struct {
-	seen    int
-	mean    float64 // of the tokens generated
-	offMean float64 // squared distance from that
-	offHint float64 // squared distance from the guess
+// hintStats measures how well callers' hints predict the number of tokens that a turn generates: it
+// compares the mean squared error of the hints with that of the plain mean.
+type hintStats struct {
+	seen      int
+	mean      float64 // of tokens generated per turn
+	meanError float64 // mean squared error of mean as a prediction
+	hintError float64 // mean squared error of the hint as a prediction
 }
 
-// observe takes in what was guessed and what came.
-func (g *guesses) observe(hint, tokens int) {
+// observe records a turn's hint and the tokens that it generated. Turns without either are ignored.
+func (h *hintStats) observe(hint, tokens int) {
 	if hint <= 0 || tokens <= 0 {
 		return
 	}
-	g.seen++
-	gain := max(guessGain, 1/float64(g.seen))
-	fromMean, fromHint := float64(tokens)-g.mean, float64(tokens-hint)
-	if g.seen > 1 {
-		g.offMean += gain * (fromMean*fromMean - g.offMean)
-		g.offHint += gain * (fromHint*fromHint - g.offHint)
+	h.seen++
+	gain := max(hintGain, 1/float64(h.seen))
+	fromMean, fromHint := float64(tokens)-h.mean, float64(tokens-hint)
+	if h.seen > 1 {
+		h.meanError += gain * (fromMean*fromMean - h.meanError)
+		h.hintError += gain * (fromHint*fromHint - h.hintError)
 	}
-	g.mean += gain * fromMean
+	h.mean += gain * fromMean
 }
 
-// factor is how much longer than usual a turn with this guess is expected to be.
-func (g *guesses) factor(hint int) float64 {
-	if hint <= 0 || g.seen < enoughSeen || g.offMean <= 0 {
+// factor returns by how much a hint scales the expected duration of a turn. It is 1 if the hint is
+// missing or hints predict no better than the mean.
+func (h *hintStats) factor(hint int) float64 {
+	if hint <= 0 || h.seen < minObservations || h.meanError <= 0 {
 		return 1
 	}
-	worth := max(0, 1-g.offHint/g.offMean)
-	return min(max(1+worth*(float64(hint)/g.mean-1), shortestByGuess), longestByGuess)
+	weight := max(0, 1-h.hintError/h.meanError)
+	return min(max(1+weight*(float64(hint)/h.mean-1), minHintFactor), maxHintFactor)
 }
--- a/internal/standing/learner.go
+++ b/internal/standing/learner.go
@@ -8,63 +8,65 @@
 )
 
 const (
-	// routesKept and programsKept bound the memory of a learner.
-	routesKept   = 256
-	programsKept = 1024
+	// maxRoutes and maxPrograms bound the memory of a Learner.
+	maxRoutes   = 256
+	maxPrograms = 1024
 )
 
-// Turn is a turn as it begins.
+// Turn describes a turn, one request of a program, at its start.
 type Turn struct {
 	Route   string
-	Program string // alike on all nodes
+	Program string // key of the program, the same on all nodes
 	Tenant  string
-	Urgency int
-	Line    string // of turns within the program; empty: not said
-	// Begins says that the turn goes on from nothing.
+	Urgency int    // priority of the route; 0 is the most urgent
+	Line    string // sequence of turns within the program, such as a sub-agent's; empty if unknown
+	// Begins says that the turn does not continue an earlier one.
 	Begins bool
-	// Place is which turn of its line it is; 0: not known.
+	// Place is the number of the turn within its line, from 1; 0 if unknown.
 	Place  int
-	Timed  bool
-	Finish time.Duration // as its caller gave it
-	Hint   int           // tokens that its caller guesses; 0: not said
+	Timed  bool          // Finish is set
+	Finish time.Duration // time left until the caller's deadline for the program
+	Hint   int           // the caller's estimate of the tokens to be generated; 0 if none
 }
 
-// Took is how a turn went.
+// Took is the outcome of a turn.
 type Took struct {
-	Failed bool          // it did not run to its end
-	Whole  time.Duration // from its coming to its end
-	First  time.Duration // from its sending to a worker to the first event
-	Tokens int           // that it generated
+	Failed bool          // the turn did not complete
+	Whole  time.Duration // from arrival to the end
+	First  time.Duration // from sending to a worker to the first event
+	Tokens int           // tokens generated
 }
 
-// programState is what is remembered of a program whose turns come through this node.
+// programState is the state of a program with turns at this node. Its main line is the line of its
+// first turn.
 type programState struct {
-	line    uint64        // in which it began
-	place   int           // of the turn of that line which came last
-	counted int           // the last turn of that line that has ended
-	given   time.Duration // at its first turn
-	waited  time.Duration // in turns, beyond what these take where nothing makes them wait
-	running int           // turns under way
-	ended   time.Time     // when its last turn ended; zero: none has
+	line         uint64        // hash of the main line's name
+	place        int           // number of the latest turn of the main line
+	countedPlace int           // number of the latest completed turn of the main line
+	budget       time.Duration // time to the deadline at the first turn
+	waited       time.Duration // total queueing time of main-line turns, including failed tries
+	running      int           // turns in progress on all lines
+	endedAt      time.Time     // when the latest turn completed; zero if none has
 }
 
-// Learner learns from the turns that pass through a node how long programs take. It is safe for
-// concurrent use, and bounded in memory.
+// Learner estimates from the turns that pass through a node how long programs take. It is safe for
+// concurrent use and bounded in memory.
 type Learner struct {
 	mutex    sync.Mutex
-	routes   recent[string, expectation]
-	programs recent[uint64, programState]
+	routes   fifoMap[string, routeStats]
+	programs fifoMap[uint64, programState]
 }
 
-// NewLearner returns one that has seen nothing.
+// NewLearner returns a Learner without observations.
 func NewLearner() *Learner {
 	return &Learner{
-		routes:   newRecent[string, expectation](routesKept),
-		programs: newRecent[uint64, programState](programsKept),
+		routes:   newFIFOMap[string, routeStats](maxRoutes),
+		programs: newFIFOMap[uint64, programState](maxPrograms),
 	}
 }
 
-// Begin takes in that a turn begins and returns its program's standing.
+// Begin records the start of a turn and returns the scheduling state of its program. The caller must
+// call End when the turn is over.
 func (l *Learner) Begin(turn Turn, now time.Time) Program {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -72,142 +74,145 @@
 		Key: turn.Program, Tenant: turn.Tenant, Urgency: turn.Urgency,
 		Begins: turn.Begins, Timed: turn.Timed, Finish: turn.Finish,
 	}
-	expected := l.expectation(turn.Route)
-	state := l.programs.of(xxhash.Sum64String(turn.Program))
+	stats := l.routeStats(turn.Route)
+	state := l.programs.get(xxhash.Sum64String(turn.Program))
 	if state == nil && !turn.Begins {
-		program.Needs, program.Turns = expected.unknownProgram(turn)
+		program.Needs, program.Turns = stats.remainingFromPlace(turn)
 		return program
 	}
 	if state == nil {
-		state = l.begins(turn)
+		state = l.addProgram(turn)
 	}
 	program.Begins = turn.Begins && state.place <= 1
-	state.comes(turn, expected, now)
-	program.Waited = state.still(expected, now)
-	program.Needs, program.Turns = state.needs(turn, expected)
+	state.beginTurn(turn, stats, now)
+	program.Waited = state.idleTime(stats, now)
+	program.Needs, program.Turns = state.remaining(turn, stats)
 	state.running++
 	return program
 }
 
-// End takes in how a turn went that Begin was told of.
+// End records the outcome of a turn that was passed to Begin.
 func (l *Learner) End(turn Turn, took Took, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	expected := l.expectation(turn.Route)
-	state := l.programs.of(xxhash.Sum64String(turn.Program))
+	stats := l.routeStats(turn.Route)
+	state := l.programs.get(xxhash.Sum64String(turn.Program))
 	if state != nil {
-		state.ends(turn, expected, took, now)
+		state.endTurn(turn, stats, took, now)
 	}
 	if took.Failed {
 		return
 	}
-	expected.turn.observe(took.Whole, idleShare)
-	expected.first.observe(took.First, idleShare)
-	expected.guesses.observe(turn.Hint, took.Tokens)
+	stats.turn.observe(took.Whole, unloadedQuantile)
+	stats.first.observe(took.First, unloadedQuantile)
+	stats.hints.observe(turn.Hint, took.Tokens)
 }
 
-// Idle is what a route's turn takes where nothing makes it wait, and until its first event.
+// Idle returns how long a turn of a route takes without queueing, in all and until its first event.
+// known is false while there are too few observations.
 func (l *Learner) Idle(route string) (whole, first time.Duration, known bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	expected := l.routes.of(route)
-	if expected == nil || !expected.turn.known() || !expected.first.known() {
+	stats := l.routes.get(route)
+	if stats == nil || !stats.turn.known() || !stats.first.known() {
 		return 0, 0, false
 	}
-	return expected.turn.value, expected.first.value, true
+	return stats.turn.value, stats.first.value, true
 }
 
-func (l *Learner) expectation(route string) *expectation {
-	if expected := l.routes.of(route); expected != nil {
-		return expected
+// routeStats returns the estimates of a route and adds them if needed.
+func (l *Learner) routeStats(route string) *routeStats {
+	if stats := l.routes.get(route); stats != nil {
+		return stats
 	}
-	return l.routes.put(route)
+	return l.routes.add(route)
 }
 
-// begins remembers a program from its first turn on.
-func (l *Learner) begins(turn Turn) *programState {
-	state := l.programs.put(xxhash.Sum64String(turn.Program))
+// addProgram adds a program at its first turn.
+func (l *Learner) addProgram(turn Turn) *programState {
+	state := l.programs.add(xxhash.Sum64String(turn.Program))
 	state.line = xxhash.Sum64String(turn.Line)
-	state.given = turn.Finish
+	state.budget = turn.Finish
 	return state
 }
 
-// unknownProgram is what a program needs of which this node has not seen the first turn.
-func (e *expectation) unknownProgram(turn Turn) (needs time.Duration, turns int) {
-	if needs, turns, known := e.needs(turn.Place); known {
-		return needs + e.byGuess(turn), turns
+// remainingFromPlace estimates the remaining time and turns of a program whose first turn went to
+// another node. turns is 0 if nothing is known.
+func (r *routeStats) remainingFromPlace(turn Turn) (needs time.Duration, turns int) {
+	if needs, turns, known := r.remaining(turn.Place); known {
+		return needs + r.hintAdjustment(turn), turns
 	}
-	return e.turn.value, min(1, e.turn.seen)
+	return r.turn.value, min(1, r.turn.count)
 }
 
-// byGuess is how much longer than others the turn is expected to be.
-func (e *expectation) byGuess(turn Turn) time.Duration {
-	return time.Duration((e.guesses.factor(turn.Hint) - 1) * float64(e.turn.value))
+// hintAdjustment returns how much longer than usual a turn is expected to take because of its hint.
+func (r *routeStats) hintAdjustment(turn Turn) time.Duration {
+	return time.Duration((r.hints.factor(turn.Hint) - 1) * float64(r.turn.value))
 }
 
-// comes takes in that a turn of the program begins.
-func (s *programState) comes(turn Turn, expected *expectation, now time.Time) {
-	if turn.Begins && s.ended.IsZero() {
-		s.waited = max(0, s.given-turn.Finish) // nothing has run yet
+// beginTurn updates the program at the start of a turn.
+func (s *programState) beginTurn(turn Turn, stats *routeStats, now time.Time) {
+	if turn.Begins && s.endedAt.IsZero() {
+		s.waited = max(0, s.budget-turn.Finish) // no turn has completed, so all elapsed time was spent waiting
 	}
 	if s.line != xxhash.Sum64String(turn.Line) || turn.Place > 0 && turn.Place <= s.place {
-		return // a sub-agent's, or a turn that is sent anew
+		return // a sub-agent's turn or a retry
 	}
 	if turn.Begins && s.place >= 1 {
-		return // the first turn, sent anew
+		return // a retry of the first turn
 	}
-	if !s.ended.IsZero() && s.running == 0 {
-		expected.pause.observe(now.Sub(s.ended), usualShare)
+	if !s.endedAt.IsZero() && s.running == 0 {
+		stats.pause.observe(now.Sub(s.endedAt), medianQuantile)
 	}
 	s.place = max(s.place+1, turn.Place)
 }
 
-// ends takes in how a turn of the program went.
-func (s *programState) ends(turn Turn, expected *expectation, took Took, now time.Time) {
+// endTurn updates the program at the end of a turn.
+func (s *programState) endTurn(turn Turn, stats *routeStats, took Took, now time.Time) {
 	s.running = max(0, s.running-1)
-	ours := s.line == xxhash.Sum64String(turn.Line)
+	mainLine := s.line == xxhash.Sum64String(turn.Line)
 	if took.Failed {
-		if ours {
+		if mainLine {
 			s.waited += took.Whole
 		}
 		return
 	}
-	s.ended = now
-	if !ours {
+	s.endedAt = now
+	if !mainLine {
 		return
 	}
-	if expected.turn.known() {
-		s.waited += max(0, took.Whole-expected.turn.value)
+	if stats.turn.known() {
+		s.waited += max(0, took.Whole-stats.turn.value)
 	}
-	s.learn(turn, expected)
+	s.countTurn(turn, stats)
 }
 
-// learn takes in that a turn of the line has ended in which the program began. What is refused or
-// fails is not counted: it says nothing of how many turns programs have.
-func (s *programState) learn(turn Turn, expected *expectation) {
-	if s.counted >= s.place {
+// countTurn counts a completed turn of the main line. Refused and failed turns are not counted, since
+// they say nothing about how many turns programs have.
+func (s *programState) countTurn(turn Turn, stats *routeStats) {
+	if s.countedPlace >= s.place {
 		return
 	}
-	s.counted = s.place
-	expected.reach(s.place)
+	s.countedPlace = s.place
+	stats.countReached(s.place)
 	if turn.Timed && s.place == 1 {
-		expected.given.observe(turn.Finish, usualShare)
-		expected.leastGiven.observe(turn.Finish, leastGivenShare)
+		stats.budget.observe(turn.Finish, medianQuantile)
+		stats.lowBudget.observe(turn.Finish, lowBudgetQuantile)
 	}
 }
 
-// still is for how long the program has got no further.
-func (s *programState) still(expected *expectation, now time.Time) time.Duration {
-	if s.ended.IsZero() || s.running > 0 {
+// idleTime returns how long the program has had no turn in progress, beyond the usual pause.
+func (s *programState) idleTime(stats *routeStats, now time.Time) time.Duration {
+	if s.endedAt.IsZero() || s.running > 0 {
 		return 0
 	}
-	return max(0, now.Sub(s.ended)-expected.pause.value)
+	return max(0, now.Sub(s.endedAt)-stats.pause.value)
 }
 
-// needs is what the program takes still: what its caller's time told at the first turn, less what
-// has passed since without waiting. A program that goes on for longer than that needs a turn at least.
-func (s *programState) needs(turn Turn, expected *expectation) (needs time.Duration, turns int) {
-	passed := s.given - turn.Finish
-	needs = max(expected.whole(s.given)-max(0, passed-s.waited), expected.turn.value)
-	return needs + expected.byGuess(turn), expected.turnsIn(needs)
+// remaining estimates the remaining time and turns of the program: the total need derived from its
+// budget, less the time spent since without queueing. The estimate is never below one turn.
+func (s *programState) remaining(turn Turn, stats *routeStats) (needs time.Duration, turns int) {
+	elapsed := s.budget - turn.Finish
+	needs = max(stats.totalNeed(s.budget)-max(0, elapsed-s.waited), stats.turn.value)
+	return needs + stats.hintAdjustment(turn), stats.turnsIn(needs)
 }
--- a/internal/standing/order.go
+++ b/internal/standing/order.go
@@ -5,56 +5,57 @@
 	"time"
 )
 
-// longestStill is how long a program whose time is lost may get no further before it comes as if it
-// were in time: its caller still waits for it.
-const longestStill = time.Second
+// maxLateWait is how long a late program may go without progress before it is scheduled like one in
+// time. It prevents starvation, since the caller still waits for the result.
+const maxLateWait = time.Second
 
-// tightShare is the part of what a program needs still below which its slack is tight: one turn in
-// four that waits as long as it runs uses it up.
-const tightShare = 0.25
+// tightSlackShare is the slack, as a share of the program's remaining need, below which it is tight. Such
+// slack is used up if one turn in four queues for as long as it runs.
+const tightSlackShare = 0.25
 
-// Class is how a program comes among those of the same urgency.
+// Class is the scheduling class of a program among programs of the same urgency.
 type Class int
 
-// The classes, first to last.
+// Scheduling classes, from first to last.
 const (
-	Tight    Class = iota // under way, with little slack
-	UnderWay              // under way, with more, or nothing is known of its time
-	Late                  // under way, and its time is lost
-	New                   // it has had no turn yet
+	ClassTight      Class = iota // in progress, with little slack
+	ClassInProgress              // in progress, with more slack or without a deadline
+	ClassLate                    // in progress, and will miss its deadline
+	ClassNew                     // no turn has run yet, and the program is not returning after a refusal
 )
 
-// String implements fmt.Stringer.
+// String returns the name of the class for log lines.
 func (c Class) String() string {
 	switch c {
-	case Tight:
+	case ClassTight:
 		return "tight"
-	case UnderWay:
+	case ClassInProgress:
 		return "under_way"
-	case Late:
+	case ClassLate:
 		return "late"
 	default:
 		return "new"
 	}
 }
 
-// Classify tells a program's class.
+// Classify returns the scheduling class of a program.
 func Classify(program Program) Class {
 	slack, known := program.Slack()
 	switch {
 	case program.Begins && !program.Returns:
-		return New
-	case program.Lost() && program.Waited < longestStill:
-		return Late
-	case known && !program.Lost() && float64(slack) < tightShare*float64(program.Needs):
-		return Tight
+		return ClassNew
+	case program.Late() && program.Waited < maxLateWait:
+		return ClassLate
+	case known && !program.Late() && float64(slack) < tightSlackShare*float64(program.Needs):
+		return ClassTight
 	default:
-		return UnderWay
+		return ClassInProgress
 	}
 }
 
-// Compare orders programs that wait for the same room: below zero if a comes before b. The more
-// urgent come first; then by class; then the one that can wait the shortest.
+// Compare orders programs that compete for the same capacity. It returns a negative number if a comes
+// before b, positive if after, and 0 if they are equal. Programs are ordered by urgency, then by class,
+// then by slack, least first.
 func Compare(a, b Program) int {
 	return cmp.Or(
 		cmp.Compare(a.Urgency, b.Urgency),
@@ -63,18 +64,18 @@
 	)
 }
 
-// compareSlack puts the least slack that is not lost first, then those of which nothing is known, then
-// what is lost.
+// compareSlack orders programs that can meet their deadline first, by least slack, then programs
+// without a deadline, then late ones.
 func compareSlack(a, b Program) int {
 	slackOfA, _ := a.Slack()
 	slackOfB, _ := b.Slack()
-	return cmp.Or(cmp.Compare(hope(a), hope(b)), cmp.Compare(slackOfA, slackOfB))
+	return cmp.Or(cmp.Compare(outlook(a), outlook(b)), cmp.Compare(slackOfA, slackOfB))
 }
 
-// hope is 0 for a program that can be in time, 1 if nothing is known of that, and 2 if it cannot.
-func hope(program Program) int {
+// outlook returns 0 if the program can meet its deadline, 1 if it has none, and 2 if it will be late.
+func outlook(program Program) int {
 	switch {
-	case program.Lost():
+	case program.Late():
 		return 2
 	case !program.Timed:
 		return 1
@@ -83,25 +84,26 @@
 	}
 }
 
-// Band is the range of a worker's priorities that requests of one urgency share; First comes first.
+// Band is the range of worker priorities that requests of one urgency share, both ends included. Workers
+// run lower numbers first.
 type Band struct{ First, Last int }
 
-// Priority is the priority within its band that a worker is told for a program's request. A narrow
-// band tells fewer classes apart.
+// Priority returns the worker priority within the band for a program's request. A band with fewer
+// priorities than classes maps several classes to the same priority.
 func (b Band) Priority(program Program) int {
 	class := Classify(program)
 	width := b.Last - b.First + 1
 	step := 0
 	switch {
-	case width >= classes:
+	case width >= classCount:
 		step = int(class)
-	case class == New:
+	case class == ClassNew:
 		step = width - 1
-	case class == Late:
+	case class == ClassLate:
 		step = (width - 1) / 2
 	}
 	return b.First + max(0, step)
 }
 
-// classes is how many there are.
-const classes = int(New) + 1
+// classCount is the number of classes.
+const classCount = int(ClassNew) + 1
--- a/internal/standing/order_test.go
+++ b/internal/standing/order_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func program(change func(*Program)) Program {
+func newProgram(change func(*Program)) Program {
 	p := Program{Timed: true, Finish: 2 * time.Second, Needs: time.Second, Turns: 4}
 	if change != nil {
 		change(&p)
@@ -16,22 +16,22 @@
 	return p
 }
 
-func begins(p *Program) { p.Begins = true }
+func notStarted(p *Program) { p.Begins = true }
 
-func lost(p *Program) { p.Finish = 0 }
+func late(p *Program) { p.Finish = 0 }
 
 func tight(p *Program) { p.Finish = p.Needs + 10*time.Millisecond }
 
 func TestOrderAmongProgramsOfTheSameUrgency(t *testing.T) {
 	inOrder := []Program{
-		program(tight),
-		program(func(p *Program) { p.Finish -= time.Millisecond }),
-		program(nil),
-		{}, // without a time
-		program(lost),
-		program(begins),
+		newProgram(tight),
+		newProgram(func(p *Program) { p.Finish -= time.Millisecond }),
+		newProgram(nil),
+		{}, // no deadline
+		newProgram(late),
+		newProgram(notStarted),
 		{Begins: true},
-		program(func(p *Program) { p.Begins, p.Finish = true, 0 }),
+		newProgram(func(p *Program) { p.Begins, p.Finish = true, 0 }),
 	}
 	for index := range inOrder[1:] {
 		require.Negative(t, Compare(inOrder[index], inOrder[index+1]), index)
@@ -39,27 +39,29 @@
 	}
 }
 
-func TestTheMoreUrgentComeFirst(t *testing.T) {
-	urgent := program(lost)
-	other := program(tight)
+// Urgency must take precedence over class and slack.
+func TestMoreUrgentProgramsComeFirst(t *testing.T) {
+	urgent := newProgram(late)
+	other := newProgram(tight)
 	other.Urgency = 1
 	require.Negative(t, Compare(urgent, other))
 }
 
-func TestALateProgramIsNotLastForEver(t *testing.T) {
-	starving := program(lost)
-	starving.Waited = longestStill
-	require.Equal(t, UnderWay, Classify(starving))
-	require.Negative(t, Compare(starving, program(lost)))
+// A late program without progress for maxLateWait must be scheduled again, or it starves.
+func TestLateProgramDoesNotStarve(t *testing.T) {
+	starving := newProgram(late)
+	starving.Waited = maxLateWait
+	require.Equal(t, ClassInProgress, Classify(starving))
+	require.Negative(t, Compare(starving, newProgram(late)))
 }
 
-func TestWhoReturnsComesBeforeWhoIsNew(t *testing.T) {
-	returning := program(begins)
+func TestReturningProgramsComeBeforeNewOnes(t *testing.T) {
+	returning := newProgram(notStarted)
 	returning.Returns = true
-	require.Negative(t, Compare(returning, program(begins)))
+	require.Negative(t, Compare(returning, newProgram(notStarted)))
 }
 
-func drawn(t *rapid.T, label string) Program {
+func drawProgram(t *rapid.T, label string) Program {
 	return Program{
 		Urgency: rapid.IntRange(0, 2).Draw(t, label+"urgency"),
 		Begins:  rapid.Bool().Draw(t, label+"begins"),
@@ -71,9 +73,10 @@
 	}
 }
 
-func TestCompareIsAnOrder(t *testing.T) {
+// Compare must be antisymmetric and transitive, or sorting by it is undefined.
+func TestCompareIsAWeakOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := drawn(t, "a"), drawn(t, "b"), drawn(t, "c")
+		a, b, c := drawProgram(t, "a"), drawProgram(t, "b"), drawProgram(t, "c")
 		require.Equal(t, Compare(a, b), -Compare(b, a))
 		if Compare(a, b) <= 0 && Compare(b, c) <= 0 {
 			require.LessOrEqual(t, Compare(a, c), 0)
@@ -81,25 +84,27 @@
 	})
 }
 
-func TestPrioritiesStayInTheirBand(t *testing.T) {
+// Priorities must lie within their band and never reverse the order of classes.
+func TestPriorityStaysInBand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := rapid.IntRange(0, 9).Draw(t, "first")
 		band := Band{First: first, Last: rapid.IntRange(first, 9).Draw(t, "last")}
-		a, b := drawn(t, "a"), drawn(t, "b")
+		a, b := drawProgram(t, "a"), drawProgram(t, "b")
 		b.Urgency = a.Urgency
 		for _, one := range []Program{a, b} {
 			require.GreaterOrEqual(t, band.Priority(one), band.First)
 			require.LessOrEqual(t, band.Priority(one), band.Last)
 		}
 		if Classify(a) <= Classify(b) {
-			require.LessOrEqual(t, band.Priority(a), band.Priority(b), "priorities never turn the order round")
+			require.LessOrEqual(t, band.Priority(a), band.Priority(b), "priorities reverse the order of classes")
 		}
 	})
 }
 
-func TestANarrowBandTellsNewProgramsApart(t *testing.T) {
+// Even a band of two priorities must separate new programs from those in progress.
+func TestNarrowBandSeparatesNewPrograms(t *testing.T) {
 	band := Band{First: 0, Last: 1}
-	require.Equal(t, 0, band.Priority(program(nil)))
-	require.Equal(t, 1, band.Priority(program(begins)))
-	require.Equal(t, 0, band.Priority(program(lost)))
+	require.Equal(t, 0, band.Priority(newProgram(nil)))
+	require.Equal(t, 1, band.Priority(newProgram(notStarted)))
+	require.Equal(t, 0, band.Priority(newProgram(late)))
 }
--- a/internal/standing/quantile.go
+++ b/internal/standing/quantile.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// quantileStep is by which share of itself an estimate moves with each observation.
-const quantileStep = 0.01
+// minQuantileStep is the smallest relative step of an estimate per observation.
+const minQuantileStep = 0.01
 
-// quantile follows a quantile of durations in constant memory, by stochastic approximation. Its
-// zero value knows nothing.
+// quantile estimates a quantile of durations in constant memory, by stochastic approximation. The
+// zero value is ready to use.
 type quantile struct {
 	value time.Duration
-	seen  int
+	count int
 }
 
-// observe takes in one duration; share is the quantile that is followed.
+// observe adds a duration; share is the quantile to estimate, between 0 and 1. Durations of 0 or less
+// are ignored.
 func (q *quantile) observe(took time.Duration, share float64) {
 	if took <= 0 {
 		return
 	}
-	q.seen++
-	if q.seen == 1 {
+	q.count++
+	if q.count == 1 {
 		q.value = took
 		return
 	}
-	step := max(quantileStep, 1/float64(q.seen))
+	step := max(minQuantileStep, 1/float64(q.count))
 	if took < q.value {
 		q.value -= time.Duration(min(step*(1-share)*float64(q.value), float64(q.value-took)))
 		return
@@ -30,5 +31,5 @@
 	q.value += time.Duration(min(step*share*float64(q.value), float64(took-q.value)))
 }
 
-// known reports whether enough was seen.
-func (q *quantile) known() bool { return q.seen >= enoughSeen }
+// known reports whether there are enough observations to use the estimate.
+func (q *quantile) known() bool { return q.count >= minObservations }
--- a/internal/standing/recent.go
+++ b/internal/standing/recent.go
@@ -1,30 +1,30 @@
 package standing
 
-// recent is a bounded map that forgets what was put in first.
-type recent[K comparable, V any] struct {
-	most    int
-	entries map[K]*V
-	order   []K
-	oldest  int
+// fifoMap is a bounded map that evicts the entry added first.
+type fifoMap[K comparable, V any] struct {
+	capacity int
+	entries  map[K]*V
+	order    []K // ring of keys in order of insertion
+	oldest   int // index in order of the entry to evict next, once full
 }
 
-func newRecent[K comparable, V any](most int) recent[K, V] {
-	return recent[K, V]{most: most, entries: map[K]*V{}}
+func newFIFOMap[K comparable, V any](capacity int) fifoMap[K, V] {
+	return fifoMap[K, V]{capacity: capacity, entries: map[K]*V{}}
 }
 
-// of is the value of a key; nil if there is none.
-func (r *recent[K, V]) of(key K) *V { return r.entries[key] }
+// get returns the value of a key, or nil if there is none.
+func (m *fifoMap[K, V]) get(key K) *V { return m.entries[key] }
 
-// put adds an empty value under a key that is not there.
-func (r *recent[K, V]) put(key K) *V {
+// add adds a zero value under a new key and returns it. The key must not be present.
+func (m *fifoMap[K, V]) add(key K) *V {
 	value := new(V)
-	if len(r.order) < r.most {
-		r.order = append(r.order, key)
+	if len(m.order) < m.capacity {
+		m.order = append(m.order, key)
 	} else {
-		delete(r.entries, r.order[r.oldest])
-		r.order[r.oldest] = key
-		r.oldest = (r.oldest + 1) % r.most
+		delete(m.entries, m.order[m.oldest])
+		m.order[m.oldest] = key
+		m.oldest = (m.oldest + 1) % m.capacity
 	}
-	r.entries[key] = value
+	m.entries[key] = value
 	return value
 }
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -1,35 +1,40 @@
-// Package standing is where a program stands when one of its requests has to wait for room: by
-// when its caller needs it, what it still has to do, and whose it is. Order, admission and shares
-// are decided by it alone. It knows no clock and no network.
+// Package standing estimates how close a program is to its deadline, and orders programs that compete
+// for capacity.
+//
+// A program is a sequence of requests, called turns. Its standing is its scheduling state: the time to
+// its deadline, the work that remains, its urgency and its tenant. Scheduling order, admission control
+// and capacity shares are all derived from it. The package uses neither the clock nor the network;
+// callers pass the current time.
 package standing
 
 import "time"
 
-// Program is a program's standing at one of its requests.
+// Program is the scheduling state of a program at one of its requests. It is sent between nodes.
 type Program struct {
-	// Key names the program, alike on all nodes; empty: the request belongs to none.
+	// Key identifies the program on all nodes; empty if the request belongs to no program.
 	Key string
-	// Tenant is whose it is; empty: nobody's.
+	// Tenant is the owner of the program; empty if it has none.
 	Tenant string
 	// Urgency is the priority of the request's route; 0 is the most urgent.
 	Urgency int
-	// Begins says that the program has had no turn yet.
+	// Begins says that no turn of the program has run yet.
 	Begins bool
-	// Returns says that its caller was told before to come back now.
+	// Returns says that the program was refused before and retries at the time that it was given.
 	Returns bool
-	// Timed says that Finish is known: how long its caller still gives it, 0 or less if that has passed.
+	// Timed says that the program has a deadline. Finish is the time left until then, 0 or less if it
+	// has passed.
 	Timed  bool
 	Finish time.Duration
-	// Needs is what it is expected to take still where nothing makes it wait; 0: not known.
+	// Needs is the expected remaining time without queueing; 0 if unknown.
 	Needs time.Duration
-	// Turns is how many turns it is expected to take still, this one included; 0: not known.
+	// Turns is the expected number of remaining turns, including this one; 0 if unknown.
 	Turns int
-	// Waited is for how long it has got no further, as far as is known.
+	// Waited is how long the program has made no progress, as far as known.
 	Waited time.Duration
 }
 
-// Slack is how long the program can still wait and be in time. Below zero it will be late, whatever
-// is done. known is false if nothing is known of its time.
+// Slack returns how long the program can still queue and meet its deadline. A negative slack means that
+// it will be late in any case. known is false if the program has no deadline.
 func (p Program) Slack() (slack time.Duration, known bool) {
 	if !p.Timed {
 		return 0, false
@@ -37,8 +42,8 @@
 	return p.Finish - p.Needs, true
 }
 
-// Lost reports whether the program will be late, whatever is done.
-func (p Program) Lost() bool {
+// Late reports whether the program will miss its deadline even without queueing.
+func (p Program) Late() bool {
 	slack, known := p.Slack()
 	return known && (slack < 0 || p.Finish <= 0)
 }
