--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -1,36 +1,36 @@
-// Package permit decides whether a request may be sent to a worker now. Every send passes
-// it: first tries, retries and streams that are taken up again. It is a pure function of
-// what is known; a new term of a customer is a new input here.
+// Package permit decides whether a request may be sent to a worker. Every send is checked: first
+// tries, retries and resumed streams. The decision is a pure function of its inputs; any further
+// restriction belongs here as another input.
 package permit
 
 import "github.com/cloverwheel/cloverwheel/internal/locality"
 
-// Verdict is what a request may do at a worker.
+// Verdict is the result of a check. Verdicts after Metered forbid sending.
 type Verdict int
 
-// The verdicts.
+// Results of Check.
 const (
 	// Allowed: the request may be sent.
 	Allowed Verdict = iota
-	// Metered: the worker is cold; the request may be sent if it is lent a place of the
-	// worker's allowance.
+	// Metered: the worker is cold; the request may be sent only with a place from the worker's
+	// warm-up allowance.
 	Metered
-	// Leaving: the worker must get no new work.
-	Leaving
-	// Evacuated: the worker's zone must get no new work.
+	// Draining: the worker is draining and must get no new work.
+	Draining
+	// Evacuated: the worker's zone is being evacuated and must get no new work.
 	Evacuated
-	// OutsideRegions: the worker stands in a region where the request may not be served.
+	// OutsideRegions: the worker is in a region where the request must not be served.
 	OutsideRegions
 )
 
-// String names a verdict in log lines.
+// String returns the name of a verdict for log lines.
 func (v Verdict) String() string {
 	switch v {
 	case Allowed:
 		return "allowed"
 	case Metered:
 		return "metered"
-	case Leaving:
+	case Draining:
 		return "leaving"
 	case Evacuated:
 		return "evacuated"
@@ -42,22 +42,21 @@
 // Refused reports whether the request must not be sent at all.
 func (v Verdict) Refused() bool { return v > Metered }
 
-// Request is what is known of a request.
+// Request holds the properties of a request that are checked.
 type Request struct {
-	Regions locality.Regions // where it may be served
+	Regions locality.Regions // where it may be served; nil allows all regions
 }
 
-// Worker is what is known of a worker.
+// Worker holds the properties of a worker that are checked.
 type Worker struct {
 	Region    string
-	Leaving   bool
-	Evacuated bool // its zone is
-	// Cold says that the worker is not known to be warm.
-	Cold bool
+	Leaving   bool // the worker is draining
+	Evacuated bool // the worker's zone is being evacuated
+	Cold      bool // the worker is not known to be warm
 }
 
-// Check decides. What holds for longest is named first: a caller is told of regions rather
-// than of an evacuation.
+// Check returns whether a request may be sent to a worker. If several restrictions apply it returns the
+// most permanent one, such as OutsideRegions rather than Evacuated.
 func Check(request Request, worker Worker) Verdict {
 	switch {
 	case !request.Regions.Allow(worker.Region):
@@ -65,7 +64,7 @@
 	case worker.Evacuated:
 		return Evacuated
 	case worker.Leaving:
-		return Leaving
+		return Draining
 	case worker.Cold:
 		return Metered
 	default:
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -8,6 +8,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 )
 
+// A request must not reach a worker that any restriction excludes.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -15,12 +16,12 @@
 		worker  Worker
 		verdict Verdict
 	}{
-		{"sound worker", Request{}, Worker{Region: "a"}, Allowed},
+		{"no restriction", Request{}, Worker{Region: "a"}, Allowed},
 		{"allowed region", Request{Regions: locality.Regions{"a"}}, Worker{Region: "a"}, Allowed},
 		{"other region", Request{Regions: locality.Regions{"b"}}, Worker{Region: "a"}, OutsideRegions},
-		{"no region", Request{Regions: locality.Regions{}}, Worker{Region: "a"}, OutsideRegions},
-		{"evacuated", Request{}, Worker{Evacuated: true, Cold: true}, Evacuated},
-		{"leaving", Request{}, Worker{Leaving: true, Cold: true}, Leaving},
+		{"empty region list", Request{Regions: locality.Regions{}}, Worker{Region: "a"}, OutsideRegions},
+		{"evacuated zone, cold", Request{}, Worker{Evacuated: true, Cold: true}, Evacuated},
+		{"draining, cold", Request{}, Worker{Leaving: true, Cold: true}, Draining},
 		{"cold", Request{}, Worker{Cold: true}, Metered},
 	} {
 		t.Run(c.name, func(t *testing.T) {
