--- a/internal/wait/estimate.go
+++ b/internal/wait/estimate.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Gains of an Estimate and how many deviations above the mean still count as
-// usual: the retransmission timer of RFC 6298, section 2.
+// Smoothing gains of the mean and of the deviation, and the number of deviations above
+// the mean that are still usual, as in the retransmission timer of RFC 6298, section 2.
 const (
-	meanGain      = 1.0 / 8
-	deviationGain = 1.0 / 4
-	usual         = 4
+	meanGain        = 1.0 / 8
+	deviationGain   = 1.0 / 4
+	deviationFactor = 4
 )
 
-// Estimate follows how long something usually takes. Its zero value knows nothing.
-// It is safe for concurrent use.
+// Estimate tracks the mean and the deviation of an operation's duration and derives
+// a timeout from them. The zero value is ready to use. It is safe for concurrent use.
 type Estimate struct {
 	mutex     sync.Mutex
-	seen      bool
+	observed  bool
 	mean      time.Duration
 	deviation time.Duration
 }
 
-// Observe takes in how long it took once.
+// Observe adds the duration of one operation.
 func (e *Estimate) Observe(took time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if !e.seen {
-		e.seen, e.mean, e.deviation = true, took, took/2
+	if !e.observed {
+		e.observed, e.mean, e.deviation = true, took, took/2
 		return
 	}
 	off := (took - e.mean).Abs()
@@ -35,10 +35,10 @@
 	e.mean += time.Duration(meanGain * float64(took-e.mean))
 }
 
-// Longest is how long it may take and still be usual, between two bounds; the
-// lower one while nothing was observed.
+// Longest returns the longest usual duration, limited to the range from least to
+// most. Without observations it returns least.
 func (e *Estimate) Longest(least, most time.Duration) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return min(max(e.mean+usual*e.deviation, least), most)
+	return min(max(e.mean+deviationFactor*e.deviation, least), most)
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,5 +1,5 @@
-// Package wait holds the two ways in which everything else waits: for a time that
-// a context may cut short, and with jittered, growing pauses between tries.
+// Package wait provides sleeping that a context can interrupt, backoff with jitter,
+// and adaptive timeouts from observed durations.
 package wait
 
 import (
@@ -9,8 +9,8 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// For waits until d has passed and returns nil, or until ctx ends and returns
-// its error.
+// For sleeps for d and returns nil. If ctx ends first it returns the context's error
+// at once.
 func For(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -22,10 +22,11 @@
 	}
 }
 
-// NewBackoff returns jittered pauses that grow from first to longest.
+// NewBackoff returns an exponential backoff with jitter whose intervals, before jitter,
+// grow from first to longest.
 func NewBackoff(first, longest time.Duration) *backoff.ExponentialBackOff {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = first
-	pauses.MaxInterval = longest
-	return pauses
+	intervals := backoff.NewExponentialBackOff()
+	intervals.InitialInterval = first
+	intervals.MaxInterval = longest
+	return intervals
 }
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -9,22 +9,23 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestForWaitsOrIsCutShort(t *testing.T) {
+// For must return nil after the full time and the context's error as soon as that ends.
+func TestForSleepsUntilDoneOrCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		begun := time.Now()
+		start := time.Now()
 		assert.NoError(t, For(t.Context(), time.Minute))
-		assert.Equal(t, time.Minute, time.Since(begun))
+		assert.Equal(t, time.Minute, time.Since(start))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		assert.ErrorIs(t, For(ctx, time.Minute), context.DeadlineExceeded)
-		assert.Equal(t, time.Minute+time.Second, time.Since(begun))
+		assert.Equal(t, time.Minute+time.Second, time.Since(start))
 	})
 }
 
-func TestBackoffGrowsToItsBound(t *testing.T) {
-	pauses := NewBackoff(10*time.Millisecond, 40*time.Millisecond)
+func TestBackoffIsBounded(t *testing.T) {
+	intervals := NewBackoff(10*time.Millisecond, 40*time.Millisecond)
 	for range 20 {
-		assert.LessOrEqual(t, pauses.NextBackOff(), 60*time.Millisecond) // with jitter
+		assert.LessOrEqual(t, intervals.NextBackOff(), 60*time.Millisecond) // with jitter
 	}
-	assert.Equal(t, 40*time.Millisecond, pauses.MaxInterval)
+	assert.Equal(t, 40*time.Millisecond, intervals.MaxInterval)
 }
--- a/internal/wait/ways.go
+++ b/internal/wait/ways.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// Ways follow how long each of several ways usually takes. The zero value knows none. It
-// is safe for concurrent use.
+// Ways holds an Estimate for each of several network paths or other keys. It grows with
+// the number of keys. The zero value is ready to use. It is safe for concurrent use.
 type Ways struct {
-	mutex sync.Mutex
-	known map[string]*Estimate
+	mutex     sync.Mutex
+	estimates map[string]*Estimate
 }
 
-// Observe takes in how long a way took once.
-func (w *Ways) Observe(way string, took time.Duration) { w.estimate(way).Observe(took) }
+// Observe adds the duration of one operation over a path.
+func (w *Ways) Observe(path string, took time.Duration) { w.estimate(path).Observe(took) }
 
-// Longest is how long a way may take and still be usual, between two bounds; the lower
-// one while nothing was observed.
-func (w *Ways) Longest(way string, least, most time.Duration) time.Duration {
-	return w.estimate(way).Longest(least, most)
+// Longest returns the longest usual duration over a path, limited to the range from least
+// to most. For a path without observations it returns least.
+func (w *Ways) Longest(path string, least, most time.Duration) time.Duration {
+	return w.estimate(path).Longest(least, most)
 }
 
-func (w *Ways) estimate(way string) *Estimate {
+// estimate returns the Estimate of a path and adds it if needed.
+func (w *Ways) estimate(path string) *Estimate {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known, ok := w.known[way]
+	estimate, ok := w.estimates[path]
 	if !ok {
-		if w.known == nil {
-			w.known = map[string]*Estimate{}
+		if w.estimates == nil {
+			w.estimates = map[string]*Estimate{}
 		}
-		known = new(Estimate)
-		w.known[way] = known
+		estimate = new(Estimate)
+		w.estimates[path] = estimate
 	}
-	return known
+	return estimate
 }
 
-// Patience tells how long an answer of a process may take and still be usual, between two
-// bounds. Nil knows nothing.
+// Patience returns the timeout for a response of a process, limited to the range from least
+// to most. A nil Patience is valid; see Of.
 type Patience func(process string, least, most time.Duration) time.Duration
 
-// Of is the patience with a process; the lower bound if nothing is known.
+// Of returns the timeout for a response of a process. For a nil Patience it is least.
 func (p Patience) Of(process string, least, most time.Duration) time.Duration {
 	if p == nil {
 		return least
--- a/internal/wait/ways_test.go
+++ b/internal/wait/ways_test.go
@@ -7,15 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWaysAreApart(t *testing.T) {
+// Observations of one path must not affect the timeout of another.
+func TestPathsAreIndependent(t *testing.T) {
 	const least, most = 40 * time.Millisecond, 200 * time.Millisecond
-	var ways Ways
+	var paths Ways
 	for range 100 {
-		ways.Observe("near", time.Millisecond)
-		ways.Observe("far", 100*time.Millisecond)
+		paths.Observe("near", time.Millisecond)
+		paths.Observe("far", 100*time.Millisecond)
 	}
-	require.Equal(t, least, ways.Longest("near", least, most))
-	require.InDelta(t, 100, ways.Longest("far", least, most).Milliseconds(), 1)
-	require.Equal(t, least, ways.Longest("never heard of", least, most))
-	require.Equal(t, least, Patience(nil).Of("process", least, most), "nothing is known")
+	require.Equal(t, least, paths.Longest("near", least, most))
+	require.InDelta(t, 100, paths.Longest("far", least, most).Milliseconds(), 1)
+	require.Equal(t, least, paths.Longest("not observed", least, most))
+	require.Equal(t, least, Patience(nil).Of("process", least, most), "nil Patience")
 }
