--- a/internal/standing/expectation.go
+++ b/internal/standing/expectation.go
@@ -10,8 +10,7 @@
 	unloadedQuantile = 0.1
 	// medianQuantile is used for durations that do not depend on load.
 	medianQuantile = 0.5
-	// maxCountedTurns is the number of turns of a line that are counted. Turns beyond it are ignored:
-	// such a line is probably a loop.
+	// maxCountedTurns is the highest turn number that is counted: a longer line is probably a loop.
 	maxCountedTurns = 48
 	// maxCountedLines is the number of lines above which all counts are halved, so that old lines lose
 	// weight.
@@ -32,15 +31,15 @@
 	turn   quantile // unloaded duration of a turn
 	first  quantile // unloaded time until a turn's first event
 	pause  quantile // pause between two turns of a line
-	budget quantile // time to the deadline at first turns, median
-	// lowBudget is the lowBudgetQuantile of the time to the deadline at first turns.
+	budget quantile // time to the deadline at completed first turns, median
+	// lowBudget is the same time at lowBudgetQuantile.
 	lowBudget quantile
-	// linesReached counts the lines that completed at least so many turns; index 0 is unused.
+	// linesReached counts lines by the turn numbers that they completed; index 0 is unused.
 	linesReached [maxCountedTurns + 1]int
 	hints        hintStats
 }
 
-// countReached counts a line that completes its turn number place.
+// countReached counts a line that completes turn number place.
 func (r *routeStats) countReached(place int) {
 	if place > maxCountedTurns {
 		return
@@ -86,7 +85,8 @@
 	return min(max(float64(needs)/float64(r.budget.value), minNeedShare), maxNeedShare)
 }
 
-// totalNeed estimates the total time that a program with this budget needs without queueing.
+// totalNeed estimates the total time that a program with this budget needs without queueing. A budget
+// below lowBudget counts as lowBudget.
 func (r *routeStats) totalNeed(budget time.Duration) time.Duration {
 	if r.lowBudget.known() {
 		budget = max(budget, r.lowBudget.value)
--- a/internal/standing/guesses.go
+++ b/internal/standing/guesses.go
@@ -1,7 +1,7 @@
 package standing
 
-// hintGain is the smallest weight of a new observation in the moving averages.
-const hintGain = 1.0 / 32
+// minHintGain is the smallest weight of a new observation in the moving averages.
+const minHintGain = 1.0 / 32
 
 // Bounds of the factor by which a hint scales the expected duration of a turn.
 const (
@@ -24,7 +24,7 @@
 		return
 	}
 	h.seen++
-	gain := max(hintGain, 1/float64(h.seen))
+	gain := max(minHintGain, 1/float64(h.seen))
 	fromMean, fromHint := float64(tokens)-h.mean, float64(tokens-hint)
 	if h.seen > 1 {
 		h.meanError += gain * (fromMean*fromMean - h.meanError)
@@ -34,7 +34,7 @@
 }
 
 // factor returns by how much a hint scales the expected duration of a turn. It is 1 if the hint is
-// missing or hints predict no better than the mean.
+// missing, if there are too few observations, or if hints predict no better than the mean.
 func (h *hintStats) factor(hint int) float64 {
 	if hint <= 0 || h.seen < minObservations || h.meanError <= 0 {
 		return 1
--- a/internal/standing/learner.go
+++ b/internal/standing/learner.go
@@ -44,7 +44,7 @@
 	place        int           // number of the latest turn of the main line
 	countedPlace int           // number of the latest completed turn of the main line
 	budget       time.Duration // time to the deadline at the first turn
-	waited       time.Duration // total queueing time of main-line turns, including failed tries
+	waited       time.Duration // time that main-line turns spent queueing or on failed tries
 	running      int           // turns in progress on all lines
 	endedAt      time.Time     // when the latest turn completed; zero if none has
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-// Begin records the start of a turn and returns the scheduling state of its program. The caller must
-// call End when the turn is over.
+// Begin records the start of a turn and returns the scheduling state of its program, without Returns.
+// The caller must call End when the turn is over.
 func (l *Learner) Begin(turn Turn, now time.Time) Program {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -136,8 +136,9 @@
 	return state
 }
 
-// remainingFromPlace estimates the remaining time and turns of a program whose first turn went to
-// another node. turns is 0 if nothing is known.
+// remainingFromPlace estimates the remaining time and turns of a program that this node has no state of,
+// by the number of its turn. If that is unknown or observations are too few it returns one turn; without
+// any observations, zeros.
 func (r *routeStats) remainingFromPlace(turn Turn) (needs time.Duration, turns int) {
 	if needs, turns, known := r.remaining(turn.Place); known {
 		return needs + r.hintAdjustment(turn), turns
@@ -145,7 +146,8 @@
 	return r.turn.value, min(1, r.turn.count)
 }
 
-// hintAdjustment returns how much longer than usual a turn is expected to take because of its hint.
+// hintAdjustment returns how much longer than usual a turn is expected to take by its hint; negative if
+// shorter.
 func (r *routeStats) hintAdjustment(turn Turn) time.Duration {
 	return time.Duration((r.hints.factor(turn.Hint) - 1) * float64(r.turn.value))
 }
@@ -153,7 +155,7 @@
 // beginTurn updates the program at the start of a turn.
 func (s *programState) beginTurn(turn Turn, stats *routeStats, now time.Time) {
 	if turn.Begins && s.endedAt.IsZero() {
-		s.waited = max(0, s.budget-turn.Finish) // no turn has completed, so all elapsed time was spent waiting
+		s.waited = max(0, s.budget-turn.Finish) // no turn has completed: all time since the first try was spent waiting
 	}
 	if s.line != xxhash.Sum64String(turn.Line) || turn.Place > 0 && turn.Place <= s.place {
 		return // a sub-agent's turn or a retry
@@ -210,7 +212,7 @@
 }
 
 // remaining estimates the remaining time and turns of the program: the total need derived from its
-// budget, less the time spent since without queueing. The estimate is never below one turn.
+// budget, less the time spent since the first turn except for waiting, but at least one turn.
 func (s *programState) remaining(turn Turn, stats *routeStats) (needs time.Duration, turns int) {
 	elapsed := s.budget - turn.Finish
 	needs = max(stats.totalNeed(s.budget)-max(0, elapsed-s.waited), stats.turn.value)
--- a/internal/standing/learner_test.go
+++ b/internal/standing/learner_test.go
@@ -118,6 +118,7 @@
 	require.Equal(t, 3, program.Turns)
 }
 
+// Turns of sub-agents must not raise the expected number of turns of a program.
 func TestSubAgentTurnsAreNotCounted(t *testing.T) {
 	p := newProgramRunner()
 	for index := range 40 {
@@ -138,7 +139,8 @@
 	require.Equal(t, 3, p.learner.Begin(newTurn("new", 1, budgetFor(3)), p.now).Turns)
 }
 
-// A retried first turn must lose the time that passed, also if earlier tries went to other nodes.
+// On a retry of a first turn, the time that passed must reduce the slack, also if earlier tries went to
+// other nodes.
 func TestRetriedFirstTurnLosesElapsedTime(t *testing.T) {
 	p := newProgramRunner()
 	for index := range 40 {
@@ -174,6 +176,7 @@
 	require.Equal(t, bad.Begin(long, time.Unix(0, 0)).Needs, bad.Begin(usual, time.Unix(0, 0)).Needs)
 }
 
+// Many programs and routes must not make a Learner grow without limit.
 func TestLearnerMemoryIsBounded(t *testing.T) {
 	l := NewLearner()
 	for index := range 10 * maxPrograms {
--- a/internal/standing/order.go
+++ b/internal/standing/order.go
@@ -6,7 +6,7 @@
 )
 
 // maxLateWait is how long a late program may go without progress before it is scheduled like one in
-// time. It prevents starvation, since the caller still waits for the result.
+// time. It prevents starvation: the caller still waits for the result.
 const maxLateWait = time.Second
 
 // tightSlackShare is the slack, as a share of the program's remaining need, below which it is tight. Such
@@ -19,8 +19,8 @@
 // Scheduling classes, from first to last.
 const (
 	ClassTight      Class = iota // in progress, with little slack
-	ClassInProgress              // in progress, with more slack or without a deadline
-	ClassLate                    // in progress, and will miss its deadline
+	ClassInProgress              // in progress, with more slack, without a deadline, or late and without progress for maxLateWait
+	ClassLate                    // in progress and late, with progress within maxLateWait
 	ClassNew                     // no turn has run yet, and the program is not returning after a refusal
 )
 
@@ -69,11 +69,11 @@
 func compareSlack(a, b Program) int {
 	slackOfA, _ := a.Slack()
 	slackOfB, _ := b.Slack()
-	return cmp.Or(cmp.Compare(outlook(a), outlook(b)), cmp.Compare(slackOfA, slackOfB))
+	return cmp.Or(cmp.Compare(deadlineRank(a), deadlineRank(b)), cmp.Compare(slackOfA, slackOfB))
 }
 
-// outlook returns 0 if the program can meet its deadline, 1 if it has none, and 2 if it will be late.
-func outlook(program Program) int {
+// deadlineRank returns 0 if the program can meet its deadline, 1 if it has none, and 2 if it will be late.
+func deadlineRank(program Program) int {
 	switch {
 	case program.Late():
 		return 2
@@ -84,8 +84,8 @@
 	}
 }
 
-// Band is the range of worker priorities that requests of one urgency share, both ends included. Workers
-// run lower numbers first.
+// Band is the range of worker priorities, First to Last inclusive, that requests of one urgency share.
+// Workers run lower numbers first.
 type Band struct{ First, Last int }
 
 // Priority returns the worker priority within the band for a program's request. A band with fewer
--- a/internal/standing/order_test.go
+++ b/internal/standing/order_test.go
@@ -22,6 +22,7 @@
 
 func tight(p *Program) { p.Finish = p.Needs + 10*time.Millisecond }
 
+// Programs of the same urgency must be ordered by class, then by slack.
 func TestOrderAmongProgramsOfTheSameUrgency(t *testing.T) {
 	inOrder := []Program{
 		newProgram(tight),
@@ -55,6 +56,7 @@
 	require.Negative(t, Compare(starving, newProgram(late)))
 }
 
+// Programs that were refused before must not be overtaken by new ones.
 func TestReturningProgramsComeBeforeNewOnes(t *testing.T) {
 	returning := newProgram(notStarted)
 	returning.Returns = true
@@ -91,9 +93,9 @@
 		band := Band{First: first, Last: rapid.IntRange(first, 9).Draw(t, "last")}
 		a, b := drawProgram(t, "a"), drawProgram(t, "b")
 		b.Urgency = a.Urgency
-		for _, one := range []Program{a, b} {
-			require.GreaterOrEqual(t, band.Priority(one), band.First)
-			require.LessOrEqual(t, band.Priority(one), band.Last)
+		for _, program := range []Program{a, b} {
+			require.GreaterOrEqual(t, band.Priority(program), band.First)
+			require.LessOrEqual(t, band.Priority(program), band.Last)
 		}
 		if Classify(a) <= Classify(b) {
 			require.LessOrEqual(t, band.Priority(a), band.Priority(b), "priorities reverse the order of classes")
--- a/internal/standing/quantile.go
+++ b/internal/standing/quantile.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// minQuantileStep is the smallest relative step of an estimate per observation.
+// minQuantileStep bounds the step size from below, as a share of the estimate, so that the estimate keeps
+// adapting.
 const minQuantileStep = 0.01
 
 // quantile estimates a quantile of durations in constant memory, by stochastic approximation. The
