--- a/internal/wait/estimate.go
+++ b/internal/wait/estimate.go
@@ -35,8 +35,8 @@
 	e.mean += time.Duration(meanGain * float64(took-e.mean))
 }
 
-// Longest returns the longest usual duration, limited to the range from least to
-// most. Without observations it returns least.
+// Longest returns the longest usual duration, the mean plus four deviations, limited
+// to the range from least to most. Without observations it returns least.
 func (e *Estimate) Longest(least, most time.Duration) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -22,6 +22,7 @@
 	})
 }
 
+// Intervals must not exceed the longest one, apart from jitter.
 func TestBackoffIsBounded(t *testing.T) {
 	intervals := NewBackoff(10*time.Millisecond, 40*time.Millisecond)
 	for range 20 {
--- a/internal/wait/ways.go
+++ b/internal/wait/ways.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Ways holds an Estimate for each of several network paths or other keys. It grows with
-// the number of keys. The zero value is ready to use. It is safe for concurrent use.
+// Ways holds an Estimate per key, such as the zone of a remote process. Keys are never
+// removed. The zero value is ready to use. It is safe for concurrent use.
 type Ways struct {
 	mutex     sync.Mutex
 	estimates map[string]*Estimate
 }
 
-// Observe adds the duration of one operation over a path.
-func (w *Ways) Observe(path string, took time.Duration) { w.estimate(path).Observe(took) }
+// Observe adds the duration of one operation under a key.
+func (w *Ways) Observe(key string, took time.Duration) { w.estimate(key).Observe(took) }
 
-// Longest returns the longest usual duration over a path, limited to the range from least
-// to most. For a path without observations it returns least.
-func (w *Ways) Longest(path string, least, most time.Duration) time.Duration {
-	return w.estimate(path).Longest(least, most)
+// Longest returns the longest usual duration under a key, limited to the range from least
+// to most. For a key without observations it returns least.
+func (w *Ways) Longest(key string, least, most time.Duration) time.Duration {
+	return w.estimate(key).Longest(least, most)
 }
 
-// estimate returns the Estimate of a path and adds it if needed.
-func (w *Ways) estimate(path string) *Estimate {
+// estimate returns the Estimate of a key and adds it if needed.
+func (w *Ways) estimate(key string) *Estimate {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	estimate, ok := w.estimates[path]
+	estimate, ok := w.estimates[key]
 	if !ok {
 		if w.estimates == nil {
 			w.estimates = map[string]*Estimate{}
 		}
 		estimate = new(Estimate)
-		w.estimates[path] = estimate
+		w.estimates[key] = estimate
 	}
 	return estimate
 }
