--- a/internal/wait/ways_test.go
+++ b/internal/wait/ways_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWaysAreApart(t *testing.T) {
+// Observations under one key must not affect the timeout of another.
+func TestKeysAreIndependent(t *testing.T) {
 	const least, most = 40 * time.Millisecond, 200 * time.Millisecond
 	var ways Ways
 	for range 100 {
@@ -16,6 +17,6 @@
 	}
 	require.Equal(t, least, ways.Longest("near", least, most))
 	require.InDelta(t, 100, ways.Longest("far", least, most).Milliseconds(), 1)
-	require.Equal(t, least, ways.Longest("never heard of", least, most))
-	require.Equal(t, least, Patience(nil).Of("process", least, most), "nothing is known")
+	require.Equal(t, least, ways.Longest("not observed", least, most))
+	require.Equal(t, least, Patience(nil).Of("process", least, most), "nil Patience")
 }
