--- /dev/null
+++ b/internal/history/failover.go
@@ -0,0 +1,110 @@
+package history
+
+import (
+	"context"
+	"errors"
+	"sync/atomic"
+	"time"
+
+	"github.com/cloverwheel/cloverwheel/internal/store"
+	"github.com/cloverwheel/cloverwheel/internal/wait"
+)
+
+// placeAnswer is the answer of one place.
+type placeAnswer[T any] struct {
+	value T
+	err   error
+}
+
+// retryPause is the pause between rounds over all places.
+const retryPause = 60 * time.Millisecond
+
+// firstAccepted asks the places of a turn one after the other and returns the first
+// accepted answer. It goes on to the next place when one fails, is not accepted, or does
+// not answer within patience. If all places answered and none was accepted, it returns
+// the zero value and the last error, if any. If all places failed, it retries until ctx
+// ends. Throttling ends the round at once, as all places lie in the same table; the next
+// round follows after an exponential backoff, or not at all if ctx ends first.
+func firstAccepted[T any](ctx context.Context, patience time.Duration, ask func(context.Context, int) (T, error), accept func(T) bool) (T, error) {
+	return firstAcceptedUnless(ctx, patience, func() bool { return false }, ask, accept)
+}
+
+// firstAcceptedUnless is firstAccepted for an operation that may be settled otherwise. It
+// calls settled before the first round and after each backoff, and stops if that reports
+// true.
+func firstAcceptedUnless[T any](ctx context.Context, patience time.Duration, settled func() bool, ask func(context.Context, int) (T, error), accept func(T) bool) (T, error) {
+	var none T
+	if settled() {
+		return none, nil
+	}
+	var throttled store.Backoff
+	var first atomic.Int32 // place to begin with; a throttled place is up, so it goes first in the next round
+	askInTurn := func(ctx context.Context, turn int) (T, error) {
+		place := (int(first.Load()) + turn) % placeCount
+		value, err := ask(ctx, place)
+		if errors.Is(err, store.ErrThrottled) {
+			first.Store(int32(place))
+		}
+		return value, err
+	}
+	for {
+		value, failed, err := tryPlaces(ctx, patience, askInTurn, accept)
+		if errors.Is(err, store.ErrThrottled) {
+			if throttled.Wait(ctx) != nil {
+				return none, err
+			}
+			if settled() {
+				return none, nil
+			}
+			continue
+		}
+		if err == nil || failed < placeCount {
+			return value, err
+		}
+		if wait.For(ctx, retryPause) != nil {
+			return none, err
+		}
+	}
+}
+
+// tryPlaces asks each place once. failed is the number of places that failed. It returns
+// early if the store throttles a call.
+func tryPlaces[T any](ctx context.Context, patience time.Duration, ask func(context.Context, int) (T, error), accept func(T) bool) (value T, failed int, failure error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	answers := make(chan placeAnswer[T], placeCount)
+	asked := 0
+	askNext := func() {
+		if asked == placeCount {
+			return
+		}
+		place := asked
+		asked++
+		go func() {
+			value, err := ask(ctx, place)
+			answers <- placeAnswer[T]{value: value, err: err}
+		}()
+	}
+	askNext()
+	timer := time.NewTimer(patience)
+	defer timer.Stop()
+	for answered := 0; answered < placeCount; {
+		select {
+		case <-timer.C:
+			askNext()
+		case answer := <-answers:
+			answered++
+			if errors.Is(answer.err, store.ErrThrottled) {
+				return value, failed, answer.err
+			}
+			if answer.err != nil {
+				failed++
+				failure = answer.err
+			} else if accept(answer.value) {
+				return answer.value, 0, nil
+			}
+			askNext()
+		}
+	}
+	return value, failed, failure
+}
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenTurn is a turn as builds have written it that are in use.
+// goldenTurn is the turn in goldenFile, which an earlier build wrote.
 var goldenTurn = Turn{
 	ID: "turn-2", Ancestors: []string{"turn-0", "turn-1"}, Input: []byte("in"), Output: []byte("out\n"),
 	Worker: "i-1", Expires: time.Unix(1_700_000_000, 0).UTC(),
@@ -18,8 +18,9 @@
 
 const goldenFile = "testdata/turn-1.row"
 
-// TestTurnsOfBuildsInUseAreRead: nodes of two builds run side by side, and turns outlast both.
-func TestTurnsOfBuildsInUseAreRead(t *testing.T) {
+// TestTurnsOfEarlierBuildsAreDecoded guards against incompatible changes of the turn
+// format: nodes of two builds run side by side during an upgrade, and turns outlive both.
+func TestTurnsOfEarlierBuildsAreDecoded(t *testing.T) {
 	value, err := os.ReadFile(goldenFile)
 	require.NoError(t, err)
 	var read Turn
@@ -28,8 +29,8 @@
 	require.Equal(t, goldenTurn, read)
 }
 
-// TestTurnsOfALaterBuildAreRead: it may have added a field.
-func TestTurnsOfALaterBuildAreRead(t *testing.T) {
+// TestTurnsOfLaterBuildsAreDecoded guards against decoding that fails on added fields.
+func TestTurnsOfLaterBuildsAreDecoded(t *testing.T) {
 	later := struct {
 		ID        string
 		Ancestors []string
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,6 +1,6 @@
-// Package history keeps what was said in programs: each kept turn is a row of
-// the table with its input, its output and the names of all turns before it, so
-// that any node can go on from any turn after any loss of nodes.
+// Package history stores the finished turns of programs, so that any node can continue a
+// program from any turn, even after all nodes were lost. A turn is stored with its input,
+// its output and the IDs of all turns before it.
 package history
 
 import (
@@ -22,91 +22,93 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Table is the table's name for turns.
+// Table is the store table that holds the turns.
 const Table = "turns"
 
 const (
-	// parts spreads turns over the table's parts.
-	parts = 64
-	// places is how many parts may hold a turn: where a part of the table is
-	// down, the turn is kept in the next.
-	places = 2
-	// placeWait is how long a write waits for one place before it also tries the
-	// next, or longer if the table is seen to take more.
-	placeWait = 150 * time.Millisecond
-	// readWait is how long a read waits for one place before it also asks the next;
-	// likewise.
-	readWait = 100 * time.Millisecond
-	// rowBytes is how much of a turn goes into one row.
-	rowBytes = 40 << 10
-	// parallelReads bounds the reads of a cold chain.
-	parallelReads = 16
+	// partCount is the number of partitions that turns are spread over.
+	partCount = 64
+	// placeCount is the number of places, in different partitions, where a turn may be
+	// stored. If one partition is down, the turn is written to the next place.
+	placeCount = 2
+	// writePlaceTimeout is the minimum time that a write waits for one place before it
+	// also tries the next. It is extended if the store is observed to be slower.
+	writePlaceTimeout = 150 * time.Millisecond
+	// readPlaceTimeout is the same for a read.
+	readPlaceTimeout = 100 * time.Millisecond
+	// maxRowBytes is the maximum size of a row. Larger turns are split over several rows.
+	maxRowBytes = 40 << 10
+	// maxParallelCalls limits the parallel reads or writes for one chain.
+	maxParallelCalls = 16
 )
 
-// ErrNoTurn means that the table has no such turn.
-var ErrNoTurn = errors.New("there is no such turn; start a new program")
+// ErrNoTurn means that the store has no turn of that ID.
+var ErrNoTurn = errors.New("turn not found; start a new program")
 
-// Turn is a finished turn. What it says is never changed.
+// Turn is a finished turn. Except for Expires, it is immutable once written. It is
+// encoded with gob, so its fields keep their names.
 type Turn struct {
 	ID        string
-	Ancestors []string // from the oldest to the one before this
+	Ancestors []string // IDs of the earlier turns, oldest first
 	Input     []byte
-	Output    []byte // the data of its events, each followed by a line feed
-	Worker    string // that ran it
+	Output    []byte // data of the output events, each followed by a line feed
+	Worker    string // worker that ran the turn
 	Expires   time.Time
 }
 
 func (t *Turn) size() int { return len(t.Input) + len(t.Output) + 64*(len(t.Ancestors)+2) }
 
-// Options of a Keeper.
+// Options configures a Keeper.
 type Options struct {
 	Store      store.Store
 	CacheBytes int
-	// Region is where this node stands: it remembers nothing that is bound to others.
+	// Region is the region of this node. Turns that are restricted to other regions are
+	// not cached.
 	Region string
-	// Together writes turns together with those of other nodes; nil: nobody does.
+	// Together batches the first write of a turn with those of other nodes. Nil: no
+	// batching.
 	Together Together
 }
 
-// Together writes rows of one of the parts that hold turns, by their numbers, together with
-// those of other nodes.
+// Together writes turns in batches with those of other nodes.
 type Together interface {
-	// Put reports whether the rows are in the table for certain. If not, they may be.
+	// Put writes rows to the partition with that number, one of those that hold turns. It
+	// reports whether the rows are certain to be in the store; if not, they may be.
 	Put(ctx context.Context, part int, rows []store.Row) (kept bool)
 }
 
-// Keeper reads and writes turns.
+// Keeper reads and writes turns and caches them.
 type Keeper struct {
-	options Options
-	mutex   sync.Mutex
-	cached  map[string]*list.Element
-	order   *list.List // newest use first
-	bytes   int
+	options     Options
+	mutex       sync.Mutex
+	cache       map[string]*list.Element
+	lru         *list.List // most recently used first
+	cachedBytes int
 }
 
 // New returns a keeper with an empty cache.
 func New(options Options) *Keeper {
-	return &Keeper{options: options, cached: map[string]*list.Element{}, order: list.New()}
+	return &Keeper{options: options, cache: map[string]*list.Element{}, lru: list.New()}
 }
 
-// Chain returns the turns up to and including the one named, the oldest first.
-// It fails with ErrNoTurn only when the table said so.
+// Chain returns the turns up to and including the one with the given ID, oldest first. It
+// fails with ErrNoTurn only if the store confirmed that a turn does not exist.
 func (k *Keeper) Chain(ctx context.Context, id string) ([]*Turn, error) {
-	last, err := k.turn(ctx, id)
+	last, err := k.fetch(ctx, id)
 	if err != nil {
 		return nil, err
 	}
 	chain := make([]*Turn, len(last.Ancestors)+1)
 	chain[len(last.Ancestors)] = last
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(parallelReads)
+	group.SetLimit(maxParallelCalls)
 	for index, ancestor := range last.Ancestors {
-		if known := k.lookUp(ancestor); known != nil {
+		if known := k.cachedTurn(ancestor); known != nil {
 			chain[index] = known
 			continue
 		}
 		group.Go(func() error {
-			turn, err := k.turn(ctx, ancestor)
+			turn, err := k.fetch(ctx, ancestor)
 			chain[index] = turn
 			return err
 		})
@@ -117,15 +119,15 @@
 	return chain, nil
 }
 
-// Known returns a chain if this node remembers all of it, else nil. No call is made.
+// Known returns a chain if all of it is cached, else nil. It makes no store call.
 func (k *Keeper) Known(id string) []*Turn {
-	last := k.lookUp(id)
+	last := k.cachedTurn(id)
 	if last == nil {
 		return nil
 	}
 	chain := make([]*Turn, 0, len(last.Ancestors)+1)
 	for _, ancestor := range last.Ancestors {
-		known := k.lookUp(ancestor)
+		known := k.cachedTurn(ancestor)
 		if known == nil {
 			return nil
 		}
@@ -134,39 +136,39 @@
 	return append(chain, last)
 }
 
-// Learn remembers a chain that another node has read or written.
+// Learn caches a chain that another node has read or written.
 func (k *Keeper) Learn(ctx context.Context, chain []*Turn) {
 	for _, turn := range chain {
-		k.remember(ctx, turn)
+		k.cacheTurn(ctx, turn)
 	}
 }
 
-func (k *Keeper) turn(ctx context.Context, id string) (*Turn, error) {
-	if known := k.lookUp(id); known != nil {
+func (k *Keeper) fetch(ctx context.Context, id string) (*Turn, error) {
+	if known := k.cachedTurn(id); known != nil {
 		return known, nil
 	}
 	turn, err := k.read(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	k.remember(ctx, turn)
+	k.cacheTurn(ctx, turn)
 	return turn, nil
 }
 
-// placed is what a place holds of a turn; nil: nothing.
-type placed struct {
+// placeResult is the content of one place; turn is nil if it does not have the turn.
+type placeResult struct {
 	place int
 	turn  *Turn
 }
 
-// read asks the places of a turn, the next one when the one before has no
-// answer or no turn. Only if all of them have no turn there is none.
+// read reads a turn from its places. It returns ErrNoTurn only if all places answered
+// that they do not have it.
 func (k *Keeper) read(ctx context.Context, id string) (*Turn, error) {
-	var missing [places]bool
-	found, err := firstPlace(ctx, store.PatienceWith(k.options.Store, readWait), func(ctx context.Context, place int) (placed, error) {
+	var missing [placeCount]bool
+	found, err := firstAccepted(ctx, store.PatienceWith(k.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
 		turn, err := k.readPlace(ctx, id, place)
-		return placed{place: place, turn: turn}, err
-	}, func(found placed) bool {
+		return placeResult{place: place, turn: turn}, err
+	}, func(found placeResult) bool {
 		missing[found.place] = missing[found.place] || found.turn == nil
 		return found.turn != nil
 	})
@@ -178,26 +180,26 @@
 
 func (k *Keeper) readPlace(ctx context.Context, id string, place int) (*Turn, error) {
 	name := url.PathEscape(id)
-	page, err := k.options.Store.Range(ctx, Table, partOf(id, place), name, name+rowsEnd, 0)
+	page, err := k.options.Store.Range(ctx, Table, partOf(id, place), name, name+rowNameEnd, 0)
 	if err != nil || len(page.Rows) == 0 {
 		return nil, err
 	}
-	var whole []byte
+	var joined []byte
 	for _, row := range page.Rows {
 		_, payload, err := store.CutExpiry(row.Value)
 		if err != nil {
 			return nil, err
 		}
-		whole = append(whole, payload...)
+		joined = append(joined, payload...)
 	}
 	turn := new(Turn)
-	err = gob.NewDecoder(bytes.NewReader(whole)).Decode(turn)
+	err = gob.NewDecoder(bytes.NewReader(joined)).Decode(turn)
 	return turn, err
 }
 
-// Parts lists the parts that hold turns.
+// Parts returns the names of the partitions that hold turns.
 func Parts() []string {
-	names := make([]string, parts)
+	names := make([]string, partCount)
 	for part := range names {
 		names[part] = partName(uint64(part))
 	}
@@ -206,36 +208,37 @@
 
 func partName(part uint64) string { return "t" + strconv.FormatUint(part, 10) }
 
-// partOf is the part of a turn's place. A turn's places lie in different parts.
+// partOf returns the partition of one of a turn's places. The places of a turn lie in
+// different partitions.
 func partOf(id string, place int) string { return partName(partNumber(id, place)) }
 
 func partNumber(id string, place int) uint64 {
 	hash := xxhash.Sum64String(id)
-	step := 1 + (hash>>32)%(parts-1)
-	return (hash + uint64(place)*step) % parts
+	step := 1 + (hash>>32)%(partCount-1)
+	return (hash + uint64(place)*step) % partCount
 }
 
-// A turn's rows are named by its escaped name, in which no slash is left; all
-// but the first add a slash and their number. They lie before name + rowsEnd.
+// The first row of a turn is named by the escaped ID, which contains no slash. Further
+// rows append a slash and their index. All of them sort before the escaped ID + rowNameEnd.
 const (
-	rowSlash = "/"
-	rowsEnd  = "0" // the byte after the slash
+	rowSeparator = "/"
+	rowNameEnd   = "0" // the byte that follows the slash
 )
 
 func rowName(id string, index int) string {
 	if index == 0 {
 		return url.PathEscape(id)
 	}
-	return url.PathEscape(id) + rowSlash + strconv.Itoa(index)
+	return url.PathEscape(id) + rowSeparator + strconv.Itoa(index)
 }
 
-// Keep writes a turn and returns once one of its places holds it. The turns of
-// its chain are written again first if they would end well before it. Writing a
-// turn again does no harm: what was said never changes.
+// Keep writes a turn and returns once it is stored in one of its places. Turns of its
+// chain that would expire well before it are written again with the new expiry. Repeated
+// writes are harmless because the content of a turn never changes.
 func (k *Keeper) Keep(ctx context.Context, turn *Turn, chain []*Turn, retention time.Duration) error {
 	turn.Expires = time.Now().Add(retention)
 	group, limited := errgroup.WithContext(ctx)
-	group.SetLimit(parallelReads)
+	group.SetLimit(maxParallelCalls)
 	for _, earlier := range chain {
 		if turn.Expires.Sub(earlier.Expires) > retention/2 {
 			group.Go(func() error { return k.renew(limited, earlier, turn.Expires) })
@@ -245,19 +248,19 @@
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	k.remember(ctx, turn)
+	k.cacheTurn(ctx, turn)
 	return nil
 }
 
-// renew keeps a turn until expires and beyond, so that the next turns of its
-// chain need not do it again.
+// renew extends the expiry of a turn. The caller does so only once much of the retention
+// has passed, so that most turns need not renew their chain.
 func (k *Keeper) renew(ctx context.Context, earlier *Turn, expires time.Time) error {
 	renewed := *earlier
 	renewed.Expires = expires
 	if err := k.write(ctx, &renewed); err != nil {
 		return err
 	}
-	k.replace(&renewed)
+	k.replaceCached(&renewed)
 	return nil
 }
 
@@ -266,29 +269,29 @@
 	if err := gob.NewEncoder(&encoded).Encode(turn); err != nil {
 		return err
 	}
-	together := func() bool {
-		return k.options.Together != nil && k.options.Together.Put(ctx, int(partNumber(turn.ID, 0)), turn.transaction(encoded.Bytes(), 0).Put)
+	writeShared := func() bool {
+		return k.options.Together != nil && k.options.Together.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
 	}
-	_, err := firstPlaceUnless(ctx, store.PatienceWith(k.options.Store, placeWait), together, func(ctx context.Context, place int) (store.Version, error) {
-		return store.CommitUnlessThrottled(ctx, k.options.Store, turn.transaction(encoded.Bytes(), place))
+	_, err := firstAcceptedUnless(ctx, store.PatienceWith(k.options.Store, writePlaceTimeout), writeShared, func(ctx context.Context, place int) (store.Version, error) {
+		return store.CommitUnlessThrottled(ctx, k.options.Store, turn.putTransaction(encoded.Bytes(), place))
 	}, func(store.Version) bool { return true })
 	return err
 }
 
-// replace puts a renewed turn in the place of the cached one.
-func (k *Keeper) replace(turn *Turn) {
+// replaceCached replaces the cached copy of a turn, if there is one.
+func (k *Keeper) replaceCached(turn *Turn) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if element, ok := k.cached[turn.ID]; ok {
+	if element, ok := k.cache[turn.ID]; ok {
 		element.Value = turn
 	}
 }
 
-func (t *Turn) transaction(encoded []byte, place int) store.Transaction {
+func (t *Turn) putTransaction(encoded []byte, place int) store.Transaction {
 	part := partOf(t.ID, place)
 	var transaction store.Transaction
 	for index := 0; len(encoded) > 0; index++ {
-		piece := encoded[:min(rowBytes, len(encoded))]
+		piece := encoded[:min(maxRowBytes, len(encoded))]
 		encoded = encoded[len(piece):]
 		key := store.Key{Table: Table, Part: part, Name: rowName(t.ID, index)}
 		transaction.Put = append(transaction.Put, store.Row{Key: key, Value: store.WithExpiry(t.Expires, piece)})
@@ -296,38 +299,39 @@
 	return transaction
 }
 
-func (k *Keeper) lookUp(id string) *Turn {
+func (k *Keeper) cachedTurn(id string) *Turn {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	element, ok := k.cached[id]
+	element, ok := k.cache[id]
 	if !ok {
 		return nil
 	}
-	k.order.MoveToFront(element)
+	k.lru.MoveToFront(element)
 	return element.Value.(*Turn)
 }
 
-// remember caches a turn, if that may be remembered here, and drops the longest unused
-// beyond the cache's size.
-func (k *Keeper) remember(ctx context.Context, turn *Turn) {
+// cacheTurn caches a turn if it may be cached in this region, and evicts the least
+// recently used turns beyond CacheBytes.
+func (k *Keeper) cacheTurn(ctx context.Context, turn *Turn) {
 	if !locality.Content(ctx).Allow(k.options.Region) {
 		return
 	}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	if _, ok := k.cached[turn.ID]; ok {
+	if _, ok := k.cache[turn.ID]; ok {
 		return
 	}
-	k.cached[turn.ID] = k.order.PushFront(turn)
-	k.bytes += turn.size()
-	for k.bytes > k.options.CacheBytes && k.order.Len() > 1 {
-		oldest := k.order.Remove(k.order.Back()).(*Turn)
-		delete(k.cached, oldest.ID)
-		k.bytes -= oldest.size()
+	k.cache[turn.ID] = k.lru.PushFront(turn)
+	k.cachedBytes += turn.size()
+	for k.cachedBytes > k.options.CacheBytes && k.lru.Len() > 1 {
+		oldest := k.lru.Remove(k.lru.Back()).(*Turn)
+		delete(k.cache, oldest.ID)
+		k.cachedBytes -= oldest.size()
 	}
 }
 
-// Join writes a chain's turns and the new input as a worker is to get them.
+// Join returns a worker's input: the inputs and outputs of the chain, followed by the new
+// input.
 func Join(chain []*Turn, input []byte) []byte {
 	if len(chain) == 0 {
 		return input
@@ -336,10 +340,10 @@
 	for _, turn := range chain {
 		size += len(turn.Input) + len(turn.Output)
 	}
-	whole := make([]byte, 0, size)
+	joined := make([]byte, 0, size)
 	for _, turn := range chain {
-		whole = append(whole, turn.Input...)
-		whole = append(whole, turn.Output...)
+		joined = append(joined, turn.Input...)
+		joined = append(joined, turn.Output...)
 	}
-	return append(whole, input...)
+	return append(joined, input...)
 }
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -15,30 +15,36 @@
 	"github.com/cloverwheel/cloverwheel/internal/sweep"
 )
 
-func keeper(table *storetest.Table) *Keeper { return New(Options{Store: table, CacheBytes: 1 << 20}) }
+func newTestKeeper(table *storetest.Table) *Keeper {
+	return New(Options{Store: table, CacheBytes: 1 << 20})
+}
 
-func turn(id string, ancestors ...string) *Turn {
+func newTurn(id string, ancestors ...string) *Turn {
 	return &Turn{ID: id, Ancestors: ancestors, Input: []byte("in " + id), Output: []byte("out\n"), Worker: "w"}
 }
 
-func TestColdChainIsReadWhole(t *testing.T) {
+// TestUncachedChainIsReadCompletely guards against losing part of a chain: a turn of
+// several rows, or one whose ID contains a slash.
+func TestUncachedChainIsReadCompletely(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		long := turn("a")
+		long := newTurn("a")
 		long.Input = bytes.Repeat([]byte("0123456789"), 20_000)
-		require.NoError(t, keeper(table).Keep(t.Context(), long, nil, time.Minute))
-		require.NoError(t, keeper(table).Keep(t.Context(), turn("a/1x", "a"), nil, time.Minute))
-		require.NoError(t, keeper(table).Keep(t.Context(), turn("c", "a", "a/1x"), nil, time.Minute))
-		chain, err := keeper(table).Chain(t.Context(), "c")
+		require.NoError(t, newTestKeeper(table).Keep(t.Context(), long, nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("a/1x", "a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("c", "a", "a/1x"), nil, time.Minute))
+		chain, err := newTestKeeper(table).Chain(t.Context(), "c")
 		require.NoError(t, err)
 		require.Len(t, chain, 3)
-		require.Equal(t, long.Input, chain[0].Input, "a turn in several rows")
+		require.Equal(t, long.Input, chain[0].Input, "a turn that is split over several rows")
 		require.Equal(t, "a/1x", chain[1].ID)
 		require.Equal(t, string(long.Input)+"out\nin a/1xout\nin cout\nnew", string(Join(chain, []byte("new"))))
 	})
 }
 
-func TestTurnIsKeptWhileOnePlaceIsDown(t *testing.T) {
+// TestTurnIsWrittenWhileOnePlaceIsDown guards against turns that cannot be written or
+// read while one partition is down, and against ErrNoTurn for them.
+func TestTurnIsWrittenWhileOnePlaceIsDown(t *testing.T) {
 	for _, down := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken, storetest.Late} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
@@ -50,53 +56,54 @@
 				}
 				return storetest.None
 			})
-			begun := time.Now()
-			require.NoError(t, keeper(table).Keep(t.Context(), turn("a"), nil, time.Minute))
-			_, err := keeper(table).Chain(t.Context(), "a")
+			start := time.Now()
+			require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("a"), nil, time.Minute))
+			_, err := newTestKeeper(table).Chain(t.Context(), "a")
 			require.NoError(t, err)
-			require.Less(t, time.Since(begun), 400*time.Millisecond)
+			require.Less(t, time.Since(start), 400*time.Millisecond)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			_, err = keeper(table).Chain(ctx, "b")
+			_, err = newTestKeeper(table).Chain(ctx, "b")
 			require.Error(t, err)
 			if partOf("b", 0) == first || partOf("b", 1) == first {
-				require.NotErrorIs(t, err, ErrNoTurn, "a place that says nothing is no word")
+				require.NotErrorIs(t, err, ErrNoTurn, "an unanswered place does not prove that the turn is missing")
 			}
 			table.SetFault(nil)
-			_, err = keeper(table).Chain(t.Context(), "a")
-			require.NoError(t, err, "the place that missed it is not believed alone")
+			_, err = newTestKeeper(table).Chain(t.Context(), "a")
+			require.NoError(t, err, "the place without the turn does not decide alone")
 		})
 	}
 }
 
-func TestNoTurnOnlyByAllPlaces(t *testing.T) {
+// TestErrNoTurnNeedsAllPlaces guards against ErrNoTurn when only some places answered.
+func TestErrNoTurnNeedsAllPlaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		_, err := keeper(table).Chain(t.Context(), "a")
+		_, err := newTestKeeper(table).Chain(t.Context(), "a")
 		require.ErrorIs(t, err, ErrNoTurn)
-		for place := range places {
+		for place := range placeCount {
 			table.SetFault(func(part string, _ bool) storetest.Fault {
 				if part == partOf("a", place) {
 					return storetest.Broken
 				}
 				return storetest.None
 			})
-			_, err = keeper(table).Chain(t.Context(), "a")
+			_, err = newTestKeeper(table).Chain(t.Context(), "a")
 			require.Error(t, err)
 			require.NotErrorIs(t, err, ErrNoTurn)
 		}
 	})
 }
 
-// TestChainThatIsNotReadWholeIsNone: an ancestor that cannot be read leaves no gap
-// in a chain that its caller might take for whole.
-func TestChainThatIsNotReadWholeIsNone(t *testing.T) {
+// TestIncompleteChainIsAnError guards against returning a chain with a gap when an
+// ancestor cannot be read.
+func TestIncompleteChainIsAnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		require.NoError(t, keeper(table).Keep(t.Context(), turn("a"), nil, time.Minute))
-		require.NoError(t, keeper(table).Keep(t.Context(), turn("next", "a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("next", "a"), nil, time.Minute))
 		var down []string
-		for place := range places {
+		for place := range placeCount {
 			down = append(down, partOf("a", place))
 			require.NotContains(t, down, partOf("next", place), "the turn itself can be read")
 		}
@@ -108,33 +115,35 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		chain, err := keeper(table).Chain(ctx, "next")
+		chain, err := newTestKeeper(table).Chain(ctx, "next")
 		require.Error(t, err)
 		require.Nil(t, chain)
 	})
 }
 
-func TestCacheIsBounded(t *testing.T) {
+// TestCacheSizeIsBounded guards against unbounded growth of the cache, and against
+// evicting the newest turn.
+func TestCacheSizeIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		small := New(Options{Store: table, CacheBytes: 1000})
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-			require.NoError(t, small.Keep(t.Context(), turn(id), nil, time.Minute))
+			require.NoError(t, small.Keep(t.Context(), newTurn(id), nil, time.Minute))
 		}
-		require.LessOrEqual(t, small.bytes, 1000)
+		require.LessOrEqual(t, small.cachedBytes, 1000)
 		_, before := table.Calls()
 		_, err := small.Chain(t.Context(), "i")
 		require.NoError(t, err)
 		_, after := table.Calls()
 		require.Equal(t, before, after, "the newest is cached")
 		_, err = small.Chain(t.Context(), "a")
-		require.NoError(t, err, "the oldest is read again")
+		require.NoError(t, err, "the evicted oldest is read again")
 	})
 }
 
-// TestChainOutlivesItsRetention: a turn is kept together with its chain, however
-// old that is, and all of it may go afterwards.
-func TestChainOutlivesItsRetention(t *testing.T) {
+// TestKeepRenewsTheChain guards against earlier turns of a chain expiring before the
+// newest one, and against turns that never expire.
+func TestKeepRenewsTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		sweeper := sweep.New(sweep.Options{Store: table})
@@ -149,21 +158,21 @@
 		previous := ""
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
 			var chain []*Turn
-			next := turn(id)
+			next := newTurn(id)
 			if previous != "" {
 				var err error
-				chain, err = keeper(table).Chain(t.Context(), previous)
+				chain, err = newTestKeeper(table).Chain(t.Context(), previous)
 				require.NoError(t, err)
 			}
 			for _, earlier := range chain {
 				next.Ancestors = append(next.Ancestors, earlier.ID)
 			}
-			require.NoError(t, keeper(table).Keep(t.Context(), next, chain, time.Minute))
+			require.NoError(t, newTestKeeper(table).Keep(t.Context(), next, chain, time.Minute))
 			previous = id
 			time.Sleep(50 * time.Second)
 			sweepAll()
 		}
-		chain, err := keeper(table).Chain(t.Context(), "h")
+		chain, err := newTestKeeper(table).Chain(t.Context(), "h")
 		require.NoError(t, err)
 		require.Len(t, chain, 8)
 		time.Sleep(10 * time.Minute)
@@ -171,23 +180,23 @@
 	})
 }
 
-// TestNothingIsRememberedOutsideItsRegions: a turn that is bound to regions is in the memory
-// of nodes there only, however it came.
-func TestNothingIsRememberedOutsideItsRegions(t *testing.T) {
+// TestTurnsAreCachedOnlyInAllowedRegions guards against caching a turn outside the
+// regions that its content is restricted to.
+func TestTurnsAreCachedOnlyInAllowedRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		bound := locality.WithContent(t.Context(), locality.Regions{"a"})
-		for region, remembers := range map[string]bool{"a": true, "b": false} {
+		for region, cached := range map[string]bool{"a": true, "b": false} {
 			node := func() *Keeper { return New(Options{Store: table, CacheBytes: 1 << 20, Region: region}) }
-			for how, hear := range map[string]func(*Keeper) error{
-				"written": func(k *Keeper) error { return k.Keep(bound, turn("t"), nil, time.Minute) },
+			for source, load := range map[string]func(*Keeper) error{
+				"written": func(k *Keeper) error { return k.Keep(bound, newTurn("t"), nil, time.Minute) },
 				"read":    func(k *Keeper) error { _, err := k.Chain(bound, "t"); return err },
-				"told":    func(k *Keeper) error { k.Learn(bound, []*Turn{turn("t")}); return nil },
+				"learnt":  func(k *Keeper) error { k.Learn(bound, []*Turn{newTurn("t")}); return nil },
 			} {
 				keeper := node()
-				require.NoError(t, node().Keep(bound, turn("t"), nil, time.Minute))
-				require.NoError(t, hear(keeper))
-				require.Equal(t, remembers, keeper.Known("t") != nil, "%s in %s", how, region)
+				require.NoError(t, node().Keep(bound, newTurn("t"), nil, time.Minute))
+				require.NoError(t, load(keeper))
+				require.Equal(t, cached, keeper.Known("t") != nil, "%s in %s", source, region)
 			}
 		}
 	})
--- a/internal/history/throttle_test.go
+++ b/internal/history/throttle_test.go
@@ -13,9 +13,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// TestThrottledTurnIsNotPressed: another place of the same table does not help. Within 2 s a
-// turn costs few calls, and is kept soon after the table takes calls again.
-func TestThrottledTurnIsNotPressed(t *testing.T) {
+// TestThrottledCallsBackOff guards against calls that add load to a throttled store.
+// Within 2 s a turn makes few calls, and it is written soon after throttling ends.
+func TestThrottledCallsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		var calls atomic.Int32
@@ -34,22 +34,22 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		begun := time.Now()
-		require.NoError(t, keeper(table).Keep(ctx, turn("a"), nil, time.Minute))
-		require.Less(t, time.Since(begun), 2700*time.Millisecond)
+		start := time.Now()
+		require.NoError(t, newTestKeeper(table).Keep(ctx, newTurn("a"), nil, time.Minute))
+		require.Less(t, time.Since(start), 2700*time.Millisecond)
 		busy.Store(true)
 		calls.Store(0)
 		limited, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		_, err := keeper(table).Chain(limited, "a")
+		_, err := newTestKeeper(table).Chain(limited, "a")
 		require.ErrorIs(t, err, store.ErrThrottled)
 		require.LessOrEqual(t, calls.Load(), int32(10))
 	})
 }
 
-// TestRefusedPlaceIsNoWordOnTheTurn: that one place has no turn, though it is asked twice because
-// the other was refused or failed, does not mean that there is none.
-func TestRefusedPlaceIsNoWordOnTheTurn(t *testing.T) {
+// TestFailedPlaceDoesNotProveTurnMissing guards against ErrNoTurn when one place has no
+// turn but the other was throttled or failed.
+func TestFailedPlaceDoesNotProveTurnMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		table.SetFault(func(part string, _ bool) storetest.Fault {
@@ -58,7 +58,7 @@
 			}
 			return storetest.None
 		})
-		require.NoError(t, keeper(table).Keep(t.Context(), turn("a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("a"), nil, time.Minute))
 		var calls atomic.Int32
 		then := storetest.None
 		table.SetFault(func(part string, _ bool) storetest.Fault {
@@ -70,11 +70,11 @@
 			}
 			return then
 		})
-		_, err := keeper(table).Chain(t.Context(), "a")
+		_, err := newTestKeeper(table).Chain(t.Context(), "a")
 		require.NoError(t, err)
 		calls.Store(0)
 		then = storetest.Broken
-		_, err = keeper(table).Chain(t.Context(), "a")
+		_, err = newTestKeeper(table).Chain(t.Context(), "a")
 		require.ErrorIs(t, err, storetest.ErrBroken)
 	})
 }
