--- a/internal/budget/book.go
+++ b/internal/budget/book.go
@@ -17,159 +17,167 @@
 )
 
 const (
-	// forgetAfter is how long a program may rest before this node forgets it.
-	forgetAfter = 3 * time.Minute
-	// A node that stops gives back the tokens of programs that had a turn within
-	// giveBackRecent, giveBackAtOnce of them at the same time.
-	giveBackRecent = 20 * time.Second
-	giveBackAtOnce = 4
+	// accountIdleTimeout is how long a program may be idle before this node drops its
+	// account.
+	accountIdleTimeout = 3 * time.Minute
+	// A node that stops returns the tokens of programs that had a turn within
+	// giveBackMaxIdle, at most giveBackParallelism accounts at a time.
+	giveBackMaxIdle     = 20 * time.Second
+	giveBackParallelism = 4
 )
 
-// Options of a Book.
+// Options configures a Book.
 type Options struct {
 	Store store.Store
 	Self  Holder
-	Peers Peers // nil: no other node is asked
-	// Patience is how long other nodes' answers are seen to take; nil: not known.
+	Peers Peers // nil: no other node is asked for tokens
+	// Patience adapts the timeout of a request to the latency observed to that process.
+	// Nil means that no latency is known.
 	Patience wait.Patience
-	// Vantage is where this process runs; others of its region are asked first.
+	// Vantage is the location of this process. Processes in the same region are asked
+	// first.
 	Vantage locality.Vantage
-	// Locator tells who had turns of a program; nil: only the table does.
+	// Locator finds processes that ran turns of a program. Nil: only the store is
+	// consulted.
 	Locator Locator
-	// Granter asks owners; nil: rows hold whole budgets. It must be nil at all nodes or at none.
+	// Granter requests grants from directory owners. Nil: the rows hold whole budgets. It
+	// must be nil at all nodes or at none.
 	Granter Granter
 }
 
-// Located is what is known of a program without the table. It may be wrong or missing.
+// Located is what the locator returns for a program. It may be stale or incomplete.
 type Located struct {
-	Holders []Holder // other processes that had turns of the program, the newest first
-	// Spent is the size of a turn that the table has lately refused to some process,
-	// and SpentAgo how long ago; no Spent means that it has refused none.
+	Holders []Holder // other processes that ran turns of the program, newest first
+	// Spent is the size, in tokens, of a turn that the store recently refused to some
+	// process, and SpentAgo is how long ago. Zero Spent means that no refusal is known.
 	Spent    int
 	SpentAgo time.Duration
 }
 
-// spent reports whether the table would refuse a turn, by its word of a moment ago.
-func (l Located) spent(tokens int) bool {
-	return l.Spent > 0 && tokens >= l.Spent && l.SpentAgo < othersSpentFor
+// refuses reports whether a recent refusal implies that the store would refuse this turn.
+func (l Located) refuses(tokens int) bool {
+	return l.Spent > 0 && tokens >= l.Spent && l.SpentAgo < peerExhaustedTTL
 }
 
-// refusal repeats the table's word that the budget is spent.
+// refusal returns the error for a turn that refuses reports as refused.
 func (l Located) refusal(tokens int) error {
-	return fault.Newf(fault.BudgetExhausted, spentRemedy,
-		"the turn may need %d tokens, and the table refused %d to another node %v ago", tokens, l.Spent, l.SpentAgo.Round(time.Millisecond))
+	return fault.Newf(fault.BudgetExhausted, exhaustedRemedy,
+		"the turn may need %d tokens, but the store refused %d tokens to another node %v ago", tokens, l.Spent, l.SpentAgo.Round(time.Millisecond))
 }
 
-// Locator tells what other processes have learnt of a program.
+// Locator shares knowledge of programs between processes.
 type Locator interface {
-	// Locate also notes that this process has a turn of the program.
+	// Locate returns what is known of a program and records that this process runs a turn
+	// of it.
 	Locate(ctx context.Context, program string) Located
-	// NoteSpent notes that the table has refused a turn of that size.
+	// NoteSpent records that the store refused a turn of that many tokens.
 	NoteSpent(program string, tokens int)
-	// NoteReturned notes that tokens were given back to the table, so that an earlier
-	// refusal says nothing any more.
+	// NoteReturned records that tokens were returned to the store, which invalidates
+	// earlier refusals.
 	NoteReturned(ctx context.Context, program string)
 }
 
-// Book holds the accounts that this node works with.
+// Book holds the accounts of the programs that this node serves.
 type Book struct {
-	options  Options
-	mutex    sync.Mutex
-	accounts map[string]*account
-	silent   map[string]silence // processes that did not answer
-	nodes    []Holder           // processes met lately, the newest last
-	around   *rate.Limiter      // of asking all of them
-	asks     atomic.Uint64      // requests to other nodes
-	failures atomic.Int64       // calls for shares without an answer, in a row
-	failed   atomic.Int64       // when the last of them was, in nanoseconds of the epoch
-	swept    time.Time
+	options           Options
+	mutex             sync.Mutex
+	accounts          map[string]*account
+	unresponsive      map[string]unresponsivePeer // by process: those that did not answer their last request
+	recentPeers       []Holder                    // processes seen recently, newest last
+	broadcastLimiter  *rate.Limiter               // limits broadcast requests
+	lastRequestNumber atomic.Uint64               // numbers requests to other processes
+	shareFailures     atomic.Int64                // consecutive calls for shares that failed
+	lastShareFailure  atomic.Int64                // time of the last such failure, in Unix nanoseconds
+	lastSweep         time.Time
 }
 
-// NewBook returns an empty book.
+// NewBook returns a book without accounts.
 func NewBook(options Options) *Book {
 	return &Book{
-		options:  options,
-		accounts: map[string]*account{},
-		silent:   map[string]silence{},
-		swept:    time.Now(),
-		around:   rate.NewLimiter(aroundPerSecond, aroundPerSecond),
+		options:          options,
+		accounts:         map[string]*account{},
+		unresponsive:     map[string]unresponsivePeer{},
+		lastSweep:        time.Now(),
+		broadcastLimiter: rate.NewLimiter(broadcastsPerSecond, broadcastsPerSecond),
 	}
 }
 
-// Reservation is the right to generate up to Tokens.
+// Reservation is the right to generate up to Tokens tokens. It is ended by Settle.
 type Reservation struct {
 	Tokens  int
 	Home    string   // worker of the program's newest turn; empty if unknown
-	Drawn   bool     // more was needed than this node held
-	Handed  bool     // another node handed tokens over
-	Located bool     // the locator named processes to ask
-	Granted bool     // the owner of the program's slot granted tokens
-	Others  []Holder // processes that had turns of the program, the newest first
+	Drawn   bool     // this node held too few tokens and had to obtain more
+	Handed  bool     // another process handed tokens over
+	Located bool     // the locator returned processes to ask
+	Granted bool     // the owner of the program's directory slot granted tokens
+	Others  []Holder // other processes that may hold tokens of the program, in the order in which they are asked
 	account *account
 	once    sync.Once
 }
 
-// Claim asks for the tokens of a turn.
+// Claim describes the tokens that a turn needs.
 type Claim struct {
 	Program string
-	Budget  int // tokens that the program may generate
-	Tokens  int // most that the turn generates
-	// Continues says that the program has had a turn: its rows are there then, and
-	// reading them first spares the table a transaction that it would refuse.
+	Budget  int // tokens that the program may generate in all its turns
+	Tokens  int // maximum that this turn may generate
+	// Continues says that the program has had a turn, so its rows exist. They are read
+	// first, which avoids a transaction that the store would refuse.
 	Continues bool
-	// Kept says that the turn cannot end without the table. It is not worth
-	// running, then, while that is out of reach.
+	// Kept says that the turn must be written to the store when it ends. It is not
+	// started while the store is unavailable.
 	Kept bool
-	// Named is told, before the table is asked, which other processes had turns of the program, if
-	// some are known then. It may be called again. Nil: nobody is told.
+	// Named, if not nil, is called with the other processes that may hold tokens of the
+	// program, if any are known, before the store is called. It may be called more than
+	// once.
 	Named func([]Holder)
 }
 
-// name tells who had turns of the program.
-func (c Claim) name(others []Holder) {
+// reportHolders calls Named, if it is set and there are holders.
+func (c Claim) reportHolders(others []Holder) {
 	if c.Named != nil && len(others) > 0 {
 		c.Named(others)
 	}
 }
 
-// Reserve reserves the tokens of a claim. It fails with fault.BudgetExhausted
-// when the table says that the budget is used up, and with fault.Unavailable when
-// it says nothing before ctx ends, or a node that may hold tokens does not answer;
-// nothing is reserved then.
+// Reserve reserves the tokens of a claim. It fails with fault.BudgetExhausted if the
+// store reports the budget as exhausted. It fails with fault.Unavailable if the store
+// does not answer before ctx ends, or if a process that may hold tokens does not answer.
+// Nothing is reserved if it fails.
 func (b *Book) Reserve(ctx context.Context, claim Claim) (*Reservation, error) {
-	account := b.account(claim.Program)
+	account := b.accountOf(claim.Program)
 	reservation := &Reservation{Tokens: claim.Tokens, account: account}
-	if account.take(claim.Tokens) {
-		reservation.Home, reservation.Others = account.lastHome(), b.others(account)
+	if account.reserve(claim.Tokens) {
+		reservation.Home, reservation.Others = account.cachedWorker(), b.responsiveHolders(account)
 		return reservation, nil
 	}
-	var inquiry inquiry
-	if err := b.draw(ctx, account, claim, &inquiry); err != nil {
-		var spent *fault.Error
-		if errors.As(err, &spent) {
+	var sources tokenSources
+	if err := b.draw(ctx, account, claim, &sources); err != nil {
+		var reported *fault.Error
+		if errors.As(err, &reported) {
 			return nil, err
 		}
-		return nil, fault.Newf(fault.Unavailable, "come back after the time given",
-			"the program's budget cannot be read now: %v", err)
+		return nil, fault.Newf(fault.Unavailable, "retry after the given time",
+			"cannot read the program's budget: %v", err)
 	}
-	defer func() { <-account.turn }()
-	account.learnHolders()
-	reservation.Others = b.others(account)
-	reservation.Home, reservation.Drawn = account.homeOf(), true
-	reservation.Handed, reservation.Located, reservation.Granted = inquiry.handed, inquiry.named, inquiry.granted
+	defer func() { <-account.sharesLock }()
+	account.addHoldersFromRows()
+	reservation.Others = b.responsiveHolders(account)
+	reservation.Home, reservation.Drawn = account.lastKnownWorker(), true
+	reservation.Handed, reservation.Located, reservation.Granted = sources.handedOver, sources.locatorFound, sources.granted
 	return reservation, nil
 }
 
-// Settle ends the reservation: what was not used is free for the program's next
-// turn. home is the worker that ran the turn, empty if none did.
-func (r *Reservation) Settle(used int, home string) {
+// Settle ends the reservation and frees the unused tokens for the program's next turn.
+// worker is the one that ran the turn, empty if none did. Only the first call has an
+// effect.
+func (r *Reservation) Settle(used int, worker string) {
 	r.once.Do(func() {
-		r.account.add(max(0, r.Tokens-used))
-		r.account.setHome(home)
+		r.account.addFree(max(0, r.Tokens-used))
+		r.account.setLastWorker(worker)
 	})
 }
 
-func (b *Book) account(program string) *account {
+func (b *Book) accountOf(program string) *account {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := time.Now()
@@ -177,40 +185,40 @@
 	known, ok := b.accounts[program]
 	if !ok {
 		known = newAccount(program, b.options.Self)
-		known.owned = b.options.Granter != nil
+		known.hasOwnedParts = b.options.Granter != nil
 		b.accounts[program] = known
 	}
-	known.used = now
+	known.lastUsed = now
 	return known
 }
 
-// sweep forgets accounts at rest and processes that were silent, once in a while.
-// What this node still holds of the accounts stays drawn.
+// sweep periodically drops idle accounts and old records of unresponsive processes.
+// Tokens that this node still holds for a dropped account stay drawn.
 func (b *Book) sweep(now time.Time) {
-	if now.Sub(b.swept) < forgetAfter/4 {
+	if now.Sub(b.lastSweep) < accountIdleTimeout/4 {
 		return
 	}
-	b.swept = now
+	b.lastSweep = now
 	for program, account := range b.accounts {
-		if now.Sub(account.used) > forgetAfter {
+		if now.Sub(account.lastUsed) > accountIdleTimeout {
 			delete(b.accounts, program)
 		}
 	}
-	for process, known := range b.silent {
-		if now.Sub(known.until) > forgetAfter {
-			delete(b.silent, process)
+	for process, known := range b.unresponsive {
+		if now.Sub(known.retryAt) > accountIdleTimeout {
+			delete(b.unresponsive, process)
 		}
 	}
 }
 
-// GiveBack returns to the table what this node holds of programs that had a turn
-// lately. A node does so when it stops; one that runs hands over what others ask
-// for. What cannot be given back before ctx ends stays drawn.
+// GiveBack returns to the store the tokens that this node holds for programs with a
+// recent turn. It is called when the node stops. Tokens that cannot be returned before
+// ctx ends stay drawn. The result is the number of tokens returned.
 func (b *Book) GiveBack(ctx context.Context) (returned int) {
 	var mutex sync.Mutex
 	var group errgroup.Group
-	group.SetLimit(giveBackAtOnce)
-	for _, account := range b.recent(time.Now()) {
+	group.SetLimit(giveBackParallelism)
+	for _, account := range b.recentAccounts(time.Now()) {
 		group.Go(func() error {
 			tokens := b.giveBack(ctx, account)
 			mutex.Lock()
@@ -223,32 +231,33 @@
 	return returned
 }
 
-func (b *Book) recent(now time.Time) []*account {
+func (b *Book) recentAccounts(now time.Time) []*account {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var recent []*account
 	for _, account := range b.accounts {
-		if now.Sub(account.used) < giveBackRecent {
+		if now.Sub(account.lastUsed) < giveBackMaxIdle {
 			recent = append(recent, account)
 		}
 	}
 	return recent
 }
 
-// giveBack returns an account's tokens to its shares, as much to each as is drawn
-// there: what counts is the sum over all shares.
+// giveBack returns an account's free tokens to its shares, at most as many to each share
+// as are drawn from it. They need not go back to the share that they came from, as only
+// the sum over all shares matters.
 func (b *Book) giveBack(ctx context.Context, account *account) (returned int) {
 	select {
-	case account.turn <- struct{}{}:
+	case account.sharesLock <- struct{}{}:
 	case <-ctx.Done():
 		return 0
 	}
-	defer func() { <-account.turn }()
-	tokens := account.takeAll()
+	defer func() { <-account.sharesLock }()
+	tokens := account.takeFree()
 	for _, share := range account.shares {
-		found := share.giveBack(ctx, b.options.Store, tokens, account.homeOf())
+		found := share.giveBack(ctx, b.options.Store, tokens, account.lastKnownWorker())
 		returned += found.returned
-		tokens += found.drawn - found.returned - found.doubtful
+		tokens += found.drawn - found.returned - found.returnInDoubt
 	}
 	if returned > 0 && b.options.Locator != nil {
 		b.options.Locator.NoteReturned(ctx, account.program)
--- a/internal/budget/book_test.go
+++ b/internal/budget/book_test.go
@@ -19,68 +19,69 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-func book(table store.Store, process string) *Book {
+func newTestBook(table store.Store, process string) *Book {
 	return NewBook(Options{Store: table, Self: Holder{Process: process, Address: process}})
 }
 
-// cluster is a set of books that can ask each other.
+// cluster is a set of books that can send requests to each other.
 type cluster struct {
 	table store.Store
 	mutex sync.Mutex
 	books map[string]*Book
-	// fate, if not nil, says whether a question arrives and whether its answer does.
-	fate func() (asked, answered bool)
-	asks int
-	// dead nodes say nothing; of those in closed the port is closed.
-	dead   map[string]bool
-	closed map[string]bool
+	// delivery, if not nil, decides whether a request arrives and whether its answer
+	// does.
+	delivery func() (asked, answered bool)
+	requests int
+	// Requests to unreachable nodes time out; those to closed ones are refused.
+	unreachable map[string]bool
+	closed      map[string]bool
 }
 
-// errPortClosed is what a connection to a process that ended fails with.
+// errPortClosed is the connection error of a process that has exited.
 var errPortClosed = errors.New("connection refused")
 
-// kill ends a node and its machine.
-func (c *cluster) kill(process string) {
+// makeUnreachable makes requests to a node time out, as if its machine had failed.
+func (c *cluster) makeUnreachable(process string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.dead[process] = true
+	c.unreachable[process] = true
 }
 
-// closePort ends a node; its machine is there.
+// closePort makes connections to a node fail, as if its process had exited.
 func (c *cluster) closePort(process string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.closed[process] = true
 }
 
-func (c *cluster) setFate(fate func() (asked, answered bool)) {
+func (c *cluster) setDelivery(fate func() (asked, answered bool)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.fate = fate
+	c.delivery = fate
 }
 
 func newCluster(table store.Store) *cluster {
-	return &cluster{table: table, books: map[string]*Book{}, dead: map[string]bool{}, closed: map[string]bool{}}
+	return &cluster{table: table, books: map[string]*Book{}, unreachable: map[string]bool{}, closed: map[string]bool{}}
 }
 
 func (c *cluster) book(process string) *Book {
-	made := NewBook(Options{Store: c.table, Self: Holder{Process: process, Address: process}, Peers: c})
+	book := NewBook(Options{Store: c.table, Self: Holder{Process: process, Address: process}, Peers: c})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.books[process] = made
-	return made
+	c.books[process] = book
+	return book
 }
 
 // HandOver implements Peers.
 func (c *cluster) HandOver(ctx context.Context, address string, request HandOverRequest) (HandOverAnswer, error) {
 	c.mutex.Lock()
 	asked, answered := true, true
-	if c.fate != nil {
-		asked, answered = c.fate()
+	if c.delivery != nil {
+		asked, answered = c.delivery()
 	}
-	c.asks++
+	c.requests++
 	to, closed := c.books[address], c.closed[address]
-	asked = asked && !c.dead[address]
+	asked = asked && !c.unreachable[address]
 	c.mutex.Unlock()
 	if closed {
 		return HandOverAnswer{}, errPortClosed
@@ -96,7 +97,9 @@
 	return answer, nil
 }
 
-func TestBudgetIsHeldAcrossNodes(t *testing.T) {
+// TestBudgetIsEnforcedAcrossNodes guards against nodes that together exceed the budget,
+// and against unused tokens of one node being unavailable to the other.
+func TestBudgetIsEnforcedAcrossNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		books := []*Book{nodes.book("a"), nodes.book("b")}
@@ -112,60 +115,68 @@
 			used += 300
 			time.Sleep(time.Second)
 		}
-		require.Less(t, used, 5000+500, "the budget and the most of one turn")
-		require.Greater(t, used, 5000-500, "what one node holds idle is there for the other")
+		require.Less(t, used, 5000+500, "the budget plus the maximum of one turn")
+		require.Greater(t, used, 5000-500, "unused tokens of one node are available to the other")
 		time.Sleep(time.Minute)
 	})
 }
 
-func TestWholeBudgetFitsOneTurn(t *testing.T) {
+// TestTurnMayReserveTheWholeBudget guards against a turn that fits the budget but no
+// single share.
+func TestTurnMayReserveTheWholeBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := book(storetest.New(), "a")
-		reservation, err := one.Reserve(t.Context(), Claim{Program: "p", Budget: 575, Tokens: 575})
+		book := newTestBook(storetest.New(), "a")
+		reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 575, Tokens: 575})
 		require.NoError(t, err, "a turn may draw from all shares together")
 		reservation.Settle(575, "")
-		_, err = one.Reserve(t.Context(), Claim{Program: "p", Budget: 575, Tokens: 575})
+		_, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 575, Tokens: 575})
 		require.True(t, fault.Is(err, fault.BudgetExhausted))
 		time.Sleep(time.Minute)
 	})
 }
 
-func TestTurnsGoOnWhileAShareIsDown(t *testing.T) {
+// TestReserveSucceedsWhileFirstShareIsDown guards against a turn that waits for an
+// unavailable share.
+func TestReserveSucceedsWhileFirstShareIsDown(t *testing.T) {
 	for _, down := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
-			first := keyOf("p", 0).Part
+			first := rowKey("p", 0).Part
 			table.SetFault(func(part string, _ bool) storetest.Fault {
 				if part == first {
 					return down
 				}
 				return storetest.None
 			})
-			begun := time.Now()
-			_, err := book(table, "a").Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
+			start := time.Now()
+			_, err := newTestBook(table, "a").Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 			require.NoError(t, err)
-			require.Less(t, time.Since(begun), 200*time.Millisecond)
+			require.Less(t, time.Since(start), 200*time.Millisecond)
 		})
 	}
 }
 
-func TestTableDownIsNoWordOnTheBudget(t *testing.T) {
+// TestStoreOutageIsNotBudgetExhausted guards against reporting the budget as exhausted
+// when the store does not answer.
+func TestStoreOutageIsNotBudgetExhausted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
-		one := book(table, "a")
+		book := newTestBook(table, "a")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := one.Reserve(ctx, Claim{Program: "p", Budget: 6000, Tokens: 500})
+		_, err := book.Reserve(ctx, Claim{Program: "p", Budget: 6000, Tokens: 500})
 		require.True(t, fault.Is(err, fault.Unavailable), err)
 		require.Equal(t, fault.RanNo, fault.From(err).Ran)
 		table.SetFault(nil)
-		_, err = one.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
+		_, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 		require.NoError(t, err)
 	})
 }
 
-func TestLostAnswerIsNotDrawnTwice(t *testing.T) {
+// TestLostCommitAnswerIsNotDrawnTwice guards against counting a draw twice when the
+// answer to its commit is lost.
+func TestLostCommitAnswerIsNotDrawnTwice(t *testing.T) {
 	for _, lost := range []storetest.Fault{storetest.Lost, storetest.Applied} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
@@ -176,31 +187,33 @@
 				}
 				return storetest.None
 			})
-			one := book(table, "a")
-			reservation, err := one.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
+			book := newTestBook(table, "a")
+			reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
 			require.NoError(t, err)
 			reservation.Settle(200, "")
 			for range 2 {
-				reservation, err = one.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
+				reservation, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
 				require.NoError(t, err, "the first draw counts once")
 				reservation.Settle(200, "")
 			}
-			_, err = one.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
+			_, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
 			require.True(t, fault.Is(err, fault.BudgetExhausted))
 			time.Sleep(time.Minute)
 		})
 	}
 }
 
-func TestHomeTravelsWithTheAccount(t *testing.T) {
+// TestLastWorkerIsStoredWithTheAccount guards against a second node not finding the
+// worker of the program's newest turn.
+func TestLastWorkerIsStoredWithTheAccount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		one, other := book(table, "a"), book(table, "b")
-		reservation, err := one.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
+		book, other := newTestBook(table, "a"), newTestBook(table, "b")
+		reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 		require.NoError(t, err)
 		reservation.Settle(500, "w7")
 		for range 6 {
-			reservation, err = one.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
+			reservation, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 			require.NoError(t, err)
 			reservation.Settle(500, "w7")
 		}
@@ -211,23 +224,25 @@
 	})
 }
 
-// TestNoInterleavingOverspends runs a few nodes that die, lose answers and find
-// late effects, against the oracle that all turns together generate less than the
-// budget and the most of one turn.
-func TestNoInterleavingOverspends(t *testing.T) {
+// TestNoInterleavingExceedsTheBudget guards against overspending when nodes crash,
+// answers are lost and writes take effect late: all turns together must generate less
+// than the budget plus the maximum of one turn.
+func TestNoInterleavingExceedsTheBudget(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
 		faulty := rapid.IntRange(0, 60).Draw(r, "faults in 100")
 		budget := rapid.IntRange(300, 4000).Draw(r, "budget")
 		var failure error
-		synctest.Test(t, func(t *testing.T) { failure = overspends(t, seed, faulty, budget) })
+		synctest.Test(t, func(t *testing.T) { failure = checkInterleaving(t, seed, faulty, budget) })
 		if failure != nil {
 			r.Fatal(failure)
 		}
 	})
 }
 
-func overspends(t *testing.T, seed uint64, faulty, budget int) error {
+// checkInterleaving runs a random schedule of turns, restarts and faults and fails if more
+// tokens were generated than allowed.
+func checkInterleaving(t *testing.T, seed uint64, faulty, budget int) error {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var mutex sync.Mutex
 	draw := func(below int) int {
@@ -236,16 +251,16 @@
 		return random.IntN(below)
 	}
 	table := storetest.New()
-	var calm atomic.Bool
+	var faultsOff atomic.Bool
 	table.SetFault(func(string, bool) storetest.Fault {
-		if calm.Load() || draw(100) >= faulty {
+		if faultsOff.Load() || draw(100) >= faulty {
 			return storetest.None
 		}
 		return storetest.Fault(draw(int(storetest.Applied) + 1))
 	})
 	books := make([]*Book, 3)
 	nodes := newCluster(table)
-	nodes.fate = func() (asked, answered bool) { return draw(100) >= faulty, draw(100) >= faulty }
+	nodes.delivery = func() (asked, answered bool) { return draw(100) >= faulty, draw(100) >= faulty }
 	restart := func(index int) {
 		if books[index] != nil && draw(2) == 0 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -271,18 +286,18 @@
 			cancel()
 		default:
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
-			most := 50 + draw(300)
-			reservation, err := books[index].Reserve(ctx, Claim{Program: "p", Budget: budget, Tokens: most})
+			maxTokens := 50 + draw(300)
+			reservation, err := books[index].Reserve(ctx, Claim{Program: "p", Budget: budget, Tokens: maxTokens})
 			cancel()
 			if err == nil {
-				used := draw(most + 1)
-				generated, largest = generated+used, max(largest, most)
+				used := draw(maxTokens + 1)
+				generated, largest = generated+used, max(largest, maxTokens)
 				reservation.Settle(used, "w")
 			}
 		}
 		time.Sleep(time.Duration(draw(400)) * time.Millisecond)
 	}
-	calm.Store(true)
+	faultsOff.Store(true)
 	time.Sleep(time.Minute)
 	if generated >= budget+largest {
 		return fmt.Errorf("seed %d: %d tokens of a budget of %d were generated; the largest turn had %d", seed, generated, budget, largest)
@@ -290,9 +305,9 @@
 	return nil
 }
 
-// TestUnusedTokensAreThereForOtherNodes: a turn that was refused unrun at one node
-// is asked for again at another, of a budget that holds little more than it.
-func TestUnusedTokensAreThereForOtherNodes(t *testing.T) {
+// TestUnusedTokensAreAvailableToOtherNodes guards against unused tokens being stuck at
+// one node: a turn that was not run there is retried at another one.
+func TestUnusedTokensAreAvailableToOtherNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		reservation, err := nodes.book("a").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
@@ -303,28 +318,28 @@
 	})
 }
 
-// TestWhatAFailedDrawGotIsNotLost: two of three shares are down for a while. What
-// the node drew from the third for a turn that was refused is there for others.
-func TestWhatAFailedDrawGotIsNotLost(t *testing.T) {
+// TestTokensOfAFailedDrawAreNotLost guards against losing tokens that were drawn from one
+// share for a turn that failed because the other shares were down.
+func TestTokensOfAFailedDrawAreNotLost(t *testing.T) {
 	for _, down := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken, storetest.Late, storetest.Lost} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			nodes := newCluster(table)
 			var all atomic.Bool
-			up := keyOf("p", 1).Part
+			up := rowKey("p", 1).Part
 			table.SetFault(func(part string, _ bool) storetest.Fault {
 				if part == up && !all.Load() {
 					return storetest.None
 				}
 				return down
 			})
-			one := nodes.book("a")
+			book := nodes.book("a")
 			for range 3 {
 				ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
-				_, err := one.Reserve(ctx, Claim{Program: "p", Budget: 900, Tokens: 589})
+				_, err := book.Reserve(ctx, Claim{Program: "p", Budget: 900, Tokens: 589})
 				cancel()
 				require.True(t, fault.Is(err, fault.Unavailable), err)
-				all.Store(true) // from now on all of the table is down
+				all.Store(true) // from now on the whole store is down
 			}
 			table.SetFault(nil)
 			table.Release(func(int) int { return 0 })
@@ -335,16 +350,16 @@
 	}
 }
 
-// TestProgramGoesOnAtAnotherNodeWhileTheTableIsDown: nodes that know of each other
-// need no table for what one of them holds.
-func TestProgramGoesOnAtAnotherNodeWhileTheTableIsDown(t *testing.T) {
+// TestProgramAlternatesBetweenNodesDuringStoreOutage guards against nodes that need the
+// store to use tokens that a known peer holds.
+func TestProgramAlternatesBetweenNodesDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		nodes := newCluster(table)
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
 		a, b := nodes.book("a"), nodes.book("b")
-		for _, one := range []*Book{a, b} {
-			reservation, err := one.Reserve(t.Context(), claim)
+		for _, book := range []*Book{a, b} {
+			reservation, err := book.Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			reservation.Settle(100, "w1")
 		}
@@ -360,14 +375,14 @@
 			ran++
 			reservation.Settle(500, "w1")
 		}
-		require.GreaterOrEqual(t, ran, 4, "five turns were drawn")
+		require.GreaterOrEqual(t, ran, 4, "tokens for five turns were drawn")
 		time.Sleep(time.Minute)
 	})
 }
 
-// TestSecondNodeNeedsNoWrite: a node that meets a program under way reads who holds
-// its tokens, and gets some from there.
-func TestSecondNodeNeedsNoWrite(t *testing.T) {
+// TestSecondNodeReceivesTokensWithoutAWrite guards against needless store writes: a node
+// new to a running program reads the holders from a row and gets tokens from them.
+func TestSecondNodeReceivesTokensWithoutAWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		nodes := newCluster(table)
@@ -390,34 +405,34 @@
 	})
 }
 
-// TestSilentNodeIsNotAskedAgainAtOnce: a node that died costs a turn a moment, and
-// then none for a while.
-func TestSilentNodeIsNotAskedAgainAtOnce(t *testing.T) {
+// TestUnresponsiveNodeIsNotAskedAgainAtOnce guards against every turn waiting for the
+// timeout of a crashed node.
+func TestUnresponsiveNodeIsNotAskedAgainAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
 		_, err := nodes.book("a").Reserve(t.Context(), claim)
 		require.NoError(t, err)
-		nodes.fate = func() (asked, answered bool) { return false, false }
+		nodes.delivery = func() (asked, answered bool) { return false, false }
 		two := nodes.book("b")
-		begun := time.Now()
+		start := time.Now()
 		for range 10 {
 			_, err := two.Reserve(t.Context(), claim)
 			require.NoError(t, err)
 		}
-		require.Equal(t, 1, nodes.asks)
-		require.Less(t, time.Since(begun), 100*time.Millisecond)
+		require.Equal(t, 1, nodes.requests)
+		require.Less(t, time.Since(start), 100*time.Millisecond)
 	})
 }
 
-// TestStoppingNodeGivesBack: what a node held is there after it has stopped, once,
-// whatever becomes of the answers.
-func TestStoppingNodeGivesBack(t *testing.T) {
+// TestStoppingNodeReturnsItsTokens guards against losing tokens, or returning them twice,
+// when a node stops while store calls fail.
+func TestStoppingNodeReturnsItsTokens(t *testing.T) {
 	for _, lost := range []storetest.Fault{storetest.None, storetest.Refused, storetest.Lost, storetest.Broken, storetest.Applied} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
-			one := book(table, "a")
-			reservation, err := one.Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
+			book := newTestBook(table, "a")
+			reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
 			require.NoError(t, err)
 			reservation.Settle(300, "")
 			calls := 0
@@ -425,34 +440,34 @@
 				if calls++; !write || calls%2 == 0 {
 					return storetest.None
 				}
-				return lost // and its repetition arrives
+				return lost // the retry arrives
 			})
-			one.GiveBack(t.Context())
+			book.GiveBack(t.Context())
 			table.SetFault(nil)
-			for next, tokens := range []int{589, 10} { // the first draws one token ahead
-				_, err = book(table, fmt.Sprint("b", next)).Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: tokens})
+			for next, tokens := range []int{589, 10} { // the first one prefetches one token
+				_, err = newTestBook(table, fmt.Sprint("b", next)).Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: tokens})
 				require.NoError(t, err, "fault %d", lost)
 			}
-			_, err = book(table, "c").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 1})
+			_, err = newTestBook(table, "c").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 1})
 			require.True(t, fault.Is(err, fault.BudgetExhausted), "fault %d: %v", lost, err)
 			time.Sleep(time.Minute)
 		})
 	}
 }
 
-// TestContinuingTurnReadsBeforeItWrites: the table limits writes harder than
-// reads, and refuses a write by one who does not know the row.
+// TestContinuingTurnReadsBeforeItWrites guards against a conditional write that is
+// refused because the row is unknown: stores limit writes more strictly than reads.
 func TestContinuingTurnReadsBeforeItWrites(t *testing.T) {
 	for _, continues := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-			_, err := book(table, "a").Reserve(t.Context(), claim)
+			_, err := newTestBook(table, "a").Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			commits, _ := table.Calls()
-			require.Equal(t, 1, commits, "a first turn takes one call")
+			require.Equal(t, 1, commits, "a first turn takes one store call")
 			claim.Continues = continues
-			_, err = book(table, "b").Reserve(t.Context(), claim)
+			_, err = newTestBook(table, "b").Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			commits, reads := table.Calls()
 			require.Equal(t, 3, commits+reads)
@@ -461,9 +476,10 @@
 	}
 }
 
-// TestNodeThatDoesNotKnowTheProgramAsksAround: while the table is down, a program
-// goes on at a node that has never heard of it, but of the node that had it.
-func TestNodeThatDoesNotKnowTheProgramAsksAround(t *testing.T) {
+// TestUnknownProgramIsBroadcastToRecentPeers guards against a program stopping during a
+// store outage because its new node has not served it before, although it has contacted the node
+// that has.
+func TestUnknownProgramIsBroadcastToRecentPeers(t *testing.T) {
 	for _, down := range []storetest.Fault{storetest.Silent, storetest.Refused, storetest.Broken} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
@@ -476,22 +492,22 @@
 				require.NoError(t, err)
 				reservation.Settle(100, "w7")
 			}
-			_, err := b.Reserve(t.Context(), claim) // they meet over another program
+			_, err := b.Reserve(t.Context(), claim) // a and b learn of each other through another program
 			require.NoError(t, err)
 			table.SetFault(func(string, bool) storetest.Fault { return down })
 			claim.Program = "p"
 			ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 			defer cancel()
-			begun := time.Now()
+			start := time.Now()
 			reservation, err := b.Reserve(ctx, claim)
 			require.NoError(t, err)
 			require.Equal(t, "w7", reservation.Home)
 			require.Equal(t, "a", reservation.Others[0].Process)
-			require.Less(t, time.Since(begun), 200*time.Millisecond)
+			require.Less(t, time.Since(start), 200*time.Millisecond)
 
 			claim.Program = "q"
 			for _, kept := range []bool{true, false} {
-				claim.Kept = kept // then its turn would run in vain
+				claim.Kept = kept // a kept turn cannot end without the store
 				ctx, cancel = context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer cancel()
 				_, err = b.Reserve(ctx, claim)
@@ -502,44 +518,45 @@
 	}
 }
 
-// TestAskingAroundIsBounded: a node in trouble does not drown the others.
-func TestAskingAroundIsBounded(t *testing.T) {
+// TestBroadcastRequestsAreRateLimited guards against a node overloading its peers during
+// a store outage.
+func TestBroadcastRequestsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		nodes := newCluster(table)
-		one := nodes.book("one")
+		book := nodes.book("one")
 		for node := range 100 {
-			one.meet(Holder{Process: fmt.Sprint(node), Address: fmt.Sprint(node)})
+			book.addPeers(Holder{Process: fmt.Sprint(node), Address: fmt.Sprint(node)})
 		}
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
 		for turn := range 100 {
 			go func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer cancel()
-				_, _ = one.Reserve(ctx, Claim{Program: fmt.Sprint("p", turn), Budget: 60_000, Tokens: 500})
+				_, _ = book.Reserve(ctx, Claim{Program: fmt.Sprint("p", turn), Budget: 60_000, Tokens: 500})
 			}()
 		}
 		time.Sleep(time.Second)
 		nodes.mutex.Lock()
 		defer nodes.mutex.Unlock()
-		require.Positive(t, nodes.asks)
-		require.LessOrEqual(t, nodes.asks, 2*aroundPerSecond*maxAround)
+		require.Positive(t, nodes.requests)
+		require.LessOrEqual(t, nodes.requests, 2*broadcastsPerSecond*maxBroadcastPeers)
 	})
 }
 
-// TestAnswerThatIsLostIsAskedForAgain: tokens that were handed over and did not
-// arrive come with the next request, once.
-func TestAnswerThatIsLostIsAskedForAgain(t *testing.T) {
+// TestLostHandOverAnswerIsRepeated guards against losing tokens, or receiving them twice,
+// when the answer that transfers them is lost.
+func TestLostHandOverAnswerIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		a, b := nodes.book("a"), nodes.book("b")
 		reservation, err := a.Reserve(t.Context(), Claim{Program: "p", Budget: 589, Tokens: 589})
 		require.NoError(t, err)
 		reservation.Settle(0, "")
-		nodes.fate = func() (asked, answered bool) { return true, false }
+		nodes.delivery = func() (asked, answered bool) { return true, false }
 		_, err = b.Reserve(t.Context(), Claim{Program: "p", Budget: 589, Tokens: 589})
 		require.True(t, fault.Is(err, fault.Unavailable), err)
-		nodes.setFate(nil)
+		nodes.setDelivery(nil)
 		time.Sleep(2 * time.Second)
 		reservation, err = b.Reserve(t.Context(), Claim{Program: "p", Budget: 589, Tokens: 589})
 		require.NoError(t, err, "no turn has run")
@@ -548,6 +565,6 @@
 		require.True(t, fault.Is(err, fault.BudgetExhausted), err)
 		time.Sleep(2 * time.Second)
 		_, err = b.Reserve(t.Context(), Claim{Program: "p", Budget: 589, Tokens: 300})
-		require.NoError(t, err, "all that is left")
+		require.NoError(t, err, "all tokens that are left")
 	})
 }
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -11,47 +11,50 @@
 )
 
 const (
-	// aheadTurns is for how many further turns a node draws at once, so that most
-	// turns need no call and programs under way outlive short outages.
-	aheadTurns = 4
-	// aheadShare of what is left is the most that is drawn ahead: what a node
-	// that dies strands stays small against the budget.
-	aheadShare = 6
-	// spentFor is for how long a budget that was spent is taken to be so.
-	spentFor = time.Second
-	// othersSpentFor is for how long another node's word that the table has refused a
-	// turn counts. Tokens that became free since are at the nodes that had turns of
-	// the program, which are asked first; a node that gives tokens back withdraws it.
-	othersSpentFor = 5 * time.Second
-	// shareWait is how long one share is waited for before the next is tried, or longer if
-	// the table is seen to take more: a share that is only slow says more than the next.
-	shareWait = 130 * time.Millisecond
-	// roundPause is the pause after a round in which no share said enough.
-	roundPause = 50 * time.Millisecond
+	// prefetchTurns is how many further turns a node draws tokens for at once, so that
+	// most turns need no store call and running programs survive short store outages.
+	prefetchTurns = 4
+	// prefetchDivisor limits a prefetch to this fraction of the tokens left, which bounds
+	// the loss when a node crashes.
+	prefetchDivisor = 6
+	// exhaustedTTL is how long the store's report that a budget is exhausted is reused.
+	exhaustedTTL = time.Second
+	// peerExhaustedTTL is how long a refusal that another node received is reused. Tokens
+	// freed since are held by nodes that ran turns of the program, which are asked first.
+	// A node that returns tokens to the store withdraws the refusal.
+	peerExhaustedTTL = 5 * time.Second
+	// shareTimeout is the minimum time to wait for one share before the next is tried. It
+	// is extended if the store is observed to be slower: a slow share is more likely to
+	// answer than the next one.
+	shareTimeout = 130 * time.Millisecond
+	// retryPause is the pause between rounds over all shares.
+	retryPause = 50 * time.Millisecond
 )
 
-// errHolderSilent says that what lacks may be held by a node that does not answer.
-var errHolderSilent = errors.New("a node that may hold the program's tokens does not answer")
+// errHolderUnresponsive means that the missing tokens may be held by a process that does
+// not answer.
+var errHolderUnresponsive = errors.New("a node that may hold the program's tokens does not answer")
 
-// draw gets what this node lacks for a turn, from other nodes or the table, and
-// takes the turn's tokens. If it succeeds, the caller holds the account's turn.
-func (b *Book) draw(ctx context.Context, account *account, claim Claim, inquiry *inquiry) error {
+// draw obtains the tokens that this node lacks for a turn, from other nodes or the store,
+// and reserves them for the turn. If it succeeds, the caller holds account.sharesLock and
+// must release it.
+func (b *Book) draw(ctx context.Context, account *account, claim Claim, sources *tokenSources) error {
 	select {
-	case account.turn <- struct{}{}:
+	case account.sharesLock <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	var throttled store.Backoff
 	for {
-		taken, err := b.drawOnce(ctx, account, claim, inquiry)
-		account.publish()
+		taken, err := b.drawOnce(ctx, account, claim, sources)
+		account.publishRows()
 		if taken {
 			return nil
 		}
-		if err != nil && !final(err) && betweenRounds(ctx, err, &throttled) == nil {
+		if err != nil && !isFinal(err) && waitBeforeRetry(ctx, err, &throttled) == nil {
 			continue
 		}
-		<-account.turn
+		<-account.sharesLock
 		if err == nil {
 			err = ctx.Err()
 		}
@@ -59,168 +62,171 @@
 	}
 }
 
-// betweenRounds pauses before the next round, longer each time that the table takes no more
-// calls. It fails if the turn's time ends before that.
-func betweenRounds(ctx context.Context, err error, throttled *store.Backoff) error {
+// waitBeforeRetry pauses before the next round, with exponential backoff if the store
+// throttles calls. It fails if ctx ends first.
+func waitBeforeRetry(ctx context.Context, err error, throttled *store.Backoff) error {
 	if errors.Is(err, store.ErrThrottled) {
 		return throttled.Wait(ctx)
 	}
-	return wait.For(ctx, roundPause)
+	return wait.For(ctx, retryPause)
 }
 
-// final reports whether another round would say nothing else.
-func final(err error) bool {
-	return fault.Is(err, fault.BudgetExhausted) || errors.Is(err, errHolderSilent) || errors.Is(err, errOwnerSilent)
+// isFinal reports whether retrying cannot change the result.
+func isFinal(err error) bool {
+	return fault.Is(err, fault.BudgetExhausted) || errors.Is(err, errHolderUnresponsive) || errors.Is(err, errOwnerUnresponsive)
 }
 
-// drawOnce asks the nodes that are known to hold tokens, and then each share
-// once, unless the table says that it takes no more calls. A node that has not read the program's rows yet, or cannot, has others
-// named by the locator first. It fails with fault.BudgetExhausted if all shares were read and are used
-// up, and no node handed over what lacks or may still do so.
-func (b *Book) drawOnce(ctx context.Context, account *account, claim Claim, inquiry *inquiry) (taken bool, failure error) {
+// drawOnce makes one round: it asks the known holders and then draws from each share,
+// stopping early if the store throttles calls. If no row was read yet, the budget was
+// reported exhausted before, or a share fails, it also asks the processes that the
+// locator returns. It fails with fault.BudgetExhausted if all shares were read and are
+// exhausted and no other process may still hand over the missing tokens.
+func (b *Book) drawOnce(ctx context.Context, account *account, claim Claim, sources *tokenSources) (taken bool, failure error) {
 	budget, tokens := claim.Budget, claim.Tokens
-	if account.take(tokens) {
+	if account.reserve(tokens) {
 		return true, nil
 	}
-	if tokens > budget { // reaching past the budget is for a turn that it held once
-		return false, spentError(budget, budget, tokens)
+	if tokens > budget { // a budget that never covered the turn is not overdrawn
+		return false, exhaustedError(budget, budget, tokens)
 	}
-	if err := account.stillSpent(budget, tokens); err != nil {
+	if err := account.checkExhausted(budget, tokens); err != nil {
 		return false, err
 	}
-	b.ask(ctx, account, tokens, inquiry)
-	if !account.learnt() || account.wasSpent() {
-		located := b.locate(ctx, account, tokens, inquiry)
-		if account.take(tokens) {
+	b.requestFromHolders(ctx, account, tokens, sources)
+	if !account.anyRowRead() || account.wasExhausted() {
+		located := b.requestFromLocated(ctx, account, tokens, sources)
+		if account.reserve(tokens) {
 			return true, nil
 		}
-		if located.spent(tokens) && !b.mayComeBack(account) {
+		if located.refuses(tokens) && !b.mayRecover(account) {
 			return false, located.refusal(tokens)
 		}
 	}
-	if b.away() && !claim.Kept && b.askOthers(ctx, account, claim, inquiry) {
+	if b.storeUnavailable() && !claim.Kept && b.reserveWithoutStore(ctx, account, claim, sources) {
 		return true, nil
 	}
 	failures := 0
-	claim.name(b.others(account))
-	for _, index := range account.order(budget, account.lacks(tokens)) {
-		limited, cancel := context.WithTimeout(ctx, store.PatienceWith(b.options.Store, shareWait))
-		err := b.drawFrom(limited, account, index, claim, inquiry)
+	claim.reportHolders(b.responsiveHolders(account))
+	for _, index := range account.shareOrder(budget, account.shortfall(tokens)) {
+		limited, cancel := context.WithTimeout(ctx, store.PatienceWith(b.options.Store, shareTimeout))
+		err := b.drawFromShare(limited, account, index, claim, sources)
 		cancel()
-		b.noteShare(err)
+		b.recordShareResult(err)
 		if err != nil {
 			failure = err
-			b.locate(ctx, account, tokens, inquiry)
+			b.requestFromLocated(ctx, account, tokens, sources)
 			if !claim.Kept {
-				b.askAround(ctx, account, tokens, inquiry)
+				b.broadcastRequest(ctx, account, tokens, sources)
 			}
-			if failures++; failures > 1 && !claim.Kept && b.grant(ctx, account, claim, inquiry) {
+			if failures++; failures > 1 && !claim.Kept && b.requestGrant(ctx, account, claim, sources) {
 				return true, nil
 			}
 		}
-		if account.take(tokens) {
+		if account.reserve(tokens) {
 			return true, nil
 		}
 		if ctx.Err() != nil {
 			return false, ctx.Err()
 		}
 		if errors.Is(err, store.ErrThrottled) {
-			break // the other shares lie in the same table
+			break // all shares lie in the same throttled table
 		}
 	}
-	if (failure == nil || !claim.Kept) && b.grant(ctx, account, claim, inquiry) {
+	if (failure == nil || !claim.Kept) && b.requestGrant(ctx, account, claim, sources) {
 		return true, nil
 	}
 	if failure != nil {
 		return false, failure
 	}
-	if b.mayComeBack(account) {
-		return false, errHolderSilent
+	if b.mayRecover(account) {
+		return false, errHolderUnresponsive
 	}
-	if b.ownerSilent(claim, inquiry) {
-		return false, errOwnerSilent
+	if b.ownerUnanswered(claim, sources) {
+		return false, errOwnerUnresponsive
 	}
-	account.noteSpent()
+	account.markExhausted()
 	if b.options.Locator != nil {
 		b.options.Locator.NoteSpent(account.program, tokens)
 	}
-	return false, spentError(account.left(budget), budget, tokens)
+	return false, exhaustedError(account.undrawn(budget), budget, tokens)
 }
 
-// askOthers gets a turn's tokens without the table, which has just not answered: from the nodes
-// that the locator names, those met lately, and the owner.
-func (b *Book) askOthers(ctx context.Context, account *account, claim Claim, inquiry *inquiry) bool {
-	b.locate(ctx, account, claim.Tokens, inquiry)
-	b.askAround(ctx, account, claim.Tokens, inquiry)
-	return account.take(claim.Tokens) || b.grant(ctx, account, claim, inquiry)
+// reserveWithoutStore obtains a turn's tokens while the store is unavailable: from
+// processes that the locator returns, from recent peers and from the owner. It reports
+// whether the turn's tokens are reserved.
+func (b *Book) reserveWithoutStore(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
+	b.requestFromLocated(ctx, account, claim.Tokens, sources)
+	b.broadcastRequest(ctx, account, claim.Tokens, sources)
+	return account.reserve(claim.Tokens) || b.requestGrant(ctx, account, claim, sources)
 }
 
-// drawFrom draws from one share until the turn has its tokens or the share has
-// none. When it learns that other nodes have drawn there, it asks them first. No
-// error means that the share's row is known for certain.
-func (b *Book) drawFrom(ctx context.Context, account *account, index int, claim Claim, inquiry *inquiry) error {
+// drawFromShare draws from one share until the turn has its tokens or the share is
+// exhausted. If it finds that other processes have drawn from the share, it asks them
+// first. A nil error means that the turn has its tokens or that the row is known to be
+// current.
+func (b *Book) drawFromShare(ctx context.Context, account *account, index int, claim Claim, sources *tokenSources) error {
 	budget, tokens := claim.Budget, claim.Tokens
 	share, limit := account.shares[index], account.limit(budget, index)
 	certain := false
 	for {
-		lacking := account.lacks(tokens)
-		if lacking <= 0 {
+		missing := account.shortfall(tokens)
+		if missing <= 0 {
 			return nil
 		}
-		left := share.left(limit)
+		left := share.undrawn(limit)
 		if left == 0 && certain {
 			return nil
 		}
-		if left == 0 || claim.Continues && !share.informed() {
+		if left == 0 || claim.Continues && !share.hasRow() {
 			found, err := share.read(ctx, b.options.Store)
 			if err != nil {
 				return err
 			}
-			account.add(found.drawn)
+			account.addFree(found.drawn)
 			certain = true
-			b.ask(ctx, account, tokens, inquiry)
+			b.requestFromHolders(ctx, account, tokens, sources)
 			continue
 		}
-		wanted := drawPlan(index, left, lacking, ahead(account.unspent(budget)-lacking, tokens))
-		found, done, err := share.commit(ctx, b.options.Store, store.CommitUnlessThrottled, wanted, account.homeOf())
+		wanted := drawSize(index, left, missing, prefetchSize(account.undrawnWithOwnedParts(budget)-missing, tokens))
+		found, done, err := share.commit(ctx, b.options.Store, store.CommitUnlessThrottled, wanted, account.lastKnownWorker())
 		if err != nil {
 			return err
 		}
-		account.add(found.drawn)
-		if done && share.left(limit) == 0 {
+		account.addFree(found.drawn)
+		if done && share.undrawn(limit) == 0 {
 			return nil
 		}
 		certain = !done
 		if !done {
-			b.ask(ctx, account, tokens, inquiry)
+			b.requestFromHolders(ctx, account, tokens, sources)
 		}
 	}
 }
 
-// drawPlan is how many tokens to draw from a share of which so many are left.
+// drawSize returns how many tokens to draw from a share with left tokens.
 //
-// The elastic share gives a turn all that it lacks while the share is not used up,
-// even if that reaches past it: a program whose earlier turn died with its node, and
-// the tokens with it, can go on then. The share is over its part afterwards, so this
-// happens once, and the sum of all shares stays below the budget and the most of
-// one turn. It keeps a token back from what is drawn ahead, so that it is used up
-// by a turn's need only.
-func drawPlan(index, left, lacking, ahead int) int {
-	if index != elasticShare {
-		return min(left, lacking+ahead)
-	}
-	return max(lacking, min(left-1, lacking+ahead))
+// While the overdraft share is not exhausted, it gives a turn all tokens that it lacks,
+// even beyond the share's limit. This lets a program continue after a node crashed with
+// the tokens of its earlier turn. The share is then over its limit, so this happens at
+// most once, and the sum of all draws stays below the budget plus the maximum of one
+// turn. Prefetching always leaves one token in this share, so that only a turn's need can
+// exhaust it.
+func drawSize(index, left, missing, ahead int) int {
+	if index != overdraftShare {
+		return min(left, missing+ahead)
+	}
+	return max(missing, min(left-1, missing+ahead))
 }
 
-// ahead is what is drawn beyond a turn's need.
-func ahead(left, tokens int) int {
-	return max(0, min(aheadTurns*tokens, left/aheadShare))
+// prefetchSize returns how many tokens to draw beyond a turn's need.
+func prefetchSize(left, tokens int) int {
+	return max(0, min(prefetchTurns*tokens, left/prefetchDivisor))
 }
 
-// spentRemedy is what helps a program whose budget is spent.
-const spentRemedy = "raise the program's budget or start a new program"
+// exhaustedRemedy is the remedy given when a program's budget is exhausted.
+const exhaustedRemedy = "raise the program's budget or start a new program"
 
-func spentError(left, budget, tokens int) error {
-	return fault.Newf(fault.BudgetExhausted, spentRemedy,
+func exhaustedError(left, budget, tokens int) error {
+	return fault.Newf(fault.BudgetExhausted, exhaustedRemedy,
 		"%d tokens are left of a budget of %d, and the turn may need %d", left, budget, tokens)
 }
--- a/internal/budget/giveback_test.go
+++ b/internal/budget/giveback_test.go
@@ -13,16 +13,16 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// closingPart is a table of which one part loses the answer to a write that it does,
-// and is taken to be down from then on.
-type closingPart struct {
+// failingPartStore is a store in which one partition applies a write but loses the
+// answer, and refuses all calls after that.
+type failingPartStore struct {
 	store.Store
 	part   string
 	closed atomic.Bool
 }
 
 // Commit implements store.Store.
-func (c *closingPart) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+func (c *failingPartStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	if transaction.Put[0].Key.Part != c.part {
 		return c.Store.Commit(ctx, transaction)
 	}
@@ -34,31 +34,31 @@
 	return 0, ctx.Err()
 }
 
-// TestReturnInDoubtIsNotRepeatedAtAnotherShare: what may have been given back to one
-// share is not given back to the next.
-func TestReturnInDoubtIsNotRepeatedAtAnotherShare(t *testing.T) {
+// TestReturnInDoubtIsNotRepeatedOnAnotherShare guards against returning tokens twice:
+// what may have been returned to one share must not be returned to the next.
+func TestReturnInDoubtIsNotRepeatedOnAnotherShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := &closingPart{Store: storetest.New(), part: keyOf("p", 1).Part}
+		table := &failingPartStore{Store: storetest.New(), part: rowKey("p", 1).Part}
 		table.closed.Store(true)
-		one := book(table.Store, "a")
-		reservation, err := one.Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
+		book := newTestBook(table.Store, "a")
+		reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
 		require.NoError(t, err)
 		reservation.Settle(300, "")
-		one.options.Store = table
+		book.options.Store = table
 		table.closed.Store(false)
-		one.GiveBack(t.Context())
-		require.GreaterOrEqual(t, drawnOf(t, table.Store, "p"), 300, "what was used stays drawn")
+		book.GiveBack(t.Context())
+		require.GreaterOrEqual(t, totalDrawn(t, table.Store, "p"), 300, "used tokens stay drawn")
 		time.Sleep(time.Minute)
 	})
 }
 
-// drawnOf is how much of a program's budget is drawn, over all shares.
-func drawnOf(t *testing.T, table store.Store, program string) (drawn int) {
-	for index := range shares {
-		share := &share{key: keyOf(program, index)}
+// totalDrawn returns how many tokens of a program's budget are drawn, over all shares.
+func totalDrawn(t *testing.T, table store.Store, program string) (drawn int) {
+	for index := range shareCount {
+		share := &share{key: rowKey(program, index)}
 		_, err := share.read(t.Context(), table)
 		require.NoError(t, err)
-		drawn += share.known.Drawn
+		drawn += share.row.Drawn
 	}
 	return drawn
 }
--- a/internal/budget/golden_test.go
+++ b/internal/budget/golden_test.go
@@ -12,13 +12,14 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// goldenRow is an account as builds have written it that are in use.
+// goldenRow is the account row in goldenFile, which an earlier build wrote.
 var goldenRow = row{Drawn: 700, Holders: map[string]holding{"p1": {Sequence: 9, Address: "10.0.0.1:7380"}}, Newest: "p1", Home: "i-1@1700000000000"}
 
 const goldenFile = "testdata/account-1.row"
 
-// TestRowsOfBuildsInUseAreRead: nodes of two builds run side by side, and rows outlast both.
-func TestRowsOfBuildsInUseAreRead(t *testing.T) {
+// TestRowsOfEarlierBuildsAreDecoded guards against incompatible changes of the row
+// format: nodes of two builds run side by side during an upgrade, and rows outlive both.
+func TestRowsOfEarlierBuildsAreDecoded(t *testing.T) {
 	value, err := os.ReadFile(goldenFile)
 	require.NoError(t, err)
 	read, err := decode(store.Row{Value: value, Version: 1})
@@ -26,13 +27,15 @@
 	require.Equal(t, goldenRow, read)
 }
 
-// goldenAnswer is what a node hands over, with rows that it knows, as builds have written it that are in use.
+// goldenAnswer is the answer in goldenAnswerFile, which an earlier build encoded, with
+// rows included.
 var goldenAnswer = HandOverAnswer{Tokens: 5, Home: "w1", Others: []Holder{{Process: "p2", Address: "10.0.0.2:7380"}}, Rows: []KnownRow{{Share: 1, Version: 12, Row: goldenRow}, {Share: 2}}}
 
 const goldenAnswerFile = "testdata/hand-over-answer-2.gob"
 
-// TestRowsThatNodesOfBuildsInUseTellAreRead, and a build that does not know them reads the rest.
-func TestRowsThatNodesOfBuildsInUseTellAreRead(t *testing.T) {
+// TestHandOverAnswersOfEarlierBuildsAreDecoded guards against incompatible changes of the
+// message format. A build without the Rows field must decode the rest.
+func TestHandOverAnswersOfEarlierBuildsAreDecoded(t *testing.T) {
 	value, err := os.ReadFile(goldenAnswerFile)
 	require.NoError(t, err)
 	var read HandOverAnswer
@@ -48,8 +51,8 @@
 	require.Equal(t, goldenAnswer.Others, earlier.Others)
 }
 
-// TestRowsOfALaterBuildAreRead: it may have added a field.
-func TestRowsOfALaterBuildAreRead(t *testing.T) {
+// TestRowsOfLaterBuildsAreDecoded guards against decoding that fails on added fields.
+func TestRowsOfLaterBuildsAreDecoded(t *testing.T) {
 	type laterHolding struct {
 		holding
 		Sequence uint64
--- a/internal/budget/grant_test.go
+++ b/internal/budget/grant_test.go
@@ -12,91 +12,96 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// owner grants one part of each program's budget.
-type owner struct {
-	silent bool
-	lost   bool // answers do not arrive
-	slow   time.Duration
-	taken  map[string]Holder
-	number map[string]uint64
-	asks   int
+// fakeOwner grants one part of each program's budget.
+type fakeOwner struct {
+	unresponsive bool
+	loseAnswers  bool // grants take effect, but answers are lost
+	delay        time.Duration
+	takers       map[string]Holder
+	numbers      map[string]uint64
+	requests     int
 }
 
-func newOwner() *owner { return &owner{taken: map[string]Holder{}, number: map[string]uint64{}} }
+func newFakeOwner() *fakeOwner {
+	return &fakeOwner{takers: map[string]Holder{}, numbers: map[string]uint64{}}
+}
 
-// askingOwner is an owner as a process asks it.
-type askingOwner struct {
-	*owner
+// ownerClient is a process's connection to a fakeOwner.
+type ownerClient struct {
+	*fakeOwner
 	self Holder
 }
 
 // Grant implements Granter.
-func (g askingOwner) Grant(_ context.Context, program string, tokens int, number uint64) (Grant, bool) {
-	g.asks++
-	time.Sleep(g.slow)
-	if g.silent {
+func (g ownerClient) Grant(_ context.Context, program string, tokens int, number uint64) (Grant, bool) {
+	g.requests++
+	time.Sleep(g.delay)
+	if g.unresponsive {
 		return Grant{}, false
 	}
-	taker, taken := g.taken[program]
-	if taken && (taker != g.self || g.number[program] != number) {
-		return Grant{Taker: taker}, !g.lost
+	taker, taken := g.takers[program]
+	if taken && (taker != g.self || g.numbers[program] != number) {
+		return Grant{Taker: taker}, !g.loseAnswers
 	}
-	g.taken[program], g.number[program] = g.self, number
-	return Grant{Tokens: tokens}, !g.lost
+	g.takers[program], g.numbers[program] = g.self, number
+	return Grant{Tokens: tokens}, !g.loseAnswers
 }
 
-// ownedBook is a book of a cluster whose programs have an owner.
-func ownedBook(nodes *cluster, process string, owner *owner) *Book {
-	made := nodes.book(process)
-	made.options.Granter = askingOwner{owner, made.options.Self}
-	return made
+// newOwnedBook returns a book of the cluster that requests grants from owner.
+func newOwnedBook(nodes *cluster, process string, owner *fakeOwner) *Book {
+	book := nodes.book(process)
+	book.options.Granter = ownerClient{owner, book.options.Self}
+	return book
 }
 
-// large is a claim on a budget that owners have parts of.
-var large = Claim{Program: "p", Budget: 4800, Tokens: 600}
+// largeClaim is for a budget with owned parts.
+var largeClaim = Claim{Program: "p", Budget: 4800, Tokens: 600}
 
-func TestProgramBeginsWhileTheTableIsAway(t *testing.T) {
-	for _, away := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken} {
+// TestProgramStartsDuringStoreOutage guards against programs that cannot start, or
+// start slowly, while the store is unavailable.
+func TestProgramStartsDuringStoreOutage(t *testing.T) {
+	for _, outage := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
-			nodes, owner := newCluster(table), newOwner()
-			table.SetFault(func(string, bool) storetest.Fault { return away })
+			nodes, owner := newCluster(table), newFakeOwner()
+			table.SetFault(func(string, bool) storetest.Fault { return outage })
 			ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 			defer cancel()
-			a := ownedBook(nodes, "a", owner)
-			reservation, err := a.Reserve(ctx, large)
+			a := newOwnedBook(nodes, "a", owner)
+			reservation, err := a.Reserve(ctx, largeClaim)
 			require.NoError(t, err)
 			require.True(t, reservation.Granted)
-			begun := time.Now()
-			claim := large
+			start := time.Now()
+			claim := largeClaim
 			claim.Program = "q"
 			_, err = a.Reserve(ctx, claim)
 			require.NoError(t, err)
-			require.Less(t, time.Since(begun), 50*time.Millisecond, "the table is known to be away")
+			require.Less(t, time.Since(start), 50*time.Millisecond, "the store is known to be unavailable")
 			time.Sleep(time.Minute)
 		})
 	}
 }
 
-// TestKeptTurnIsNotGranted: it could not end without the table.
+// TestKeptTurnIsNotGranted guards against starting a turn that cannot end without the
+// store.
 func TestKeptTurnIsNotGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		nodes, owner := newCluster(table), newOwner()
+		nodes, owner := newCluster(table), newFakeOwner()
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
 		ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 		defer cancel()
-		claim := large
+		claim := largeClaim
 		claim.Kept = true
-		_, err := ownedBook(nodes, "a", owner).Reserve(ctx, claim)
+		_, err := newOwnedBook(nodes, "a", owner).Reserve(ctx, claim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
-		require.Zero(t, owner.asks)
+		require.Zero(t, owner.requests)
 		time.Sleep(time.Minute)
 	})
 }
 
-// spend runs turns that use all their tokens until one is refused.
-func spend(t *testing.T, b *Book, claim Claim) (used int, refusal error) {
+// spendAll runs turns that use all their tokens until one is refused.
+func spendAll(t *testing.T, b *Book, claim Claim) (used int, refusal error) {
 	for {
 		reservation, err := b.Reserve(t.Context(), claim)
 		if err != nil {
@@ -107,107 +112,112 @@
 	}
 }
 
-// TestOwnersPartIsTheLastOfABudget: on calm days it is there once the rows are used up, and the
-// parts of further owners are not.
-func TestOwnersPartIsTheLastOfABudget(t *testing.T) {
+// TestOwnedPartIsGrantedOnceRowsAreExhausted guards against an owned part that is
+// unusable while the store is available, and against using the parts of further owners.
+func TestOwnedPartIsGrantedOnceRowsAreExhausted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		used, err := spend(t, ownedBook(newCluster(storetest.New()), "a", newOwner()), large)
+		used, err := spendAll(t, newOwnedBook(newCluster(storetest.New()), "a", newFakeOwner()), largeClaim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted), err)
-		part := ownedPart(large.Budget)
-		require.Greater(t, used, large.Budget-OwnedParts*part+part-large.Tokens)
-		require.Less(t, used, large.Budget-OwnedParts*part+part+large.Tokens)
+		part := ownedPart(largeClaim.Budget)
+		require.Greater(t, used, largeClaim.Budget-OwnedParts*part+part-largeClaim.Tokens)
+		require.Less(t, used, largeClaim.Budget-OwnedParts*part+part+largeClaim.Tokens)
 		time.Sleep(time.Minute)
 	})
 }
 
-// TestSilentOwnerIsNoWordOnTheBudget: its part may be there a moment later.
-func TestSilentOwnerIsNoWordOnTheBudget(t *testing.T) {
+// TestUnresponsiveOwnerIsNotBudgetExhausted guards against reporting the budget as
+// exhausted while an owner may still grant its part.
+func TestUnresponsiveOwnerIsNotBudgetExhausted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := newOwner()
-		owner.silent = true
-		a := ownedBook(newCluster(storetest.New()), "a", owner)
-		_, err := spend(t, a, large)
+		owner := newFakeOwner()
+		owner.unresponsive = true
+		a := newOwnedBook(newCluster(storetest.New()), "a", owner)
+		_, err := spendAll(t, a, largeClaim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
-		owner.silent = false
-		_, err = a.Reserve(t.Context(), large)
+		owner.unresponsive = false
+		_, err = a.Reserve(t.Context(), largeClaim)
 		require.NoError(t, err)
 		time.Sleep(time.Minute)
 	})
 }
 
-// TestLostGrantIsAskedForAgain: by the same number, so that it brings the same tokens.
-func TestLostGrantIsAskedForAgain(t *testing.T) {
+// TestLostGrantIsRequestedAgain guards against losing a grant, or receiving it twice,
+// when its answer is lost.
+func TestLostGrantIsRequestedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := newOwner()
-		owner.lost = true
-		a := ownedBook(newCluster(storetest.New()), "a", owner)
-		_, err := spend(t, a, large)
+		owner := newFakeOwner()
+		owner.loseAnswers = true
+		a := newOwnedBook(newCluster(storetest.New()), "a", owner)
+		_, err := spendAll(t, a, largeClaim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
-		owner.lost = false
-		used, _ := spend(t, a, large)
-		require.Equal(t, ownedPart(large.Budget)/large.Tokens*large.Tokens, used, "one part, and once")
+		owner.loseAnswers = false
+		used, _ := spendAll(t, a, largeClaim)
+		require.Equal(t, ownedPart(largeClaim.Budget)/largeClaim.Tokens*largeClaim.Tokens, used, "one part, granted once")
 		time.Sleep(time.Minute)
 	})
 }
 
-// TestGrantIsHandedOver: whoever is refused hears who got the part, and asks there.
+// TestGrantIsHandedOver guards against granted tokens being stuck at one node: the owner
+// refers other nodes to it.
 func TestGrantIsHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		nodes, owner := newCluster(table), newOwner()
-		a, b := ownedBook(nodes, "a", owner), ownedBook(nodes, "b", owner)
+		nodes, owner := newCluster(table), newFakeOwner()
+		a, b := newOwnedBook(nodes, "a", owner), newOwnedBook(nodes, "b", owner)
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
-		reservation, err := a.Reserve(t.Context(), large)
+		reservation, err := a.Reserve(t.Context(), largeClaim)
 		require.NoError(t, err)
 		reservation.Settle(100, "")
-		moved, err := b.Reserve(t.Context(), large)
+		moved, err := b.Reserve(t.Context(), largeClaim)
 		require.NoError(t, err)
 		require.True(t, moved.Handed)
 		time.Sleep(time.Minute)
 	})
 }
 
-// TestLateGrantIsNotLost: the turn that wanted it has given up, and the next one comes through
-// another node.
+// TestLateGrantIsNotLost guards against losing a grant that arrives after its turn gave
+// up, when the next turn comes through another node.
 func TestLateGrantIsNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		nodes, owner := newCluster(table), newOwner()
-		a, b := ownedBook(nodes, "a", owner), ownedBook(nodes, "b", owner)
+		nodes, owner := newCluster(table), newFakeOwner()
+		a, b := newOwnedBook(nodes, "a", owner), newOwnedBook(nodes, "b", owner)
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
-		owner.slow = 300 * time.Millisecond
+		owner.delay = 300 * time.Millisecond
 		ctx, cancel := context.WithTimeout(t.Context(), 250*time.Millisecond)
 		defer cancel()
-		_, err := a.Reserve(ctx, large)
+		_, err := a.Reserve(ctx, largeClaim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		owner.slow = 0
-		moved, err := b.Reserve(t.Context(), large)
+		owner.delay = 0
+		moved, err := b.Reserve(t.Context(), largeClaim)
 		require.NoError(t, err)
 		require.True(t, moved.Handed)
 		time.Sleep(time.Minute)
 	})
 }
 
-// TestSmallBudgetsAreWhole: their rows hold all of them, and no owner is asked.
-func TestSmallBudgetsAreWhole(t *testing.T) {
+// TestSmallBudgetsHaveNoOwnedParts guards against withholding part of a small budget from
+// its rows.
+func TestSmallBudgetsHaveNoOwnedParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		owner := newOwner()
-		claim := Claim{Program: "p", Budget: ownedFrom - 1, Tokens: 200}
-		used, err := spend(t, ownedBook(newCluster(storetest.New()), "a", owner), claim)
+		owner := newFakeOwner()
+		claim := Claim{Program: "p", Budget: minOwnedBudget - 1, Tokens: 200}
+		used, err := spendAll(t, newOwnedBook(newCluster(storetest.New()), "a", owner), claim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted), err)
 		require.GreaterOrEqual(t, used, claim.Budget-claim.Tokens)
-		require.Zero(t, owner.asks)
+		require.Zero(t, owner.requests)
 		time.Sleep(time.Minute)
 	})
 }
 
-// TestFirstTurnTakesOneCall: also of a budget that holds few.
-func TestFirstTurnTakesOneCall(t *testing.T) {
+// TestFirstTurnTakesOneStoreCall guards against a first row that is too small for a first
+// turn, here of a budget just above minOwnedBudget.
+func TestFirstTurnTakesOneStoreCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		_, err := ownedBook(newCluster(table), "a", newOwner()).Reserve(t.Context(), Claim{Program: "p", Budget: 1296, Tokens: 288})
+		_, err := newOwnedBook(newCluster(table), "a", newFakeOwner()).Reserve(t.Context(), Claim{Program: "p", Budget: 1296, Tokens: 288})
 		require.NoError(t, err)
 		commits, reads := table.Calls()
 		require.Equal(t, 1, commits+reads)
@@ -215,14 +225,15 @@
 	})
 }
 
-// TestPartsAndRowsAreTheBudget: whatever its size.
-func TestPartsAndRowsAreTheBudget(t *testing.T) {
-	opened := newAccount("p", Holder{})
-	opened.owned = true
-	for budget := range 3 * ownedFrom {
+// TestOwnedPartsAndRowsAddUpToTheBudget guards against rounding that loses or adds
+// tokens.
+func TestOwnedPartsAndRowsAddUpToTheBudget(t *testing.T) {
+	account := newAccount("p", Holder{})
+	account.hasOwnedParts = true
+	for budget := range 3 * minOwnedBudget {
 		total := OwnedParts * ownedPart(budget)
-		for index := range shares {
-			total += opened.limit(budget, index)
+		for index := range shareCount {
+			total += account.limit(budget, index)
 		}
 		require.Equal(t, budget, total)
 	}
--- a/internal/budget/hint.go
+++ b/internal/budget/hint.go
@@ -6,106 +6,110 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// KnownRow is a row of a program's account as a process last knew it. It spares another process
-// the reading of the row, and decides nothing: what that draws is conditional on the row's version,
-// and a budget is spent by the table's own word alone.
+// KnownRow is a process's view of a row of a program's account. It is only a hint that
+// saves the receiver a read: draws are conditional on the row's version, and a budget
+// counts as exhausted only once the store has confirmed it.
 type KnownRow struct {
-	Share   int // which of the account's rows
+	Share   int // index of the share
 	Version store.Version
 	Row     row
 }
 
-// hint takes over what another process knows of the row, if that is newer. Transactions of unknown
-// effect are told by the table's row alone.
-func (s *share) hint(told KnownRow) {
-	if len(s.unsure) > 0 || s.informed() && told.Version <= s.version {
+// applyHint takes over another process's view of the row if it is newer. Transactions in
+// doubt can only be resolved by a row from the store, so the hint is ignored while there
+// are any.
+func (s *share) applyHint(hint KnownRow) {
+	if len(s.inDoubt) > 0 || s.hasRow() && hint.Version <= s.version {
 		return
 	}
-	s.known, s.version, s.hinted = told.Row, told.Version, true
+	s.row, s.version, s.hinted = hint.Row, hint.Version, true
 }
 
-// informed reports whether anything is known of the row.
-func (s *share) informed() bool { return s.seen || s.hinted }
+// hasRow reports whether the row's content is known from the store or a hint.
+func (s *share) hasRow() bool { return s.confirmed || s.hinted }
 
-// publish shows other processes what is known of the rows. The caller holds the turn.
-func (a *account) publish() {
-	a.takeHints()
+// publishRows updates the view of the rows that is sent to other processes. The caller
+// holds sharesLock.
+func (a *account) publishRows() {
+	a.applyHints()
 	var rows []KnownRow
 	for index, share := range a.shares {
-		if share.informed() {
-			rows = append(rows, KnownRow{Share: index, Version: share.version, Row: share.known})
+		if share.hasRow() {
+			rows = append(rows, KnownRow{Share: index, Version: share.version, Row: share.row})
 		}
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.rows = rows
+	a.publishedRows = rows
 }
 
-// noteTold keeps what another process knows of the rows, until the turn's holder takes it over.
-func (a *account) noteTold(rows []KnownRow) {
+// addHints stores rows from another process until applyHints is called.
+func (a *account) addHints(rows []KnownRow) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.told = append(a.told, rows...)
+	a.pendingHints = append(a.pendingHints, rows...)
 }
 
-// versions are those of the rows as this process knows them or was told; 0: unknown, or no row.
-func (a *account) versions() []store.Version {
+// knownVersions returns, by share, the newest version of the row that this process has cached;
+// 0: unknown, or no row.
+func (a *account) knownVersions() []store.Version {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	versions := make([]store.Version, shares)
-	for _, known := range slices.Concat(a.rows, a.told) {
-		if known.Share >= 0 && known.Share < shares {
+	versions := make([]store.Version, shareCount)
+	for _, known := range slices.Concat(a.publishedRows, a.pendingHints) {
+		if known.Share >= 0 && known.Share < shareCount {
 			versions[known.Share] = max(versions[known.Share], known.Version)
 		}
 	}
 	return versions
 }
 
-// newer are the rows that an asker does not know, or in an older version.
-func newer(rows []KnownRow, known []store.Version) (told []KnownRow) {
+// newerRows returns the rows that are newer than the versions that the requester has.
+func newerRows(rows []KnownRow, known []store.Version) (newer []KnownRow) {
 	for _, row := range rows {
 		if row.Share >= len(known) || row.Version > known[row.Share] || row.Version == 0 {
-			told = append(told, row)
+			newer = append(newer, row)
 		}
 	}
-	return told
+	return newer
 }
 
-// takeHints takes over what other processes have told. The caller holds the turn.
-func (a *account) takeHints() {
+// applyHints applies the stored hints to the shares. The caller holds sharesLock.
+func (a *account) applyHints() {
 	a.mutex.Lock()
-	told := a.told
-	a.told = nil
+	hints := a.pendingHints
+	a.pendingHints = nil
 	a.mutex.Unlock()
-	for _, known := range told {
-		if known.Share >= 0 && known.Share < shares {
-			a.shares[known.Share].hint(known)
+	for _, known := range hints {
+		if known.Share >= 0 && known.Share < shareCount {
+			a.shares[known.Share].applyHint(known)
 		}
 	}
 }
 
-// order is the order in which a turn that lacks tokens draws from the shares: first those of which
-// it is known that some are left, last those that are known to be used up, to which only a node that
-// stops gives tokens back. The elastic share comes after the others, as in drawOrder, except for
-// used up ones where it holds more than lacks. The caller holds the turn.
-func (a *account) order(budget, lacking int) []int {
-	a.takeHints()
-	var known, unknown, used []int
+// shareOrder returns the order in which to draw from the shares: shares known to have
+// tokens, then unknown ones, then those known to be exhausted, as only a stopping node
+// returns tokens to them. The overdraft share comes last, as in drawOrder, but goes
+// before the exhausted ones if it holds more tokens than are missing. The caller holds
+// sharesLock.
+func (a *account) shareOrder(budget, missing int) []int {
+	a.applyHints()
+	var known, unknown, exhausted []int
 	for _, index := range drawOrder[:len(drawOrder)-1] {
 		share := a.shares[index]
 		switch {
-		case !share.informed():
+		case !share.hasRow():
 			unknown = append(unknown, index)
-		case share.left(a.limit(budget, index)) > 0:
+		case share.undrawn(a.limit(budget, index)) > 0:
 			known = append(known, index)
 		default:
-			used = append(used, index)
+			exhausted = append(exhausted, index)
 		}
 	}
 	order := append(known, unknown...)
-	elastic := a.shares[elasticShare]
-	if elastic.informed() && elastic.left(a.limit(budget, elasticShare)) > lacking {
-		return append(append(order, elasticShare), used...)
+	overdraft := a.shares[overdraftShare]
+	if overdraft.hasRow() && overdraft.undrawn(a.limit(budget, overdraftShare)) > missing {
+		return append(append(order, overdraftShare), exhausted...)
 	}
-	return append(append(order, used...), elasticShare)
+	return append(append(order, exhausted...), overdraftShare)
 }
--- a/internal/budget/hint_test.go
+++ b/internal/budget/hint_test.go
@@ -13,17 +13,18 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// TestRowsThatAnotherNodeKnowsAreNotRead: what it tells beside its tokens is enough to draw the rest.
-func TestRowsThatAnotherNodeKnowsAreNotRead(t *testing.T) {
+// TestHintedRowsAreNotReadFromTheStore guards against needless reads: the rows in a
+// HandOverAnswer are enough to draw the missing tokens.
+func TestHintedRowsAreNotReadFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, _ := locatingBooks(table, 3)
+		books, _ := newLocatedBooks(table, 3)
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
 		reservation, err := books[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		reservation.Settle(500, "w1")
 		claim.Continues = true
-		for index, tokens := range []int{3500, 15_000} { // more than the nodes before hold
+		for index, tokens := range []int{3500, 15_000} { // more than the earlier nodes hold
 			book := books[1+index]
 			claim.Tokens = tokens
 			reservation, err = book.Reserve(t.Context(), claim)
@@ -32,106 +33,114 @@
 			reservation.Settle(claim.Tokens, "w1")
 		}
 		commits, reads := table.Calls()
-		require.Equal(t, 3, commits, "each has drawn")
+		require.Equal(t, 3, commits, "each node has drawn once")
 		require.Zero(t, reads)
 	})
 }
 
-// TestOldHintCostsACall: the draw is refused, and learns the row as it is.
-func TestOldHintCostsACall(t *testing.T) {
+// TestStaleHintIsCorrectedByTheCommit guards against drawing by an outdated row, and
+// against more than one extra call: the refused commit returns the current row.
+func TestStaleHintIsCorrectedByTheCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-		first := book(table, "a")
+		first := newTestBook(table, "a")
 		_, err := first.Reserve(t.Context(), claim)
 		require.NoError(t, err)
-		old := first.account("p").rows
+		stale := first.accountOf("p").publishedRows
 		claim.Tokens = 5000
 		_, err = first.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		before, _ := table.Calls()
 
-		second := book(table, "b")
-		second.account("p").noteTold(old)
+		second := newTestBook(table, "b")
+		second.accountOf("p").addHints(stale)
 		claim.Continues = true
 		_, err = second.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		commits, reads := table.Calls()
 		require.Equal(t, before+2, commits)
 		require.Zero(t, reads)
-		drawn := drawnOf(t, table, "p")
-		require.Equal(t, drawn, 500+5000+5000+first.account("p").free+second.account("p").free, "each token is drawn once")
+		drawn := totalDrawn(t, table, "p")
+		require.Equal(t, drawn, 500+5000+5000+first.accountOf("p").free+second.accountOf("p").free, "each token is drawn once")
 	})
 }
 
-// usedUp are rows of a later version than the table has, of which nothing is left.
-func usedUp() (rows []KnownRow) {
-	for index := range shares {
+// exhaustedRows returns exhausted rows of a later version than the store has.
+func exhaustedRows() (rows []KnownRow) {
+	for index := range shareCount {
 		rows = append(rows, KnownRow{Share: index, Version: 1 << 40, Row: row{Drawn: 1 << 30}})
 	}
 	return rows
 }
 
-// TestHintIsNoWordThatABudgetIsSpent: only the table's own is.
-func TestHintIsNoWordThatABudgetIsSpent(t *testing.T) {
+// TestHintDoesNotProveTheBudgetExhausted guards against refusing a turn without the
+// store's confirmation.
+func TestHintDoesNotProveTheBudgetExhausted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		claim := Claim{Program: "p", Budget: 9000, Tokens: 500, Continues: true}
-		misled := book(table, "a")
-		misled.account("p").noteTold(usedUp())
-		_, err := misled.Reserve(t.Context(), claim)
+		hinted := newTestBook(table, "a")
+		hinted.accountOf("p").addHints(exhaustedRows())
+		_, err := hinted.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
-		misled = book(table, "b")
-		misled.account("p").noteTold(usedUp())
+		hinted = newTestBook(table, "b")
+		hinted.accountOf("p").addHints(exhaustedRows())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = misled.Reserve(ctx, claim)
+		_, err = hinted.Reserve(ctx, claim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
 	})
 }
 
-// TestHintSaysNothingOfTransactionsInDoubt, which are told by the table's row.
-func TestHintSaysNothingOfTransactionsInDoubt(t *testing.T) {
-	doubtful := &share{unsure: []change{{sequence: 1, tokens: 5}}}
-	doubtful.hint(KnownRow{Version: 9, Row: row{Drawn: 7}})
-	require.False(t, doubtful.informed())
-
-	known := &share{seen: true, version: 9, known: row{Drawn: 7}}
-	known.hint(KnownRow{Version: 8, Row: row{Drawn: 3}})
-	require.Equal(t, 7, known.known.Drawn, "an older row")
-	known.hint(KnownRow{Version: 10, Row: row{Drawn: 8}})
-	require.Equal(t, 8, known.known.Drawn)
+// TestHintDoesNotResolveTransactionsInDoubt guards against a hint replacing a row that is
+// needed to resolve transactions in doubt, or a newer row.
+func TestHintDoesNotResolveTransactionsInDoubt(t *testing.T) {
+	inDoubt := &share{inDoubt: []change{{sequence: 1, tokens: 5}}}
+	inDoubt.applyHint(KnownRow{Version: 9, Row: row{Drawn: 7}})
+	require.False(t, inDoubt.hasRow())
+
+	known := &share{confirmed: true, version: 9, row: row{Drawn: 7}}
+	known.applyHint(KnownRow{Version: 8, Row: row{Drawn: 3}})
+	require.Equal(t, 7, known.row.Drawn, "an older row is ignored")
+	known.applyHint(KnownRow{Version: 10, Row: row{Drawn: 8}})
+	require.Equal(t, 8, known.row.Drawn)
 	require.EqualValues(t, 10, known.version)
 }
 
-func TestNewerRowsAreTold(t *testing.T) {
+// TestOnlyNewerRowsAreSent guards against sending rows that the requester has, and
+// against leaving out those that it does not.
+func TestOnlyNewerRowsAreSent(t *testing.T) {
 	rows := []KnownRow{{Share: 0, Version: 5}, {Share: 1, Version: 7}, {Share: 2}}
-	require.Equal(t, rows, newer(rows, nil), "a build that does not say what it knows")
-	require.Equal(t, []KnownRow{rows[1], rows[2]}, newer(rows, []store.Version{5, 6, 0}), "that there is no row, too")
+	require.Equal(t, rows, newerRows(rows, nil), "a build that does not send its versions")
+	require.Equal(t, []KnownRow{rows[1], rows[2]}, newerRows(rows, []store.Version{5, 6, 0}), "the absence of a row is sent, too")
 }
 
-func TestSharesThatAreKnownToHaveTokensComeFirst(t *testing.T) {
+// TestSharesKnownToHaveTokensComeFirst guards against store calls for shares that are
+// known to be exhausted.
+func TestSharesKnownToHaveTokensComeFirst(t *testing.T) {
 	const budget = 900
 	unknown := func() *account { return newAccount("p", Holder{Process: "a"}) }
-	require.Equal(t, drawOrder[:], unknown().order(budget, 10))
+	require.Equal(t, drawOrder[:], unknown().shareOrder(budget, 10))
 
 	a := unknown()
-	a.noteTold([]KnownRow{{Share: 2, Version: 3, Row: row{Drawn: 10}}})
-	require.Equal(t, []int{2, 1, elasticShare}, a.order(budget, 10))
+	a.addHints([]KnownRow{{Share: 2, Version: 3, Row: row{Drawn: 10}}})
+	require.Equal(t, []int{2, 1, overdraftShare}, a.shareOrder(budget, 10))
 
 	a = unknown()
-	a.noteTold([]KnownRow{{Share: 1, Version: 3, Row: row{Drawn: 300}}, {Share: elasticShare, Version: 4, Row: row{Drawn: 200}}})
-	require.Equal(t, []int{2, elasticShare, 1}, a.order(budget, 99), "the used up one is read only before the budget is taken to be spent")
-	require.Equal(t, []int{2, 1, elasticShare}, a.order(budget, 100), "the elastic share is not reached past while others may have tokens")
+	a.addHints([]KnownRow{{Share: 1, Version: 3, Row: row{Drawn: 300}}, {Share: overdraftShare, Version: 4, Row: row{Drawn: 200}}})
+	require.Equal(t, []int{2, overdraftShare, 1}, a.shareOrder(budget, 99), "the exhausted share comes last, as it is read only to confirm that the budget is exhausted")
+	require.Equal(t, []int{2, 1, overdraftShare}, a.shareOrder(budget, 100), "the overdraft share is not overdrawn while others may have tokens")
 }
 
-// TestNodesAreNamedBeforeTheTableIsAsked: what else they know need not wait for it.
-func TestNodesAreNamedBeforeTheTableIsAsked(t *testing.T) {
+// TestHoldersAreReportedBeforeTheStoreIsCalled guards against delaying other requests to
+// the holders until the store answers.
+func TestHoldersAreReportedBeforeTheStoreIsCalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, _ := locatingBooks(table, 2)
+		books, _ := newLocatedBooks(table, 2)
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
 		_, err := books[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
--- a/internal/budget/latency_test.go
+++ b/internal/budget/latency_test.go
@@ -13,32 +13,34 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// distantPeers are peers whose answers take a while.
-type distantPeers struct {
+// delayedPeers delays each request.
+type delayedPeers struct {
 	Peers
-	takes time.Duration
+	delay time.Duration
 }
 
 // HandOver implements Peers.
-func (d distantPeers) HandOver(ctx context.Context, address string, request HandOverRequest) (HandOverAnswer, error) {
-	if err := wait.For(ctx, d.takes); err != nil {
+func (d delayedPeers) HandOver(ctx context.Context, address string, request HandOverRequest) (HandOverAnswer, error) {
+	if err := wait.For(ctx, d.delay); err != nil {
 		return HandOverAnswer{}, err
 	}
 	return d.Peers.HandOver(ctx, address, request)
 }
 
-// distantBook is a book whose peers are that far, and seen to be so.
-func (c *cluster) distantBook(process string, takes time.Duration) *Book {
+// delayedBook returns a book whose peers answer after delay and whose request timeout is
+// adapted to that.
+func (c *cluster) delayedBook(process string, delay time.Duration) *Book {
 	return NewBook(Options{
-		Store: c.table, Self: Holder{Process: process, Address: process}, Peers: distantPeers{c, takes},
-		Patience: func(_ string, least, most time.Duration) time.Duration { return min(max(takes+takes/4, least), most) },
+		Store: c.table, Self: Holder{Process: process, Address: process}, Peers: delayedPeers{c, delay},
+		Patience: func(_ string, least, most time.Duration) time.Duration { return min(max(delay+delay/4, least), most) },
 	})
 }
 
-// TestTokensComeFromNodesAtAnyDistance that is usual.
-func TestTokensComeFromNodesAtAnyDistance(t *testing.T) {
-	for _, takes := range []time.Duration{time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
-		t.Run(fmt.Sprint(takes), func(t *testing.T) {
+// TestTokensAreHandedOverAtAnyUsualLatency guards against request timeouts shorter than
+// the latency between regions.
+func TestTokensAreHandedOverAtAnyUsualLatency(t *testing.T) {
+	for _, delay := range []time.Duration{time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
+		t.Run(fmt.Sprint(delay), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				nodes := newCluster(storetest.New())
 				claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
@@ -46,7 +48,7 @@
 				require.NoError(t, err)
 				reservation.Settle(0, "")
 				claim.Continues = true
-				reservation, err = nodes.distantBook("b", takes).Reserve(t.Context(), claim)
+				reservation, err = nodes.delayedBook("b", delay).Reserve(t.Context(), claim)
 				require.NoError(t, err)
 				require.True(t, reservation.Handed)
 			})
@@ -54,15 +56,16 @@
 	}
 }
 
-// TestTurnThatEndsEarlySaysNothingOfTheNodeItAsked: that one is asked again at once.
-func TestTurnThatEndsEarlySaysNothingOfTheNodeItAsked(t *testing.T) {
+// TestCancelledTurnDoesNotMarkPeerUnresponsive guards against a cancelled turn keeping
+// later turns from asking the same process.
+func TestCancelledTurnDoesNotMarkPeerUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
 		reservation, err := nodes.book("a").Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		reservation.Settle(0, "")
-		two := nodes.distantBook("b", 100*time.Millisecond)
+		two := nodes.delayedBook("b", 100*time.Millisecond)
 		claim.Continues = true
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
--- a/internal/budget/locate_test.go
+++ b/internal/budget/locate_test.go
@@ -13,54 +13,56 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// locating is a locator that knows which processes asked for a program before.
-type locating struct {
-	asked   map[string][]Holder
-	self    Holder
-	asks    *int
-	spent   map[string]int
-	spentAt map[string]time.Time
+// fakeLocator records which processes asked for a program.
+type fakeLocator struct {
+	askers    map[string][]Holder
+	self      Holder
+	calls     *int
+	refused   map[string]int
+	refusedAt map[string]time.Time
 }
 
 // Locate implements Locator.
-func (l locating) Locate(_ context.Context, program string) (located Located) {
-	*l.asks++
-	for _, holder := range l.asked[program] {
+func (l fakeLocator) Locate(_ context.Context, program string) (located Located) {
+	*l.calls++
+	for _, holder := range l.askers[program] {
 		if holder != l.self {
 			located.Holders = append([]Holder{holder}, located.Holders...)
 		}
 	}
-	l.asked[program] = append(l.asked[program], l.self)
-	located.Spent, located.SpentAgo = l.spent[program], time.Since(l.spentAt[program])
+	l.askers[program] = append(l.askers[program], l.self)
+	located.Spent, located.SpentAgo = l.refused[program], time.Since(l.refusedAt[program])
 	return located
 }
 
 // NoteSpent implements Locator.
-func (l locating) NoteSpent(program string, tokens int) {
-	l.spent[program], l.spentAt[program] = tokens, time.Now()
+func (l fakeLocator) NoteSpent(program string, tokens int) {
+	l.refused[program], l.refusedAt[program] = tokens, time.Now()
 }
 
 // NoteReturned implements Locator.
-func (l locating) NoteReturned(_ context.Context, program string) { delete(l.spent, program) }
+func (l fakeLocator) NoteReturned(_ context.Context, program string) { delete(l.refused, program) }
 
-// locatingBooks are books that share a directory and do not know of each other.
-func locatingBooks(table *storetest.Table, count int) (books []*Book, asks *int) {
+// newLocatedBooks returns books that share a locator and have not seen each other.
+func newLocatedBooks(table *storetest.Table, count int) (books []*Book, calls *int) {
 	nodes := newCluster(table)
-	asks = new(int)
-	shared := locating{asked: map[string][]Holder{}, asks: asks, spent: map[string]int{}, spentAt: map[string]time.Time{}}
+	calls = new(int)
+	shared := fakeLocator{askers: map[string][]Holder{}, calls: calls, refused: map[string]int{}, refusedAt: map[string]time.Time{}}
 	for index := range count {
-		made := nodes.book(fmt.Sprint("n", index))
-		shared.self = made.options.Self
-		made.options.Locator = shared
-		books = append(books, made)
+		book := nodes.book(fmt.Sprint("n", index))
+		shared.self = book.options.Self
+		book.options.Locator = shared
+		books = append(books, book)
 	}
-	return books, asks
+	return books, calls
 }
 
-func TestProgramMovesToANewNodeWithoutTheTable(t *testing.T) {
+// TestProgramMovesToANewNodeDuringStoreOutage guards against a new node that needs the
+// store to find the tokens of a running program.
+func TestProgramMovesToANewNodeDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, _ := locatingBooks(table, 4)
+		books, _ := newLocatedBooks(table, 4)
 		claim := Claim{Program: "p", Budget: 12000, Tokens: 500}
 		reservation, err := books[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
@@ -70,7 +72,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			reservation, err = book.Reserve(ctx, claim)
 			cancel()
-			require.NoError(t, err, "no node has met another before")
+			require.NoError(t, err, "no node has seen another before")
 			require.True(t, reservation.Handed)
 			require.True(t, reservation.Located)
 			require.Equal(t, "w1", reservation.Home)
@@ -79,38 +81,44 @@
 	})
 }
 
-func TestMoveOfAProgramCallsTheTableOnce(t *testing.T) {
+// TestMovingAProgramCallsTheStoreOnce guards against store calls by each node that a
+// program moves to.
+func TestMovingAProgramCallsTheStoreOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, asks := locatingBooks(table, 4)
+		books, calls := newLocatedBooks(table, 4)
 		for _, book := range books {
 			reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 12000, Tokens: 500})
 			require.NoError(t, err)
 			reservation.Settle(100, "w1")
 		}
 		commits, reads := table.Calls()
-		require.Equal(t, 1, commits, "the first node's")
+		require.Equal(t, 1, commits, "only the first node draws")
 		require.Zero(t, reads)
-		require.Equal(t, 4, *asks)
+		require.Equal(t, 4, *calls)
 	})
 }
 
-func TestLocatorIsNotAskedByANodeThatHasRead(t *testing.T) {
+// TestLocatorIsNotAskedOnceRowsWereRead guards against a call to the locator for every
+// draw.
+func TestLocatorIsNotAskedOnceRowsWereRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		books, asks := locatingBooks(storetest.New(), 1)
+		books, calls := newLocatedBooks(storetest.New(), 1)
 		for range 8 {
 			reservation, err := books[0].Reserve(t.Context(), Claim{Program: "p", Budget: 12000, Tokens: 500})
 			require.NoError(t, err)
 			reservation.Settle(500, "w1")
 		}
-		require.Equal(t, 1, *asks)
+		require.Equal(t, 1, *calls)
 	})
 }
 
-func TestSpentBudgetIsReadByOneNode(t *testing.T) {
+// TestReportedExhaustionIsNotReadAgain guards against each node calling the
+// store for a budget that is known to be exhausted.
+func TestReportedExhaustionIsNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, _ := locatingBooks(table, 6)
+		books, _ := newLocatedBooks(table, 6)
 		claim := Claim{Program: "p", Budget: 600, Tokens: 600}
 		reservation, err := books[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
@@ -124,18 +132,20 @@
 			require.Equal(t, fault.RanNo, fault.From(err).Ran)
 		}
 		commitsAfter, readsAfter := table.Calls()
-		require.Equal(t, []int{commits, reads}, []int{commitsAfter, readsAfter}, "the others repeat the table's word of a moment ago")
-		time.Sleep(othersSpentFor)
+		require.Equal(t, []int{commits, reads}, []int{commitsAfter, readsAfter}, "the other nodes reuse the refusal")
+		time.Sleep(peerExhaustedTTL)
 		_, err = books[5].Reserve(t.Context(), claim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted))
 		commitsLater, readsLater := table.Calls()
-		require.Greater(t, commitsLater+readsLater, commitsAfter+readsAfter, "an older word is not repeated")
+		require.Greater(t, commitsLater+readsLater, commitsAfter+readsAfter, "an older refusal is not reused")
 	})
 }
 
-func TestSmallerTurnThanTheRefusedOneIsTried(t *testing.T) {
+// TestTurnSmallerThanTheRefusedOneIsTried guards against refusing a turn that the
+// remaining tokens may cover.
+func TestTurnSmallerThanTheRefusedOneIsTried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		books, _ := locatingBooks(storetest.New(), 2)
+		books, _ := newLocatedBooks(storetest.New(), 2)
 		books[0].options.Locator.NoteSpent("p", 600)
 		reservation, err := books[1].Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 300})
 		require.NoError(t, err)
@@ -143,18 +153,20 @@
 	})
 }
 
+// TestReturnedTokensWithdrawTheRefusal guards against reusing a refusal after tokens
+// were returned to the store.
 func TestReturnedTokensWithdrawTheRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		books, _ := locatingBooks(storetest.New(), 3)
+		books, _ := newLocatedBooks(storetest.New(), 3)
 		claim := Claim{Program: "p", Budget: 600, Tokens: 600}
 		reservation, err := books[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		_, err = books[1].Reserve(t.Context(), claim)
-		require.True(t, fault.Is(err, fault.BudgetExhausted), "all is reserved")
+		require.True(t, fault.Is(err, fault.BudgetExhausted), "all tokens are reserved")
 		reservation.Settle(0, "")
 		require.Equal(t, 600, books[0].GiveBack(t.Context()))
 		reservation, err = books[2].Reserve(t.Context(), claim)
-		require.NoError(t, err, "the refusal of a moment ago no longer holds")
+		require.NoError(t, err, "the refusal has been withdrawn")
 		reservation.Settle(600, "w1")
 	})
 }
--- a/internal/budget/owned.go
+++ b/internal/budget/owned.go
@@ -8,147 +8,151 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Of a large budget the rows hold only a part. The rest is granted from memory, by the owners of
-// the program's directory slot: one part by each, and by no more of them than there are parts. So
-// programs begin and go on while the table is away, and whatever owners and nodes die, rows and
-// grants together stay below the budget and the most of one turn.
+// For a large budget the rows hold only a part. The rest is granted from memory by the
+// owners of the program's directory slot: each owner grants one part, and at most
+// OwnedParts owners grant any. Programs can therefore start and continue during a store
+// outage. Whichever owners and nodes crash, rows and grants together stay below the
+// budget plus the maximum of one turn.
 
 const (
-	// OwnedParts is how many owners, one after the other, may grant of a program's budget. With
-	// two, programs may still begin in an outage that follows the loss of all nodes; each
-	// further one would take more out of the rows, where it is there for everybody.
+	// OwnedParts is how many successive owners may each grant a part of a program's
+	// budget. With two, programs can still start during a store outage that follows the
+	// loss of all nodes. Each further part would reduce what the rows hold for all nodes.
 	OwnedParts = 2
-	// ownedShare: a part is that much of a budget. It should hold the most of a turn: half of
-	// all programs were seen with budgets of 4.5 to 6.2 times that, a quarter with less. The
-	// rows keep half, and 95 in 100 programs use at most 43% of their budget.
-	ownedShare = 4
-	// ownedFrom is the least budget, in tokens, of which owners have parts: those of a smaller
-	// one would not hold a turn of 288 tokens, the smallest that agents' turns were seen to ask
-	// for. It is a matter of the budget alone: all turns of a program must agree on what the
-	// rows hold, also where their sizes differ.
-	ownedFrom = 1200
-	// awayFailures calls for shares in a row, and none answered since, make a node believe that
-	// the table is away; awayFor is for how long after the last of them.
-	awayFailures = 2
-	awayFor      = time.Second
-	// grantWait is how long a turn waits for an owner before it tries the rows again, and grantTries
-	// how often an owner is asked that does not answer.
-	grantWait  = 200 * time.Millisecond
-	grantTries = 3
+	// ownedDivisor sets the size of a part as a fraction of the budget. A part should
+	// cover the maximum of one turn, and the rows keep half of the budget.
+	ownedDivisor = 4
+	// minOwnedBudget is the smallest budget, in tokens, that has owned parts. The parts
+	// of a smaller one would not cover a typical small turn. It depends on the budget
+	// alone, not on the size of a turn, because all turns of a program must agree on what
+	// the rows hold.
+	minOwnedBudget = 1200
+	// The store is considered unavailable after unavailableFailures consecutive failed
+	// calls for shares, until unavailableFor after the last of them.
+	unavailableFailures = 2
+	unavailableFor      = time.Second
+	// grantTimeout is how long a turn waits for an owner before it tries the rows again.
+	// grantAttempts is how often a request is sent to an owner that does not answer.
+	grantTimeout  = 200 * time.Millisecond
+	grantAttempts = 3
 )
 
-// errOwnerSilent says that what lacks may be granted by an owner that does not answer.
-var errOwnerSilent = errors.New("the owner of a part of the program's budget does not answer")
+// errOwnerUnresponsive means that the missing tokens may be granted by an owner that does
+// not answer.
+var errOwnerUnresponsive = errors.New("the owner of a part of the program's budget does not answer")
 
-// ownedPart is what one owner may grant of a budget.
+// ownedPart returns how many tokens one owner may grant of a budget.
 func ownedPart(budget int) int {
-	if budget < ownedFrom {
+	if budget < minOwnedBudget {
 		return 0
 	}
-	return budget / ownedShare
+	return budget / ownedDivisor
 }
 
-// Granter asks owners for what they may grant of a budget.
+// Granter requests grants from directory owners.
 type Granter interface {
-	// Grant asks the owner of a program's slot for its part of the budget. A request that got no
-	// answer is repeated by the same number, and brings the same tokens. ok is false if nobody
-	// answered.
-	// It bounds its own time.
+	// Grant requests tokens from the owner of a program's directory slot. A request that
+	// got no answer is repeated with the same number and then returns the same tokens. ok
+	// is false if no owner answered. Grant bounds its own time.
 	Grant(ctx context.Context, program string, tokens int, number uint64) (grant Grant, ok bool)
 }
 
-// Grant is an owner's answer.
+// Grant is an owner's answer to a request for tokens.
 type Grant struct {
-	Tokens int    // the asker's from now on; 0: none
-	Taker  Holder // who got them before; without a process nobody did
+	Tokens int    // transferred to the requesting process; 0: none
+	Taker  Holder // process that received the owner's part before; Process is empty if none did
 }
 
-// rowTenths is how what the rows hold of a budget with owned parts is divided over them: so that
-// the first of them mostly holds a program's first turn, which is one call to the table then.
-// While that row's part of the table is down, the elastic one still gives a whole turn.
-var rowTenths = [shares]int{elasticShare: 1, 1: 6, 2: 3}
+// rowTenths is how the rows' part of a budget with owned parts is divided over them, in
+// tenths. The first row usually covers a program's first turn, so that this takes one
+// store call. While that row is unavailable, the overdraft share can still cover a whole
+// turn.
+var rowTenths = [shareCount]int{overdraftShare: 1, 1: 6, 2: 3}
 
-// limit is how much of a budget a row holds. All rows together hold what owners do not.
+// limit returns how many tokens of a budget a row holds. All rows together hold what is
+// not reserved for owners.
 func (a *account) limit(budget, index int) int {
 	part := ownedPart(budget)
-	if !a.owned || part == 0 {
-		return limitOf(budget, index)
+	if !a.hasOwnedParts || part == 0 {
+		return evenShareLimit(budget, index)
 	}
 	rows := budget - OwnedParts*part
-	if index == elasticShare {
+	if index == overdraftShare {
 		return rows - rows*rowTenths[1]/10 - rows*rowTenths[2]/10
 	}
 	return rows * rowTenths[index] / 10
 }
 
-// unspent is what is left of the rows, and what owners have of the budget. What is drawn ahead is a
-// share of that, not of the rows alone, or programs would come back to the table sooner than those
-// whose rows hold all. The caller holds the turn.
-func (a *account) unspent(budget int) int {
-	left := a.left(budget)
-	if a.owned {
+// undrawnWithOwnedParts returns what is left in the rows plus the owned parts.
+// Prefetching is sized by this sum; with the rows alone, programs with owned parts would
+// call the store more often. The caller holds sharesLock.
+func (a *account) undrawnWithOwnedParts(budget int) int {
+	left := a.undrawn(budget)
+	if a.hasOwnedParts {
 		left += OwnedParts * ownedPart(budget)
 	}
 	return left
 }
 
-// granting is a request to an owner under way. Its answer is there once done is closed.
-type granting struct {
+// grantCall is a running request to an owner. The other fields may be read once done is
+// closed.
+type grantCall struct {
 	done   chan struct{}
 	answer Grant
 	ok     bool
 }
 
-// grant asks the owner for its part of the budget, once in an inquiry. It reports whether the turn
-// has its tokens then. The caller holds the account's turn.
-func (b *Book) grant(ctx context.Context, account *account, claim Claim, inquiry *inquiry) bool {
+// requestGrant asks the owner for its part of the budget, unless the owner has already
+// answered this turn. It reports whether the turn's tokens are reserved. The caller holds
+// account.sharesLock.
+func (b *Book) requestGrant(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
 	part := ownedPart(claim.Budget)
-	if b.options.Granter == nil || part == 0 || inquiry.owner || account.lacks(claim.Tokens) <= 0 {
+	if b.options.Granter == nil || part == 0 || sources.ownerAnswered || account.shortfall(claim.Tokens) <= 0 {
 		return false
 	}
 	call := b.startGrant(account, part)
-	timer := time.NewTimer(grantWait)
+	timer := time.NewTimer(grantTimeout)
 	defer timer.Stop()
 	select {
 	case <-call.done:
 	case <-timer.C:
-		return account.take(claim.Tokens)
+		return account.reserve(claim.Tokens)
 	case <-ctx.Done():
 		return false
 	}
 	if !call.ok {
 		return false
 	}
-	inquiry.owner = true
-	inquiry.granted = inquiry.granted || call.answer.Tokens > 0
+	sources.ownerAnswered = true
+	sources.granted = sources.granted || call.answer.Tokens > 0
 	if call.answer.Taker.Process != "" {
-		account.noteHolders(call.answer.Taker)
-		b.ask(ctx, account, claim.Tokens, inquiry)
+		account.addHolders(call.answer.Taker)
+		b.requestFromHolders(ctx, account, claim.Tokens, sources)
 	}
-	return account.take(claim.Tokens)
+	return account.reserve(claim.Tokens)
 }
 
-// startGrant returns the account's request to the owner, a new one if none is under way. It goes on
-// when the turn that wants it has given up: tokens that arrive later are there for the next turn,
-// and for other nodes, which hear from the owner who has them.
-func (b *Book) startGrant(account *account, part int) *granting {
+// startGrant returns the account's running request to the owner, or starts one. The
+// request continues if the turn gives up. Its tokens are then available to the next turn,
+// and to other nodes, which the owner refers to this process.
+func (b *Book) startGrant(account *account, part int) *grantCall {
 	account.mutex.Lock()
 	defer account.mutex.Unlock()
-	if account.granting != nil {
-		return account.granting
+	if account.grantInFlight != nil {
+		return account.grantInFlight
 	}
 	if account.grantNumber == 0 {
-		account.grantNumber = b.asks.Add(1)
+		account.grantNumber = b.lastRequestNumber.Add(1)
 	}
-	call := &granting{done: make(chan struct{})}
-	account.granting = call
+	call := &grantCall{done: make(chan struct{})}
+	account.grantInFlight = call
 	go b.runGrant(account, call, part, account.grantNumber)
 	return call
 }
 
-// runGrant asks until the owner answers, a few times.
-func (b *Book) runGrant(account *account, call *granting, part int, number uint64) {
-	for range grantTries {
+// runGrant sends the request up to grantAttempts times, until the owner answers.
+func (b *Book) runGrant(account *account, call *grantCall, part int, number uint64) {
+	for range grantAttempts {
 		call.answer, call.ok = b.options.Granter.Grant(context.Background(), account.program, part, number)
 		if call.ok {
 			break
@@ -156,7 +160,7 @@
 	}
 	account.mutex.Lock()
 	defer account.mutex.Unlock()
-	account.granting = nil
+	account.grantInFlight = nil
 	if call.ok {
 		account.grantNumber = 0
 		account.free += call.answer.Tokens
@@ -164,29 +168,31 @@
 	close(call.done)
 }
 
-// ownerSilent reports whether an owner may have tokens for the program and was not heard.
-func (b *Book) ownerSilent(claim Claim, inquiry *inquiry) bool {
-	return b.options.Granter != nil && ownedPart(claim.Budget) > 0 && !inquiry.owner
+// ownerUnanswered reports whether an owner may grant tokens to the program but has not
+// answered.
+func (b *Book) ownerUnanswered(claim Claim, sources *tokenSources) bool {
+	return b.options.Granter != nil && ownedPart(claim.Budget) > 0 && !sources.ownerAnswered
 }
 
-// noteShare notes whether a share's row answered. That the table takes no more calls is an
-// answer, too.
-func (b *Book) noteShare(err error) {
+// recordShareResult records whether a call for a share was answered. Throttling counts as
+// an answer.
+func (b *Book) recordShareResult(err error) {
 	if err == nil || errors.Is(err, store.ErrThrottled) {
-		b.failures.Store(0)
+		b.shareFailures.Store(0)
 		return
 	}
-	b.failures.Add(1)
-	b.failed.Store(time.Now().UnixNano())
+	b.shareFailures.Add(1)
+	b.lastShareFailure.Store(time.Now().UnixNano())
 }
 
-// suspicious is a Store that knows whether its last calls have failed.
-type suspicious interface{ Suspect() bool }
+// suspectReporter is a store that reports whether its recent calls failed.
+type suspectReporter interface{ Suspect() bool }
 
-// away reports whether the table has just not answered, whatever was asked for.
-func (b *Book) away() bool {
-	if table, ok := b.options.Store.(suspicious); ok && table.Suspect() {
+// storeUnavailable reports whether recent calls to the store, for any program, went
+// unanswered.
+func (b *Book) storeUnavailable() bool {
+	if table, ok := b.options.Store.(suspectReporter); ok && table.Suspect() {
 		return true
 	}
-	return b.failures.Load() >= awayFailures && time.Since(time.Unix(0, b.failed.Load())) < awayFor
+	return b.shareFailures.Load() >= unavailableFailures && time.Since(time.Unix(0, b.lastShareFailure.Load())) < unavailableFor
 }
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -14,289 +14,291 @@
 
 // Holder is a process that may hold tokens of a program.
 type Holder struct {
-	Process string // unique to it; whoever names it has read the table
-	Address string // where it answers other nodes
+	Process string // unique name; a requester can only have it from the store or a peer
+	Address string // address for requests from other nodes
 }
 
-// Zone is where the process runs; empty if its name does not tell.
+// Zone returns the zone that the process runs in, empty if its name does not include one.
 func (h Holder) Zone() string { return locality.ZoneOf(h.Process) }
 
 // HandOverRequest asks a process for tokens that it holds and does not use.
 type HandOverRequest struct {
-	Process string // that is asked; another one at its address hands nothing over
+	Process string // addressee; another process at its address answers without tokens
 	Program string
 	Tokens  int
 	From    Holder
-	// Number tells this request from all others of the asker. One that got no
-	// answer is asked again by the same number, and brings the same tokens.
+	// Number identifies the request among those of the requester. A request that got no
+	// answer is repeated with the same number and then returns the same tokens.
 	Number uint64
-	// Known are the versions of the program's rows that the asker knows: it is told newer ones.
+	// Known holds the versions of the program's rows that the requester has, by share.
+	// The answer includes newer rows.
 	Known []store.Version
 }
 
-// HandOverAnswer brings tokens. They are the asker's from now on. If the answer
-// does not arrive, they wait for the request to be repeated; if either process
-// dies first they are lost to the program: too little is spent then, never too much.
+// HandOverAnswer transfers tokens to the requester. If the answer is lost, the tokens are
+// kept for the repeated request. If either process crashes first, they are lost to the
+// program, which can then spend less than its budget but never more.
 type HandOverAnswer struct {
 	Tokens int
-	Home   string   // worker of the program's newest turn at the process asked; empty if unknown
-	Others []Holder // processes that got tokens from this one
-	// Rows are what the process knows better of the program's rows, if it gave less than was asked for.
+	Home   string   // worker of the program's newest turn as known to the answering process; empty if unknown
+	Others []Holder // processes that received tokens from the answering process
+	// Rows holds newer versions of the program's rows. It is set only if fewer tokens
+	// were handed over than requested.
 	Rows []KnownRow
 }
 
-// Peers asks other nodes.
+// Peers sends requests to other processes.
 type Peers interface {
 	HandOver(ctx context.Context, address string, request HandOverRequest) (HandOverAnswer, error)
 }
 
 const (
-	// Another node is waited for as long as answers from its place are seen to take, from
-	// askWait to longestAskWait. One that did not answer is not asked again for silentFor.
-	askWait        = 40 * time.Millisecond
-	longestAskWait = 200 * time.Millisecond
-	silentFor      = time.Second
-	// forgetSilence is after how long without a word the tokens of a silent node are
-	// given up.
-	forgetSilence = 4 * time.Second
-	// maxAsked bounds how many nodes a turn asks, and maxHolders how many an
-	// account remembers.
-	maxAsked   = 4
-	maxHolders = 8
-	// maxNodes is how many processes a node remembers to have met, and maxAround
-	// how many of them it asks at once when the table is out of reach.
-	maxNodes  = 32
-	maxAround = 16
-	// aroundPerSecond bounds how often it does so.
-	aroundPerSecond = 10
+	// The timeout of a request follows the latency observed to the process, from
+	// minRequestTimeout to maxRequestTimeout. A process that did not answer is not asked
+	// again for unresponsiveBackoff.
+	minRequestTimeout   = 40 * time.Millisecond
+	maxRequestTimeout   = 200 * time.Millisecond
+	unresponsiveBackoff = time.Second
+	// unresponsiveGrace is how long a process may be unresponsive before the tokens that
+	// it holds are considered lost.
+	unresponsiveGrace = 4 * time.Second
+	// maxRequestsPerTurn bounds how many processes a turn asks, and maxHolders how many
+	// holders an account remembers.
+	maxRequestsPerTurn = 4
+	maxHolders         = 8
+	// maxRecentPeers is how many recently seen processes a node remembers, and
+	// maxBroadcastPeers how many of them a broadcast request goes to.
+	maxRecentPeers    = 32
+	maxBroadcastPeers = 16
+	// broadcastsPerSecond limits the rate of broadcast requests.
+	broadcastsPerSecond = 10
 )
 
-// inquiry is one turn's asking around.
-type inquiry struct {
-	asked   []string // processes
-	handed  bool     // tokens came of it
-	located bool     // the locator was asked
-	named   bool     // and named processes
-	around  bool     // all nodes met lately were asked
-	owner   bool     // the owner has answered
-	granted bool     // and granted tokens
+// tokenSources records which sources a turn has already tried and what they returned.
+type tokenSources struct {
+	askedProcesses []string // processes that were sent a request
+	handedOver     bool     // some process handed tokens over
+	locatorAsked   bool
+	locatorFound   bool // the locator returned processes
+	broadcastDone  bool // recent peers were asked
+	ownerAnswered  bool
+	granted        bool // the owner granted tokens
 }
 
-// ask asks the nodes that may hold tokens of the program, the newest first, until
-// the turn has its own. The caller holds the account's turn.
-func (b *Book) ask(ctx context.Context, account *account, tokens int, inquiry *inquiry) {
+// requestFromHolders asks the processes that may hold tokens of the program, one after
+// the other, until the turn has enough. The caller holds account.sharesLock.
+func (b *Book) requestFromHolders(ctx context.Context, account *account, tokens int, sources *tokenSources) {
 	if b.options.Peers == nil {
 		return
 	}
-	account.learnHolders()
-	b.meet(account.known()...)
-	for len(inquiry.asked) < maxAsked && ctx.Err() == nil {
-		lacking := account.lacks(tokens)
-		holder, found := b.nextHolder(account, inquiry)
-		if lacking <= 0 || !found {
+	account.addHoldersFromRows()
+	b.addPeers(account.knownHolders()...)
+	for len(sources.askedProcesses) < maxRequestsPerTurn && ctx.Err() == nil {
+		missing := account.shortfall(tokens)
+		holder, found := b.nextHolder(account, sources)
+		if missing <= 0 || !found {
 			return
 		}
-		inquiry.asked = append(inquiry.asked, holder.Process)
-		if b.askOne(ctx, account, holder, lacking) {
-			inquiry.handed = true
+		sources.askedProcesses = append(sources.askedProcesses, holder.Process)
+		if b.requestFrom(ctx, account, holder, missing) {
+			sources.handedOver = true
 		}
 	}
 }
 
-// locate asks the nodes that the locator names, once in an inquiry.
-func (b *Book) locate(ctx context.Context, account *account, tokens int, inquiry *inquiry) (located Located) {
-	if b.options.Locator == nil || inquiry.located || account.lacks(tokens) <= 0 {
+// requestFromLocated asks the processes that the locator returns, once a turn.
+func (b *Book) requestFromLocated(ctx context.Context, account *account, tokens int, sources *tokenSources) (located Located) {
+	if b.options.Locator == nil || sources.locatorAsked || account.shortfall(tokens) <= 0 {
 		return Located{}
 	}
-	inquiry.located = true
+	sources.locatorAsked = true
 	located = b.options.Locator.Locate(ctx, account.program)
-	for _, holder := range slices.Backward(located.Holders) { // an account notes the newest last
-		account.noteHolders(holder)
+	for _, holder := range slices.Backward(located.Holders) { // newest last, as the account lists them
+		account.addHolders(holder)
 	}
 	if len(located.Holders) > 0 {
-		inquiry.named = true
-		b.ask(ctx, account, tokens, inquiry)
+		sources.locatorFound = true
+		b.requestFromHolders(ctx, account, tokens, sources)
 	}
 	return located
 }
 
-// askAround asks the nodes met lately, all at once, when the table does not say
-// which of them had the program: programs under way go on while it is down.
-func (b *Book) askAround(ctx context.Context, account *account, tokens int, inquiry *inquiry) {
-	lacking := account.lacks(tokens)
-	if b.options.Peers == nil || inquiry.around || lacking <= 0 || !b.around.Allow() {
+// broadcastRequest asks recent peers in parallel, once a turn, when the store cannot say
+// which of them ran the program. It keeps running programs going during a store outage.
+func (b *Book) broadcastRequest(ctx context.Context, account *account, tokens int, sources *tokenSources) {
+	missing := account.shortfall(tokens)
+	if b.options.Peers == nil || sources.broadcastDone || missing <= 0 || !b.broadcastLimiter.Allow() {
 		return
 	}
-	inquiry.around = true
+	sources.broadcastDone = true
 	var handed atomic.Bool
 	var group errgroup.Group
-	for _, holder := range b.met(inquiry.asked) {
-		inquiry.asked = append(inquiry.asked, holder.Process)
+	for _, holder := range b.reachablePeers(sources.askedProcesses) {
+		sources.askedProcesses = append(sources.askedProcesses, holder.Process)
 		group.Go(func() error {
-			if b.askOne(ctx, account, holder, lacking) {
+			if b.requestFrom(ctx, account, holder, missing) {
 				handed.Store(true)
 			}
 			return nil
 		})
 	}
 	_ = group.Wait()
-	inquiry.handed = inquiry.handed || handed.Load()
+	sources.handedOver = sources.handedOver || handed.Load()
 }
 
-// meet remembers other processes.
-func (b *Book) meet(holders ...Holder) {
+// addPeers records processes as recently seen.
+func (b *Book) addPeers(holders ...Holder) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, holder := range holders {
 		if holder.Process != b.options.Self.Process {
-			b.nodes = remember(b.nodes, holder, maxNodes)
+			b.recentPeers = appendRecent(b.recentPeers, holder, maxRecentPeers)
 		}
 	}
 }
 
-// Met lists the processes met lately and not known to be silent, those of this process's
-// region first, else the newest.
-func (b *Book) Met() []Holder { return b.met(nil) }
+// Met returns the recently seen processes that are not known to be unresponsive: those in
+// this process's region first, then the newest.
+func (b *Book) Met() []Holder { return b.reachablePeers(nil) }
 
-// met lists the processes met lately, but those asked already and those that are
-// silent, in the order of Met.
-func (b *Book) met(asked []string) []Holder {
+// reachablePeers returns the processes of Met that are not in asked, in the same order.
+func (b *Book) reachablePeers(asked []string) []Holder {
 	b.mutex.Lock()
-	nodes := slices.Clone(b.nodes)
+	nodes := slices.Clone(b.recentPeers)
 	b.mutex.Unlock()
 	slices.Reverse(nodes)
 	nodes = slices.DeleteFunc(nodes, func(holder Holder) bool {
-		return slices.Contains(asked, holder.Process) || b.isSilent(holder)
+		return slices.Contains(asked, holder.Process) || b.isUnresponsive(holder)
 	})
 	locality.NearFirst(b.options.Vantage, nodes, Holder.Zone)
-	return nodes[:min(len(nodes), maxAround)]
+	return nodes[:min(len(nodes), maxBroadcastPeers)]
 }
 
-// nextHolder finds one that was not asked and is not known to be silent.
-func (b *Book) nextHolder(account *account, inquiry *inquiry) (Holder, bool) {
-	for _, holder := range b.others(account) {
-		if !slices.Contains(inquiry.asked, holder.Process) {
+// nextHolder returns the first responsive holder that this turn has not asked.
+func (b *Book) nextHolder(account *account, sources *tokenSources) (Holder, bool) {
+	for _, holder := range b.responsiveHolders(account) {
+		if !slices.Contains(sources.askedProcesses, holder.Process) {
 			return holder, true
 		}
 	}
 	return Holder{}, false
 }
 
-// others lists the other processes that may hold tokens and are not known to be
-// silent, those of this process's region first, else the newest.
-func (b *Book) others(account *account) []Holder {
-	holders := account.known()
+// responsiveHolders returns the other processes that may hold tokens and are not known to
+// be unresponsive: those in this process's region first, then the newest.
+func (b *Book) responsiveHolders(account *account) []Holder {
+	holders := account.knownHolders()
 	slices.Reverse(holders)
 	locality.NearFirst(b.options.Vantage, holders, Holder.Zone)
 	return slices.DeleteFunc(holders, func(holder Holder) bool {
-		return holder.Process == b.options.Self.Process || b.isSilent(holder)
+		return holder.Process == b.options.Self.Process || b.isUnresponsive(holder)
 	})
 }
 
-// askOne asks one node. It reports whether that handed tokens over.
-func (b *Book) askOne(ctx context.Context, account *account, holder Holder, lacking int) bool {
-	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(holder.Process, askWait, longestAskWait))
+// requestFrom asks one process and reports whether it handed tokens over.
+func (b *Book) requestFrom(ctx context.Context, account *account, holder Holder, missing int) bool {
+	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(holder.Process, minRequestTimeout, maxRequestTimeout))
 	defer cancel()
 	answer, err := b.options.Peers.HandOver(limited, holder.Address, HandOverRequest{
 		Process: holder.Process,
 		Program: account.program,
-		Tokens:  lacking,
+		Tokens:  missing,
 		From:    b.options.Self,
-		Number:  account.numberFor(holder, b.asks.Add(1)),
-		Known:   account.versions(),
+		Number:  account.requestNumberFor(holder, b.lastRequestNumber.Add(1)),
+		Known:   account.knownVersions(),
 	})
 	if err != nil {
-		if ctx.Err() == nil { // else the turn broke off: it says nothing of the node
-			b.noteSilent(holder, limited.Err() != nil)
+		if ctx.Err() == nil { // a cancelled turn does not mean that the process is unresponsive
+			b.markUnresponsive(holder, limited.Err() != nil)
 		}
 		return false
 	}
-	b.noteHeard(holder)
-	account.answered(holder)
-	account.add(answer.Tokens)
-	account.setHome(answer.Home)
-	account.noteHolders(answer.Others...)
-	account.noteTold(answer.Rows)
+	b.markResponsive(holder)
+	account.markAnswered(holder)
+	account.addFree(answer.Tokens)
+	account.setLastWorker(answer.Home)
+	account.addHolders(answer.Others...)
+	account.addHints(answer.Rows)
 	if answer.Tokens == 0 {
 		return false
 	}
-	account.noteHolders(holder)
+	account.addHolders(holder)
 	return true
 }
 
-// HandOver lets go of tokens that this node does not use, for another one.
+// HandOver transfers free tokens of this node to the requesting process.
 func (b *Book) HandOver(ctx context.Context, request HandOverRequest) HandOverAnswer {
 	if request.Process != b.options.Self.Process || request.Tokens <= 0 {
 		return HandOverAnswer{}
 	}
-	b.meet(request.From)
+	b.addPeers(request.From)
 	b.mutex.Lock()
 	account, ok := b.accounts[request.Program]
 	b.mutex.Unlock()
 	if !ok {
 		return HandOverAnswer{}
 	}
-	if account.lacks(request.Tokens) > 0 {
-		b.learnUnsure(ctx, account)
+	if account.shortfall(request.Tokens) > 0 {
+		b.resolveInDoubt(ctx, account)
 	}
 	return account.handOver(request)
 }
 
-// learnUnsure finds out what transactions of unknown effect have drawn, unless
-// the account is in use.
-func (b *Book) learnUnsure(ctx context.Context, account *account) {
+// resolveInDoubt reads the rows with transactions in doubt to find out which of them took
+// effect. It does nothing if sharesLock is held.
+func (b *Book) resolveInDoubt(ctx context.Context, account *account) {
 	select {
-	case account.turn <- struct{}{}:
+	case account.sharesLock <- struct{}{}:
 	default:
 		return
 	}
-	defer func() { <-account.turn }()
-	ctx, cancel := context.WithTimeout(ctx, askWait/2)
+	defer func() { <-account.sharesLock }()
+	ctx, cancel := context.WithTimeout(ctx, minRequestTimeout/2)
 	defer cancel()
 	for _, share := range account.shares {
-		if len(share.unsure) == 0 {
+		if len(share.inDoubt) == 0 {
 			continue
 		}
 		if found, err := share.read(ctx, b.options.Store); err == nil {
-			account.add(found.drawn)
+			account.addFree(found.drawn)
 		}
 	}
 }
 
-// handOver gives the asker what it lacks and half of the rest: the program's next
-// turn may come through either node.
+// handOver gives the requester the tokens that it lacks and half of the rest, since the
+// program's next turn may come through either node.
 func (a *account) handOver(request HandOverRequest) HandOverAnswer {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if last, ok := a.given[request.From.Process]; ok && last.number == request.Number {
+	if last, ok := a.lastAnswers[request.From.Process]; ok && last.number == request.Number {
 		return last.answer
 	}
 	given := min(a.free, request.Tokens+max(0, a.free-request.Tokens)/2)
 	a.free -= given
-	answer := HandOverAnswer{Tokens: given, Home: a.home, Others: slices.Clone(a.takers)}
+	answer := HandOverAnswer{Tokens: given, Home: a.lastWorker, Others: slices.Clone(a.recipients)}
 	if given < request.Tokens {
-		answer.Rows = newer(a.rows, request.Known)
+		answer.Rows = newerRows(a.publishedRows, request.Known)
 	}
 	if given > 0 {
-		a.takers = remember(a.takers, request.From, maxHolders)
-		a.holders = remember(a.holders, request.From, maxHolders)
+		a.recipients = appendRecent(a.recipients, request.From, maxHolders)
+		a.holders = appendRecent(a.holders, request.From, maxHolders)
 	}
-	if a.given == nil {
-		a.given = map[string]handed{}
+	if a.lastAnswers == nil {
+		a.lastAnswers = map[string]numberedAnswer{}
 	}
-	a.given[request.From.Process] = handed{number: request.Number, answer: answer}
+	a.lastAnswers[request.From.Process] = numberedAnswer{number: request.Number, answer: answer}
 	return answer
 }
 
-// handed is the newest answer to a process.
-type handed struct {
+// numberedAnswer is the last answer to a process, with the number of its request.
+type numberedAnswer struct {
 	number uint64
 	answer HandOverAnswer
 }
 
-// numberFor is the number of a request to a holder: that of the last one, if it
-// got no answer, else the one given.
-func (a *account) numberFor(holder Holder, next uint64) uint64 {
+// requestNumberFor returns the number of the next request to a holder: that of the last
+// one if it got no answer, else next.
+func (a *account) requestNumberFor(holder Holder, next uint64) uint64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if number, ok := a.unanswered[holder.Process]; ok {
@@ -309,49 +311,49 @@
 	return next
 }
 
-// answered notes that a holder has answered.
-func (a *account) answered(holder Holder) {
+// markAnswered records that the holder answered its last request.
+func (a *account) markAnswered(holder Holder) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	delete(a.unanswered, holder.Process)
 }
 
-// known lists the processes that may hold tokens, the newest last.
-func (a *account) known() []Holder {
+// knownHolders returns the processes that may hold tokens, newest last.
+func (a *account) knownHolders() []Holder {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return slices.Clone(a.holders)
 }
 
-// noteHolders remembers processes that may hold tokens, as the newest.
-func (a *account) noteHolders(holders ...Holder) {
+// addHolders records processes that may hold tokens as the newest.
+func (a *account) addHolders(holders ...Holder) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, holder := range holders {
-		a.holders = remember(a.holders, holder, maxHolders)
+		a.holders = appendRecent(a.holders, holder, maxHolders)
 	}
 }
 
-// learnHolders takes over the processes that the rows name. The caller holds the
-// turn.
-func (a *account) learnHolders() {
+// addHoldersFromRows adds the processes named in the rows. The caller holds sharesLock.
+func (a *account) addHoldersFromRows() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	for _, share := range a.shares {
-		for process, held := range share.known.Holders {
+		for process, held := range share.row.Holders {
 			holder := Holder{Process: process, Address: held.Address}
 			if !slices.Contains(a.holders, holder) {
-				a.holders = remember(a.holders, holder, maxHolders)
+				a.holders = appendRecent(a.holders, holder, maxHolders)
 			}
 		}
-		if newest, ok := share.known.Holders[share.known.Newest]; ok {
-			a.holders = remember(a.holders, Holder{Process: share.known.Newest, Address: newest.Address}, maxHolders)
+		if newest, ok := share.row.Holders[share.row.Newest]; ok {
+			a.holders = appendRecent(a.holders, Holder{Process: share.row.Newest, Address: newest.Address}, maxHolders)
 		}
 	}
 }
 
-// remember puts a holder at the end of a list of at most so many.
-func remember(list []Holder, holder Holder, most int) []Holder {
+// appendRecent moves or adds a holder to the end of the list and drops the oldest entry
+// if the list exceeds most entries.
+func appendRecent(list []Holder, holder Holder, most int) []Holder {
 	list = slices.DeleteFunc(list, func(known Holder) bool { return known == holder })
 	if len(list) == most {
 		list = slices.Delete(list, 0, 1)
--- a/internal/budget/row.go
+++ b/internal/budget/row.go
@@ -11,46 +11,47 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Table is the table's name for accounts.
+// Table is the store table that holds the accounts.
 const Table = "budgets"
 
 const (
-	// parts spreads accounts over the table's parts.
-	parts = 64
-	// shares is into how many rows, in different parts, a budget is divided: when
-	// a part of the table is down, tokens come out of the others.
-	shares = 3
-	// shareStride keeps the shares of a program in different parts.
+	// partCount is the number of partitions that accounts are spread over.
+	partCount = 64
+	// shareCount is the number of rows that a budget is divided into. They lie in
+	// different partitions, so that tokens remain available while one partition is down.
+	shareCount = 3
+	// shareStride is the distance between the partitions of a program's shares.
 	shareStride = 21
-	// elasticShare is the one that a single turn may reach past (see drawPlan).
-	elasticShare = 0
+	// overdraftShare is the share that a single turn may overdraw (see drawSize).
+	overdraftShare = 0
 )
 
-// drawOrder is the order in which shares are drawn from: the elastic one last, so
-// that it is the last to be used up.
-var drawOrder = [shares]int{1, 2, elasticShare}
+// drawOrder is the order in which shares are drawn from. The overdraft share is last, so
+// that it is exhausted last.
+var drawOrder = [shareCount]int{1, 2, overdraftShare}
 
-// row is what the table keeps of one share of a program's budget.
+// row is the stored state of one share of a program's budget. Its fields are encoded with
+// gob and keep their names.
 type row struct {
-	Drawn   int                // tokens that nodes hold or have used
-	Holders map[string]holding // the processes that drew
-	Newest  string             // the one that drew last
-	Home    string             // worker that ran the program's newest turn
+	Drawn   int                // tokens that processes hold or have used
+	Holders map[string]holding // by process: those that drew from the share
+	Newest  string             // process that drew last
+	Home    string             // worker of the program's newest turn
 }
 
-// holding is what a row says of a process that drew from it.
+// holding is the entry in a row for a process that drew from it.
 type holding struct {
-	Sequence uint64 // of its newest transaction
-	Address  string // where it answers other nodes
+	Sequence uint64 // number of its newest transaction
+	Address  string // address for requests from other nodes
 }
 
-// life is how long an account outlives its last transaction. A program that
-// comes back later finds its whole budget again.
-const life = time.Hour
+// accountTTL is how long a row is kept after its last transaction. A program that
+// continues later starts with its whole budget again.
+const accountTTL = time.Hour
 
-// Parts lists the parts that hold accounts.
+// Parts returns the names of the partitions that hold accounts.
 func Parts() []string {
-	names := make([]string, parts)
+	names := make([]string, partCount)
 	for part := range names {
 		names[part] = partName(uint64(part))
 	}
@@ -62,9 +63,9 @@
 func (r row) encode(now time.Time) []byte {
 	var buffer bytes.Buffer
 	if err := gob.NewEncoder(&buffer).Encode(r); err != nil {
-		panic(err) // a row has only plain fields
+		panic(err) // unreachable: a row has only encodable fields
 	}
-	return store.WithExpiry(now.Add(life), buffer.Bytes())
+	return store.WithExpiry(now.Add(accountTTL), buffer.Bytes())
 }
 
 func decode(stored store.Row) (row, error) {
@@ -80,17 +81,18 @@
 	return decoded, err
 }
 
-func keyOf(program string, share int) store.Key {
-	part := (xxhash.Sum64String(program) + uint64(share)*shareStride) % parts
+func rowKey(program string, share int) store.Key {
+	part := (xxhash.Sum64String(program) + uint64(share)*shareStride) % partCount
 	return store.Key{Table: Table, Part: partName(part), Name: program}
 }
 
-// limitOf is how much of a budget a share holds. All shares together hold it
-// exactly.
-func limitOf(budget, share int) int {
-	limit := budget / shares
+// evenShareLimit returns how many tokens of a budget a share holds if all shares are of
+// equal size. The remainder goes to the first share, so that the shares add up to the
+// budget.
+func evenShareLimit(budget, share int) int {
+	limit := budget / shareCount
 	if share == 0 {
-		limit += budget % shares
+		limit += budget % shareCount
 	}
 	return limit
 }
--- a/internal/budget/seed_test.go
+++ b/internal/budget/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// The fuzz draws the same in every build; -rapid.seed overrides it.
+// Property tests use a fixed seed, so that runs are reproducible; -rapid.seed overrides
+// it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/budget/share.go
+++ b/internal/budget/share.go
@@ -10,33 +10,33 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// share is one row of a program's account as this node knows it. Only the
-// holder of its account's turn may use it.
+// share is this node's view of one row of a program's account. It is guarded by
+// account.sharesLock.
 type share struct {
-	key      store.Key
-	self     Holder
-	known    row
-	version  store.Version
-	seen     bool // the row, or that there is none, was learnt from the table
-	hinted   bool // another process told it (see KnownRow)
-	sequence uint64
-	unsure   []change // transactions of unknown effect, all on the known version
+	key       store.Key
+	self      Holder
+	row       row
+	version   store.Version
+	confirmed bool // the row, or its absence, was read from the store
+	hinted    bool // the row came from another process (see KnownRow)
+	sequence  uint64
+	inDoubt   []change // transactions of unknown effect, all conditional on version
 }
 
-// change is one transaction on a share.
+// change is a change of a share's drawn tokens by one transaction.
 type change struct {
 	sequence uint64
-	tokens   int // negative when given back
+	tokens   int // negative if returned
 }
 
-// committer makes a transaction: store.CommitHedged, or one that leaves pauses to its caller.
-type committer func(context.Context, store.Store, store.Transaction) (store.Version, error)
+// commitFunc commits a transaction: store.CommitHedged or store.CommitUnlessThrottled.
+type commitFunc func(context.Context, store.Store, store.Transaction) (store.Version, error)
 
-// effect is what transactions turn out to have done.
+// effect sums up what transactions turned out to have done.
 type effect struct {
-	drawn    int // tokens that are this node's now
-	returned int // tokens that are not any more
-	doubtful int // tokens that may have been returned
+	drawn         int // tokens that this node now holds
+	returned      int // tokens that went back to the share
+	returnInDoubt int // tokens that may have gone back
 }
 
 // add adds the effect of one change.
@@ -45,7 +45,8 @@
 	e.returned += max(0, -done.tokens)
 }
 
-// read learns the row as the table has it, and the effect of earlier transactions.
+// read reads the row from the store and returns the effect of earlier transactions in
+// doubt.
 func (s *share) read(ctx context.Context, table store.Store) (effect, error) {
 	page, err := table.Range(ctx, s.key.Table, s.key.Part, s.key.Name, "", 1)
 	if err != nil {
@@ -55,48 +56,48 @@
 	if len(page.Rows) > 0 && page.Rows[0].Key == s.key {
 		stored = page.Rows[0]
 	}
-	return s.learn(stored)
+	return s.applyStored(stored)
 }
 
-// commit changes what is drawn by tokens. When the row had changed, nothing
-// happens but that it is known then, and done is false. The effect is that of this
-// or of an earlier transaction: a try of this one whose answer was lost may be
-// what has changed the row.
-func (s *share) commit(ctx context.Context, table store.Store, by committer, tokens int, home string) (found effect, done bool, err error) {
-	next, planned := s.plan(tokens, home)
-	version, err := by(ctx, table, store.Transaction{
+// commit changes the drawn tokens of the row by tokens. If the row has changed in the
+// store, it only takes over the stored row and returns done as false. The effect then is
+// that of a transaction in doubt: an earlier one, or an attempt of this one whose answer
+// was lost.
+func (s *share) commit(ctx context.Context, table store.Store, commit commitFunc, tokens int, worker string) (found effect, done bool, err error) {
+	next, planned := s.planChange(tokens, worker)
+	version, err := commit(ctx, table, store.Transaction{
 		Conditions: []store.Condition{{Key: s.key, Version: s.version}},
 		Put:        []store.Row{{Key: s.key, Value: next.encode(time.Now())}},
 	})
 	var refused *store.Conflict
 	if errors.As(err, &refused) {
-		found, err = s.learn(refused.Find(s.key))
+		found, err = s.applyStored(refused.Find(s.key))
 		return found, false, err
 	}
 	if errors.Is(err, store.ErrNotDone) {
-		s.unsure = slices.DeleteFunc(s.unsure, func(c change) bool { return c == planned })
+		s.inDoubt = slices.DeleteFunc(s.inDoubt, func(c change) bool { return c == planned })
 	}
 	if err != nil {
 		return effect{}, false, err
 	}
-	s.known, s.version, s.unsure, s.seen = next, version, nil, true
+	s.row, s.version, s.inDoubt, s.confirmed = next, version, nil, true
 	found.add(planned)
 	return found, true, nil
 }
 
-// giveBack gives back up to so many tokens. Those whose return is in doubt at its
-// end must not be given back to another share.
-func (s *share) giveBack(ctx context.Context, table store.Store, tokens int, home string) (total effect) {
+// giveBack returns up to tokens tokens to the share. Those reported as returnInDoubt must
+// not be returned to another share.
+func (s *share) giveBack(ctx context.Context, table store.Store, tokens int, worker string) (total effect) {
 	for ctx.Err() == nil {
-		wanted := min(tokens-total.returned, s.known.Drawn)
+		wanted := min(tokens-total.returned, s.row.Drawn)
 		if wanted <= 0 {
 			return total
 		}
-		found, done, err := s.commit(ctx, table, store.CommitHedged, -wanted, home)
+		found, done, err := s.commit(ctx, table, store.CommitHedged, -wanted, worker)
 		total.drawn += found.drawn
 		total.returned += found.returned
 		if err != nil {
-			total.doubtful = s.doubtful()
+			total.returnInDoubt = s.returnsInDoubt()
 		}
 		if done || err != nil {
 			return total
@@ -105,56 +106,56 @@
 	return total
 }
 
-// doubtful is how many tokens transactions of unknown effect may have returned.
-func (s *share) doubtful() (tokens int) {
-	for _, earlier := range s.unsure {
+// returnsInDoubt returns how many tokens the transactions in doubt may have returned.
+func (s *share) returnsInDoubt() (tokens int) {
+	for _, earlier := range s.inDoubt {
 		tokens += max(0, -earlier.tokens)
 	}
 	return tokens
 }
 
-// plan builds the row that a transaction writes. Its effect is unsure until an
-// answer is there.
-func (s *share) plan(tokens int, home string) (row, change) {
+// planChange builds the row that a transaction writes and records the change as in doubt
+// until there is an answer.
+func (s *share) planChange(tokens int, worker string) (row, change) {
 	s.sequence++
 	planned := change{sequence: s.sequence, tokens: tokens}
 	next := row{
-		Drawn:   s.known.Drawn + tokens,
-		Holders: maps.Clone(s.known.Holders),
+		Drawn:   s.row.Drawn + tokens,
+		Holders: maps.Clone(s.row.Holders),
 		Newest:  s.self.Process,
-		Home:    home,
+		Home:    worker,
 	}
 	if next.Holders == nil {
 		next.Holders = map[string]holding{}
 	}
 	next.Holders[s.self.Process] = holding{Sequence: planned.sequence, Address: s.self.Address}
-	s.unsure = append(s.unsure, planned)
+	s.inDoubt = append(s.inDoubt, planned)
 	return next, planned
 }
 
-// learn takes over the row as the table has it. Of the unsure transactions the
-// one that the row shows took effect; the others were conditional on a version
-// that the row has left, so they had none and never will.
-func (s *share) learn(stored store.Row) (found effect, err error) {
+// applyStored takes over a row from the store and resolves the transactions in doubt. The
+// one whose sequence number the row contains took effect. The others were conditional on
+// a version that the row no longer has, so they never will.
+func (s *share) applyStored(stored store.Row) (found effect, err error) {
 	known, err := decode(stored)
 	if err != nil {
 		return effect{}, err
 	}
-	s.seen = true
+	s.confirmed = true
 	if stored.Version == s.version && s.version != 0 {
 		return effect{}, nil
 	}
-	s.known, s.version = known, stored.Version
-	for _, earlier := range s.unsure {
+	s.row, s.version = known, stored.Version
+	for _, earlier := range s.inDoubt {
 		if known.Holders[s.self.Process].Sequence == earlier.sequence {
 			found.add(earlier)
 		}
 	}
 	if s.version != 0 {
-		s.unsure = nil
+		s.inDoubt = nil
 	}
 	return found, nil
 }
 
-// left is what nobody has drawn, as far as this node knows.
-func (s *share) left(limit int) int { return max(0, limit-s.known.Drawn) }
+// undrawn returns how many tokens are left in the share, according to the cached row.
+func (s *share) undrawn(limit int) int { return max(0, limit-s.row.Drawn) }
--- a/internal/budget/silence.go
+++ b/internal/budget/silence.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// silence is what is known of a process that did not answer.
-type silence struct {
-	since time.Time // when it first did not
-	until time.Time // before which it is not asked again
-	gone  bool      // it takes no connections: it has ended, and what it held is lost
+// unresponsivePeer is the record of a process that did not answer its last request.
+type unresponsivePeer struct {
+	since   time.Time // first unanswered request
+	retryAt time.Time // the process is not asked before this time
+	ended   bool      // connections failed at once: the process has exited, and its tokens are lost
 }
 
-// isSilent reports whether a process is not to be asked now.
-func (b *Book) isSilent(holder Holder) bool {
+// isUnresponsive reports whether a process is in its backoff after an unanswered request.
+func (b *Book) isUnresponsive(holder Holder) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return time.Now().Before(b.silent[holder.Process].until)
+	return time.Now().Before(b.unresponsive[holder.Process].retryAt)
 }
 
-// noteSilent notes that a process did not answer: in time, or at all.
-func (b *Book) noteSilent(holder Holder, waited bool) {
+// markUnresponsive records that a request to a process failed. timedOut distinguishes a timeout
+// from a failed connection.
+func (b *Book) markUnresponsive(holder Holder, timedOut bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := time.Now()
-	known, ok := b.silent[holder.Process]
+	known, ok := b.unresponsive[holder.Process]
 	if !ok {
 		known.since = now
 	}
-	known.until = now.Add(silentFor)
-	known.gone = !waited
-	b.silent[holder.Process] = known
+	known.retryAt = now.Add(unresponsiveBackoff)
+	known.ended = !timedOut
+	b.unresponsive[holder.Process] = known
 }
 
-// noteHeard notes that a process has answered.
-func (b *Book) noteHeard(holder Holder) {
+// markResponsive records that a process answered.
+func (b *Book) markResponsive(holder Holder) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	delete(b.silent, holder.Process)
+	delete(b.unresponsive, holder.Process)
 }
 
-// mayComeBack reports whether a process that may hold tokens of the program has
-// been silent for so short a time that it may still hand them over.
-func (b *Book) mayComeBack(account *account) bool {
-	holders := account.known()
+// mayRecover reports whether a process that may hold tokens of the program became
+// unresponsive so recently that it may still hand them over.
+func (b *Book) mayRecover(account *account) bool {
+	holders := account.knownHolders()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, holder := range holders {
-		known, ok := b.silent[holder.Process]
-		if ok && !known.gone && time.Since(known.since) < forgetSilence {
+		known, ok := b.unresponsive[holder.Process]
+		if ok && !known.ended && time.Since(known.since) < unresponsiveGrace {
 			return true
 		}
 	}
--- a/internal/budget/throttle_test.go
+++ b/internal/budget/throttle_test.go
@@ -13,9 +13,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// TestThrottledDrawIsNotPressed: other shares of the same table do not help. Within 2 s a draw
-// costs few calls, and it succeeds soon after the table takes calls again.
-func TestThrottledDrawIsNotPressed(t *testing.T) {
+// TestThrottledDrawBacksOff guards against a draw that adds load to a throttled store.
+// Within 2 s it makes few calls, and it succeeds soon after throttling ends.
+func TestThrottledDrawBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		var calls atomic.Int32
@@ -28,20 +28,20 @@
 			}
 			return storetest.None
 		})
-		one := book(table, "a")
+		book := newTestBook(table, "a")
 		claim := Claim{Program: "p", Budget: 1000, Tokens: 100, Kept: true}
 		limited, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		_, err := one.Reserve(limited, claim)
+		_, err := book.Reserve(limited, claim)
 		require.ErrorContains(t, err, store.ErrThrottled.Error())
-		require.NoError(t, limited.Err(), "the turn is told before its time is over")
+		require.NoError(t, limited.Err(), "the turn fails before its deadline")
 		require.LessOrEqual(t, calls.Load(), int32(10))
-		require.False(t, one.away(), "a table that counts its calls is there")
+		require.False(t, book.storeUnavailable(), "a store that throttles calls is available")
 		time.AfterFunc(time.Second, func() { busy.Store(false) })
-		begun := time.Now()
-		_, err = one.Reserve(t.Context(), claim)
+		start := time.Now()
+		_, err = book.Reserve(t.Context(), claim)
 		require.NoError(t, err)
-		require.Less(t, time.Since(begun), 1700*time.Millisecond)
+		require.Less(t, time.Since(start), 1700*time.Millisecond)
 		time.Sleep(time.Minute)
 	})
 }
