--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -96,7 +96,7 @@
 	return total
 }
 
-// setLastWorker records the worker of the program's newest turn, unless it is empty.
+// setLastWorker records the worker of the program's newest turn, unless worker is empty.
 func (a *account) setLastWorker(worker string) {
 	if worker == "" {
 		return
@@ -127,8 +127,8 @@
 	return a.lastWorker
 }
 
-// anyRowRead reports whether any of the account's rows was read from the store. The
-// caller holds sharesLock.
+// anyRowRead reports whether any of the account's rows, or its absence, was read from the
+// store. The caller holds sharesLock.
 func (a *account) anyRowRead() bool {
 	for _, share := range a.shares {
 		if share.confirmed {
--- a/internal/budget/book.go
+++ b/internal/budget/book.go
@@ -45,7 +45,8 @@
 	Granter Granter
 }
 
-// Located is what the locator returns for a program. It may be stale or incomplete.
+// Located is what the locator returns for a program. It may be stale or incomplete. It is
+// sent between nodes with gob, so its fields keep their names.
 type Located struct {
 	Holders []Holder // other processes that ran turns of the program, newest first
 	// Spent is the size, in tokens, of a turn that the store recently refused to some
@@ -123,8 +124,9 @@
 	// Continues says that the program has had a turn, so its rows exist. They are read
 	// first, which avoids a transaction that the store would refuse.
 	Continues bool
-	// Kept says that the turn must be written to the store when it ends. It is not
-	// started while the store is unavailable.
+	// Kept says that the turn must be written to the store when it ends. While the store
+	// is unavailable, recent peers and the owner are not asked for the tokens of such a
+	// turn, as it could not end.
 	Kept bool
 	// Named, if not nil, is called with the other processes that may hold tokens of the
 	// program, if any are known, before the store is called. It may be called more than
@@ -141,7 +143,7 @@
 
 // Reserve reserves the tokens of a claim. It fails with fault.BudgetExhausted if the
 // store reports the budget as exhausted. It fails with fault.Unavailable if the store
-// does not answer before ctx ends, or if a process that may hold tokens does not answer.
+// does not answer before ctx ends, or if a process that may hold or grant tokens does not.
 // Nothing is reserved if it fails.
 func (b *Book) Reserve(ctx context.Context, claim Claim) (*Reservation, error) {
 	account := b.accountOf(claim.Program)
--- a/internal/budget/book_test.go
+++ b/internal/budget/book_test.go
@@ -54,10 +54,10 @@
 	c.closed[process] = true
 }
 
-func (c *cluster) setDelivery(fate func() (asked, answered bool)) {
+func (c *cluster) setDelivery(delivery func() (asked, answered bool)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.delivery = fate
+	c.delivery = delivery
 }
 
 func newCluster(table store.Store) *cluster {
@@ -477,8 +477,8 @@
 }
 
 // TestUnknownProgramIsBroadcastToRecentPeers guards against a program stopping during a
-// store outage because its new node has not served it before, although it has contacted the node
-// that has.
+// store outage because its new node has not served it before, although that node has been
+// in contact with the one that has.
 func TestUnknownProgramIsBroadcastToRecentPeers(t *testing.T) {
 	for _, down := range []storetest.Fault{storetest.Silent, storetest.Refused, storetest.Broken} {
 		synctest.Test(t, func(t *testing.T) {
@@ -507,7 +507,7 @@
 
 			claim.Program = "q"
 			for _, kept := range []bool{true, false} {
-				claim.Kept = kept // a kept turn cannot end without the store
+				claim.Kept = kept // if set, the turn cannot end without the store
 				ctx, cancel = context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer cancel()
 				_, err = b.Reserve(ctx, claim)
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -27,7 +27,8 @@
 	// is extended if the store is observed to be slower: a slow share is more likely to
 	// answer than the next one.
 	shareTimeout = 130 * time.Millisecond
-	// retryPause is the pause between rounds over all shares.
+	// retryPause is the pause between rounds over all shares, unless the store throttles
+	// calls.
 	retryPause = 50 * time.Millisecond
 )
 
@@ -76,11 +77,15 @@
 	return fault.Is(err, fault.BudgetExhausted) || errors.Is(err, errHolderUnresponsive) || errors.Is(err, errOwnerUnresponsive)
 }
 
-// drawOnce makes one round: it asks the known holders and then draws from each share,
-// stopping early if the store throttles calls. If no row was read yet, the budget was
-// reported exhausted before, or a share fails, it also asks the processes that the
-// locator returns. It fails with fault.BudgetExhausted if all shares were read and are
-// exhausted and no other process may still hand over the missing tokens.
+// drawOnce makes one round: it asks the known holders, then draws from each share,
+// stopping early if the store throttles calls, and finally asks the owner for a grant. If
+// no row was read yet, the budget was reported exhausted before, or a share fails, it also
+// asks the processes that the locator returns. If the store does not answer, it also asks
+// recent peers and the owner, unless the turn needs the store to end (see Claim.Kept).
+//
+// It fails with fault.BudgetExhausted if the turn exceeds the whole budget, if a recent
+// refusal by the store still applies, or if all shares were read and are exhausted and no
+// other process may still hand over or grant the missing tokens.
 func (b *Book) drawOnce(ctx context.Context, account *account, claim Claim, sources *tokenSources) (taken bool, failure error) {
 	budget, tokens := claim.Budget, claim.Tokens
 	if account.reserve(tokens) {
--- a/internal/budget/hint.go
+++ b/internal/budget/hint.go
@@ -8,10 +8,11 @@
 
 // KnownRow is a process's view of a row of a program's account. It is only a hint that
 // saves the receiver a read: draws are conditional on the row's version, and a budget
-// counts as exhausted only once the store has confirmed it.
+// counts as exhausted only once the store has confirmed it. It is sent between nodes with
+// gob, so its fields keep their names.
 type KnownRow struct {
-	Share   int // index of the share
-	Version store.Version
+	Share   int           // index of the share
+	Version store.Version // 0: the row does not exist
 	Row     row
 }
 
@@ -25,7 +26,7 @@
 	s.row, s.version, s.hinted = hint.Row, hint.Version, true
 }
 
-// hasRow reports whether the row's content is known from the store or a hint.
+// hasRow reports whether the row, or its absence, is known from the store or a hint.
 func (s *share) hasRow() bool { return s.confirmed || s.hinted }
 
 // publishRows updates the view of the rows that is sent to other processes. The caller
@@ -43,15 +44,15 @@
 	a.publishedRows = rows
 }
 
-// addHints stores rows from another process until applyHints is called.
+// addHints queues rows from another process until applyHints is called.
 func (a *account) addHints(rows []KnownRow) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.pendingHints = append(a.pendingHints, rows...)
 }
 
-// knownVersions returns, by share, the newest version of the row that this process has cached;
-// 0: unknown, or no row.
+// knownVersions returns, by share, the newest version of the row that this process has
+// cached or queued. 0 means that the row is unknown or does not exist.
 func (a *account) knownVersions() []store.Version {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -74,7 +75,7 @@
 	return newer
 }
 
-// applyHints applies the stored hints to the shares. The caller holds sharesLock.
+// applyHints applies the queued hints to the shares. The caller holds sharesLock.
 func (a *account) applyHints() {
 	a.mutex.Lock()
 	hints := a.pendingHints
--- a/internal/budget/hint_test.go
+++ b/internal/budget/hint_test.go
@@ -145,13 +145,13 @@
 		_, err := books[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
-		var named []Holder
+		var reported []Holder
 		claim.Tokens, claim.Continues = 10_000, true
-		claim.Named = func(others []Holder) { named = others }
+		claim.Named = func(others []Holder) { reported = others }
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err = books[1].Reserve(ctx, claim)
 		require.Error(t, err)
-		require.Equal(t, []Holder{{Process: "n0", Address: "n0"}}, named)
+		require.Equal(t, []Holder{{Process: "n0", Address: "n0"}}, reported)
 	})
 }
--- a/internal/budget/locate_test.go
+++ b/internal/budget/locate_test.go
@@ -113,8 +113,8 @@
 	})
 }
 
-// TestReportedExhaustionIsNotReadAgain guards against each node calling the
-// store for a budget that is known to be exhausted.
+// TestReportedExhaustionIsNotReadAgain guards against each node calling the store for a
+// budget that is known to be exhausted.
 func TestReportedExhaustionIsNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
--- a/internal/budget/overdraft_test.go
+++ b/internal/budget/overdraft_test.go
@@ -29,7 +29,7 @@
 		require.True(t, fault.Is(err, fault.Unavailable), "the other nodes may still recover: %v", err)
 		time.Sleep(unresponsiveGrace)
 		_, err = c.Reserve(t.Context(), claim)
-		require.True(t, fault.Is(err, fault.BudgetExhausted), "1,178 tokens may have been used; the limit is below 1,489: %v", err)
+		require.True(t, fault.Is(err, fault.BudgetExhausted), "1,178 tokens may have been used; the total must stay below 1,489: %v", err)
 		time.Sleep(time.Minute)
 	})
 }
@@ -99,9 +99,9 @@
 		for _, failure := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken} {
 			synctest.Test(t, func(t *testing.T) {
 				table := storetest.New()
-				silent := rowKey("p", down).Part
+				failing := rowKey("p", down).Part
 				table.SetFault(func(part string, _ bool) storetest.Fault {
-					if part == silent {
+					if part == failing {
 						return failure
 					}
 					return storetest.None
--- a/internal/budget/owned.go
+++ b/internal/budget/owned.go
@@ -57,10 +57,11 @@
 	Grant(ctx context.Context, program string, tokens int, number uint64) (grant Grant, ok bool)
 }
 
-// Grant is an owner's answer to a request for tokens.
+// Grant is an owner's answer to a request for tokens. It is sent between nodes with gob,
+// so its fields keep their names.
 type Grant struct {
 	Tokens int    // transferred to the requesting process; 0: none
-	Taker  Holder // process that received the owner's part before; Process is empty if none did
+	Taker  Holder // process that has already received the owner's part; Process is empty if none has
 }
 
 // rowTenths is how the rows' part of a budget with owned parts is divided over them, in
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -12,16 +12,18 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Holder is a process that may hold tokens of a program.
+// Holder is a process that may hold tokens of a program. It is sent between nodes with
+// gob, so its fields keep their names.
 type Holder struct {
-	Process string // unique name; a requester can only have it from the store or a peer
+	Process string // unique name; other processes get it from the store or from each other
 	Address string // address for requests from other nodes
 }
 
 // Zone returns the zone that the process runs in, empty if its name does not include one.
 func (h Holder) Zone() string { return locality.ZoneOf(h.Process) }
 
-// HandOverRequest asks a process for tokens that it holds and does not use.
+// HandOverRequest asks a process for tokens that it holds and does not use. It is sent
+// between nodes with gob, so its fields keep their names.
 type HandOverRequest struct {
 	Process string // addressee; another process at its address answers without tokens
 	Program string
@@ -37,7 +39,8 @@
 
 // HandOverAnswer transfers tokens to the requester. If the answer is lost, the tokens are
 // kept for the repeated request. If either process crashes first, they are lost to the
-// program, which can then spend less than its budget but never more.
+// program, which can then spend less than its budget but never more. It is sent between
+// nodes with gob, so its fields keep their names.
 type HandOverAnswer struct {
 	Tokens int
 	Home   string   // worker of the program's newest turn as known to the answering process; empty if unknown
@@ -62,11 +65,11 @@
 	// unresponsiveGrace is how long a process may be unresponsive before the tokens that
 	// it holds are considered lost.
 	unresponsiveGrace = 4 * time.Second
-	// maxRequestsPerTurn bounds how many processes a turn asks, and maxHolders how many
-	// holders an account remembers.
+	// maxRequestsPerTurn is how many processes a turn asks one after the other, and
+	// maxHolders how many holders an account records.
 	maxRequestsPerTurn = 4
 	maxHolders         = 8
-	// maxRecentPeers is how many recently seen processes a node remembers, and
+	// maxRecentPeers is how many recently seen processes a node records, and
 	// maxBroadcastPeers how many of them a broadcast request goes to.
 	maxRecentPeers    = 32
 	maxBroadcastPeers = 16
@@ -86,7 +89,8 @@
 }
 
 // requestFromHolders asks the processes that may hold tokens of the program, one after
-// the other, until the turn has enough. The caller holds account.sharesLock.
+// the other, until the turn has enough or maxRequestsPerTurn is reached. The caller holds
+// account.sharesLock.
 func (b *Book) requestFromHolders(ctx context.Context, account *account, tokens int, sources *tokenSources) {
 	if b.options.Peers == nil {
 		return
@@ -157,11 +161,11 @@
 	}
 }
 
-// Met returns the recently seen processes that are not known to be unresponsive: those in
-// this process's region first, then the newest.
+// Met returns the recently seen processes that are not known to be unresponsive, at most
+// maxBroadcastPeers: those in this process's region first, then the newest.
 func (b *Book) Met() []Holder { return b.reachablePeers(nil) }
 
-// reachablePeers returns the processes of Met that are not in asked, in the same order.
+// reachablePeers is Met without the processes in asked.
 func (b *Book) reachablePeers(asked []string) []Holder {
 	b.mutex.Lock()
 	nodes := slices.Clone(b.recentPeers)
@@ -351,11 +355,11 @@
 	}
 }
 
-// appendRecent moves or adds a holder to the end of the list and drops the oldest entry
-// if the list exceeds most entries.
-func appendRecent(list []Holder, holder Holder, most int) []Holder {
+// appendRecent moves or adds a holder to the end of the list. If the list then has more
+// than limit entries, it drops the oldest.
+func appendRecent(list []Holder, holder Holder, limit int) []Holder {
 	list = slices.DeleteFunc(list, func(known Holder) bool { return known == holder })
-	if len(list) == most {
+	if len(list) == limit {
 		list = slices.Delete(list, 0, 1)
 	}
 	return append(list, holder)
--- a/internal/budget/silence.go
+++ b/internal/budget/silence.go
@@ -16,8 +16,8 @@
 	return time.Now().Before(b.unresponsive[holder.Process].retryAt)
 }
 
-// markUnresponsive records that a request to a process failed. timedOut distinguishes a timeout
-// from a failed connection.
+// markUnresponsive records that a request to a process failed. timedOut distinguishes a
+// timeout from a failed connection.
 func (b *Book) markUnresponsive(holder Holder, timedOut bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/history/failover.go
+++ b/internal/history/failover.go
@@ -16,22 +16,22 @@
 	err   error
 }
 
-// retryPause is the pause between rounds over all places.
+// retryPause is the pause after a round in which all places failed.
 const retryPause = 60 * time.Millisecond
 
 // firstAccepted asks the places of a turn one after the other and returns the first
 // accepted answer. It goes on to the next place when one fails, is not accepted, or does
-// not answer within patience. If all places answered and none was accepted, it returns
-// the zero value and the last error, if any. If all places failed, it retries until ctx
-// ends. Throttling ends the round at once, as all places lie in the same table; the next
-// round follows after an exponential backoff, or not at all if ctx ends first.
+// not answer within patience. If no answer is accepted, it returns the zero value and the
+// last error, if any. If all places failed, it first retries until ctx ends. Throttling
+// ends the round at once, as all places lie in the same table; the next round follows
+// after an exponential backoff, or not at all if ctx ends first.
 func firstAccepted[T any](ctx context.Context, patience time.Duration, ask func(context.Context, int) (T, error), accept func(T) bool) (T, error) {
 	return firstAcceptedUnless(ctx, patience, func() bool { return false }, ask, accept)
 }
 
 // firstAcceptedUnless is firstAccepted for an operation that may be settled otherwise. It
-// calls settled before the first round and after each backoff, and stops if that reports
-// true.
+// calls settled before the first round and after each backoff for throttling. If settled
+// reports true, it stops and returns the zero value without an error.
 func firstAcceptedUnless[T any](ctx context.Context, patience time.Duration, settled func() bool, ask func(context.Context, int) (T, error), accept func(T) bool) (T, error) {
 	var none T
 	if settled() {
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -61,7 +61,7 @@
 // Options configures a Keeper.
 type Options struct {
 	Store      store.Store
-	CacheBytes int
+	CacheBytes int // limit for the cached turns; the newest one is cached even if it is larger
 	// Region is the region of this node. Turns that are restricted to other regions are
 	// not cached.
 	Region string
@@ -74,7 +74,7 @@
 type Together interface {
 	// Put writes rows to the partition with that number, one of those that hold turns. It
 	// reports whether the rows are certain to be in the store; if not, they may be.
-	Put(ctx context.Context, part int, rows []store.Row) (kept bool)
+	Put(ctx context.Context, part int, rows []store.Row) (stored bool)
 }
 
 // Keeper reads and writes turns and caches them.
@@ -232,9 +232,10 @@
 	return url.PathEscape(id) + rowSeparator + strconv.Itoa(index)
 }
 
-// Keep writes a turn and returns once it is stored in one of its places. Turns of its
-// chain that would expire well before it are written again with the new expiry. Repeated
-// writes are harmless because the content of a turn never changes.
+// Keep sets the expiry of a turn to retention from now, writes the turn and returns once
+// it is stored in one of its places. Turns of its chain that would expire well before it
+// are written again with the new expiry. Repeated writes are harmless because the content
+// of a turn never changes.
 func (k *Keeper) Keep(ctx context.Context, turn *Turn, chain []*Turn, retention time.Duration) error {
 	turn.Expires = time.Now().Add(retention)
 	group, limited := errgroup.WithContext(ctx)
@@ -269,10 +270,10 @@
 	if err := gob.NewEncoder(&encoded).Encode(turn); err != nil {
 		return err
 	}
-	writeShared := func() bool {
+	writeBatched := func() bool {
 		return k.options.Together != nil && k.options.Together.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
 	}
-	_, err := firstAcceptedUnless(ctx, store.PatienceWith(k.options.Store, writePlaceTimeout), writeShared, func(ctx context.Context, place int) (store.Version, error) {
+	_, err := firstAcceptedUnless(ctx, store.PatienceWith(k.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
 		return store.CommitUnlessThrottled(ctx, k.options.Store, turn.putTransaction(encoded.Bytes(), place))
 	}, func(store.Version) bool { return true })
 	return err
