--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -11,94 +11,94 @@
 	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
-// clientShare of the descriptors is for clients' connections: a request that is served needs
-// about as many again, to its worker, to other nodes and to the table.
-const clientShare = 2 // a half
+// clientDescriptorDivisor is the part of the socket descriptors that client connections may use.
+// A request in progress needs about as many again for its worker, other nodes and the store.
+const clientDescriptorDivisor = 2 // one half
 
-// failureLasts is for how long a connection that could not be taken tells of the next one: a
-// server tries again after a second at most, but hears nothing while nobody comes.
-const failureLasts = 1500 * time.Millisecond
+// acceptFailureTTL is how long a failed Accept makes the node not ready. The HTTP server retries
+// within a second, but Accept does not return while no client connects.
+const acceptFailureTTL = 1500 * time.Millisecond
 
-// clients keeps count of the connections of clients, so that there is room for new ones: the
-// longest idle makes way, and a node that has no room says that it is not ready.
-type clients struct {
-	most   int                       // connections; 0: not limited
-	failed atomic.Pointer[time.Time] // when the last connection could not be taken; nil: it was
+// clientConns tracks the connections of clients and limits their number. At the limit it closes
+// the connection that has been idle longest; if none is idle, the node reports not ready.
+type clientConns struct {
+	limit        int                       // maximum number of connections; 0: unlimited
+	acceptFailed atomic.Pointer[time.Time] // time of the last Accept if it failed; nil: it succeeded
 
-	mutex  sync.Mutex
-	open   int
-	idle   *list.List // of net.Conn, the longest idle first
-	placed map[net.Conn]*list.Element
+	mutex        sync.Mutex
+	open         int
+	idle         *list.List // of net.Conn, longest idle first
+	idleElements map[net.Conn]*list.Element
 }
 
-// newClients returns the count for a process that may have so many descriptors of sockets; 0:
-// not limited.
-func newClients(descriptors int) *clients {
-	return &clients{most: descriptors / clientShare, idle: list.New(), placed: map[net.Conn]*list.Element{}}
+// newClientConns returns a tracker for a process with the given number of socket descriptors; 0:
+// unlimited.
+func newClientConns(descriptors int) *clientConns {
+	return &clientConns{limit: descriptors / clientDescriptorDivisor, idle: list.New(), idleElements: map[net.Conn]*list.Element{}}
 }
 
-// note takes a connection's new state into account; it is an http.Server's ConnState.
-func (c *clients) note(connection net.Conn, state http.ConnState) {
+// trackState records the new state of a connection. It is the ConnState hook of http.Server.
+func (c *clientConns) trackState(connection net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if element, ok := c.placed[connection]; ok {
+	if element, ok := c.idleElements[connection]; ok {
 		c.idle.Remove(element)
-		delete(c.placed, connection)
+		delete(c.idleElements, connection)
 	}
 	switch state {
 	case http.StateNew:
 		c.open++
 	case http.StateIdle:
-		c.placed[connection] = c.idle.PushBack(connection)
+		c.idleElements[connection] = c.idle.PushBack(connection)
 	case http.StateClosed, http.StateHijacked:
 		c.open--
 	}
-	if c.most > 0 && c.open >= c.most {
+	if c.limit > 0 && c.open >= c.limit {
 		c.closeLongestIdle()
 	}
 }
 
-// closeLongestIdle makes room for one connection. The caller holds the mutex. The server notes
-// the end of the connection later, so it may be called once more than is needed.
-func (c *clients) closeLongestIdle() {
+// closeLongestIdle closes the connection that has been idle longest, if any. The caller holds the
+// mutex. The HTTP server reports the close later, so one connection more than needed may be
+// closed.
+func (c *clientConns) closeLongestIdle() {
 	first := c.idle.Front()
 	if first == nil {
 		return
 	}
 	connection := c.idle.Remove(first).(net.Conn)
-	delete(c.placed, connection)
+	delete(c.idleElements, connection)
 	connection.Close()
 }
 
-// takes reports whether new connections are taken.
-func (c *clients) takes() bool {
-	if failed := c.failed.Load(); failed != nil && time.Since(*failed) < failureLasts {
+// accepting reports whether the node can accept new connections.
+func (c *clientConns) accepting() bool {
+	if failed := c.acceptFailed.Load(); failed != nil && time.Since(*failed) < acceptFailureTTL {
 		return false
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.most == 0 || c.open < c.most || c.idle.Len() > 0
+	return c.limit == 0 || c.open < c.limit || c.idle.Len() > 0
 }
 
-// listen returns a listener that is watched: a node that could not take the last connection
-// is not ready until it takes one again, or may.
-func (c *clients) listen(listener net.Listener, guard silence.Guard) net.Listener {
-	return &watchedListener{Listener: silence.Listener{Listener: listener, Guard: guard}, clients: c}
+// trackListener wraps a listener to record whether the last Accept succeeded.
+func (c *clientConns) trackListener(listener net.Listener, guard silence.Guard) net.Listener {
+	return &trackedListener{Listener: silence.Listener{Listener: listener, Guard: guard}, clients: c}
 }
 
-type watchedListener struct {
+type trackedListener struct {
 	net.Listener
-	clients *clients
+	clients *clientConns
 }
 
 // Accept implements net.Listener.
-func (w *watchedListener) Accept() (net.Conn, error) {
+func (w *trackedListener) Accept() (net.Conn, error) {
 	connection, err := w.Listener.Accept()
 	if err == nil {
-		w.clients.failed.Store(nil)
+		w.clients.acceptFailed.Store(nil)
 		return connection, nil
 	}
 	now := time.Now()
-	w.clients.failed.Store(&now)
+	w.clients.acceptFailed.Store(&now)
 	return connection, err
 }
--- a/internal/server/clients_test.go
+++ b/internal/server/clients_test.go
@@ -13,77 +13,79 @@
 	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
-// closing notes that it was closed.
-type closing struct {
+// fakeConn records whether it was closed.
+type fakeConn struct {
 	net.Conn
 	closed bool
 }
 
-func (c *closing) Close() error {
+func (c *fakeConn) Close() error {
 	c.closed = true
 	return nil
 }
 
-func TestLongestIdleConnectionMakesRoom(t *testing.T) {
-	c := newClients(3 * clientShare)
-	connections := []*closing{{}, {}, {}}
+// Guards against an idle client blocking new connections at the limit.
+func TestLongestIdleConnectionIsClosedAtTheLimit(t *testing.T) {
+	c := newClientConns(3 * clientDescriptorDivisor)
+	connections := []*fakeConn{{}, {}, {}}
 	for _, connection := range connections[:2] {
-		c.note(connection, http.StateNew)
-		c.note(connection, http.StateActive)
-		c.note(connection, http.StateIdle)
+		c.trackState(connection, http.StateNew)
+		c.trackState(connection, http.StateActive)
+		c.trackState(connection, http.StateIdle)
 	}
-	c.note(connections[0], http.StateActive)
-	c.note(connections[0], http.StateIdle)
-	require.False(t, connections[1].closed, "there is room")
-	c.note(connections[2], http.StateNew)
-	require.True(t, connections[1].closed, "the longest idle")
+	c.trackState(connections[0], http.StateActive)
+	c.trackState(connections[0], http.StateIdle)
+	require.False(t, connections[1].closed, "below the limit")
+	c.trackState(connections[2], http.StateNew)
+	require.True(t, connections[1].closed, "idle longest")
 	require.False(t, connections[0].closed)
-	require.True(t, c.takes())
-	c.note(connections[1], http.StateClosed)
+	require.True(t, c.accepting())
+	c.trackState(connections[1], http.StateClosed)
 	require.False(t, connections[0].closed)
 }
 
-func TestNodeWithoutRoomIsNotReady(t *testing.T) {
-	c := newClients(2 * clientShare)
-	first, second := &closing{}, &closing{}
-	for _, connection := range []*closing{first, second} {
-		c.note(connection, http.StateNew)
-		c.note(connection, http.StateActive)
+// Guards against cutting off requests at the connection limit, and against reporting ready there.
+func TestNodeAtTheConnectionLimitDoesNotAccept(t *testing.T) {
+	c := newClientConns(2 * clientDescriptorDivisor)
+	first, second := &fakeConn{}, &fakeConn{}
+	for _, connection := range []*fakeConn{first, second} {
+		c.trackState(connection, http.StateNew)
+		c.trackState(connection, http.StateActive)
 	}
-	require.False(t, c.takes())
-	require.False(t, first.closed, "requests under way are not cut")
-	c.note(first, http.StateClosed)
-	require.True(t, c.takes())
+	require.False(t, c.accepting())
+	require.False(t, first.closed, "connections with a request in progress stay open")
+	c.trackState(first, http.StateClosed)
+	require.True(t, c.accepting())
 
-	unlimited := newClients(0)
-	unlimited.note(first, http.StateNew)
-	require.True(t, unlimited.takes())
+	unlimited := newClientConns(0)
+	unlimited.trackState(first, http.StateNew)
+	require.True(t, unlimited.accepting())
 }
 
-// accepting accepts by a list of failures.
-type accepting struct {
+// fakeListener accepts with the given errors, in order.
+type fakeListener struct {
 	net.Listener
-	failures []error
+	errors []error
 }
 
-func (a *accepting) Accept() (net.Conn, error) {
-	failure := a.failures[0]
-	a.failures = a.failures[1:]
-	return &closing{}, failure
+func (a *fakeListener) Accept() (net.Conn, error) {
+	err := a.errors[0]
+	a.errors = a.errors[1:]
+	return &fakeConn{}, err
 }
 
-// TestNodeThatCannotAcceptIsNotReady: until it takes a connection again, or nothing shows any
-// more that it could not. A node that is not ready gets none to show it.
-func TestNodeThatCannotAcceptIsNotReady(t *testing.T) {
+// Guards against a node that reports ready although it cannot accept connections, and against one
+// that stays not ready because it gets no further connection.
+func TestAcceptFailureStopsAcceptingForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newClients(0)
-		listener := c.listen(&accepting{failures: []error{nil, syscall.EMFILE, nil, syscall.EMFILE}}, silence.Guard{})
+		c := newClientConns(0)
+		listener := c.trackListener(&fakeListener{errors: []error{nil, syscall.EMFILE, nil, syscall.EMFILE}}, silence.Guard{})
 		for _, takes := range []bool{true, false, true, false} {
 			_, err := listener.Accept()
 			require.Equal(t, takes, err == nil)
-			require.Equal(t, takes, c.takes())
+			require.Equal(t, takes, c.accepting())
 		}
-		time.Sleep(failureLasts)
-		require.True(t, c.takes())
+		time.Sleep(acceptFailureTTL)
+		require.True(t, c.accepting())
 	})
 }
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -10,102 +10,106 @@
 	"github.com/cloverwheel/cloverwheel/internal/warmup"
 )
 
-// core is what a node knows of programs.
-type core struct {
+// components are the parts of a node that keep state about programs.
+type components struct {
 	budgets    *budget.Book
 	history    *history.Keeper
-	programs   *directory.Directory // nil: the node does not talk to others
+	directory  *directory.Directory // nil: the node runs without peers
 	neighbours forward.Neighbours   // nil likewise
-	// table is the way to the table, also through other nodes.
-	table tableWays
-	// limits lends what tenants may ask for; nil if the node does not talk to others.
+	// store is the shared store, called directly or through other nodes.
+	store relayedStore
+	// limits enforces the request limits of tenants; nil if the node runs without peers.
 	limits forward.Limits
-	// allowance lends requests to cold workers; nil likewise.
+	// allowance limits requests to cold workers; nil likewise.
 	allowance forward.Allowance
-	// room finds workers with room; nil likewise.
-	room *rooms
+	// room finds workers with free capacity; nil likewise.
+	room *roomTracker
 }
 
-// newCore returns the core of a node, and sets what other nodes are answered from it.
-func newCore(options Options, gate *store.Gate, peers *peers, knowledge *knowledge) core {
+// newComponents returns the components of a node and registers their handlers for calls of other
+// nodes.
+func newComponents(options Options, gate *store.Gate, peers *peers, verifier *verifier) components {
 	if peers.address == "" {
-		return newLoneCore(options, gate)
+		return newStandaloneComponents(options, gate)
 	}
-	self, vantage, others := options.self(), options.Settings.vantage(), peers.asker
-	relays := &relays{transport: peers.transport, vantage: vantage, patience: gate.Patience, count: options.Metrics.Relayed.Inc}
-	table := store.NewRelayed(gate, relays, options.Logger)
-	programs := directory.New(directory.Options{
-		Store: gate, Self: self, Peers: others, Patience: others.patience, Vantage: vantage, Logger: options.Logger,
+	self, vantage, client := options.self(), options.Settings.vantage(), peers.client
+	relay := &relayClient{transport: peers.transport, vantage: vantage, timeout: gate.Patience, countCall: options.Metrics.RelayedCalls.Inc}
+	relayed := store.NewRelayed(gate, relay, options.Logger)
+	dir := directory.New(directory.Options{
+		Store: gate, Self: self, Peers: client, Patience: client.timeout, Vantage: vantage, Logger: options.Logger,
 		LentFor: max(options.Settings.Limits.Window, warmup.LentFor),
-		Grants:  others, CountGrant: options.Metrics.Grant,
+		Grants:  client, CountGrant: options.Metrics.Grant,
 	})
-	options.Metrics.WatchGrants(programs.GrantRights)
-	peers.transport.owners = programs.Owners
+	options.Metrics.RegisterGrantGauges(dir.GrantRights)
+	peers.transport.owners = dir.Owners
 	budgets := budget.NewBook(budget.Options{
-		Store: table, Self: self, Peers: others, Patience: others.patience, Locator: programs, Granter: programs, Vantage: vantage,
+		Store: relayed, Self: self, Peers: client, Patience: client.timeout, Locator: dir, Granter: dir, Vantage: vantage,
 	})
-	relays.known = func() []budget.Holder { return withFarOwners(vantage, budgets.Met(), programs.Owners()) }
-	kept := options.history(table)
-	kept.Together = newWriter(options, table, peers, programs)
-	keeper := history.New(kept)
-	peers.handle(options.Process, budgets, keeper, programs)
-	handleRelayed(peers.mux, options.Process, gate)
-	return core{
-		budgets: budgets, history: keeper, programs: programs, neighbours: others, table: table,
-		limits:    newLimits(options, peers, knowledge, programs),
-		allowance: newAllowance(options, peers, knowledge, programs),
-		room:      newRooms(options, peers, knowledge, programs),
+	relay.candidates = func() []budget.Holder { return withRemoteOwners(vantage, budgets.Met(), dir.Owners()) }
+	historyOptions := options.historyOptions(relayed)
+	historyOptions.Together = newGatherWriter(options, relayed, peers, dir)
+	turns := history.New(historyOptions)
+	peers.handleProgramCalls(options.Process, budgets, turns, dir)
+	handleRelayCalls(peers.mux, options.Process, gate)
+	return components{
+		budgets: budgets, history: turns, directory: dir, neighbours: client, store: relayed,
+		limits:    newTenantLimits(options, peers, verifier, dir),
+		allowance: newColdAllowance(options, peers, verifier, dir),
+		room:      newRoomTracker(options, peers, verifier, dir),
 	}
 }
 
-// newLoneCore is that of a node that does not talk to others.
-func newLoneCore(options Options, gate *store.Gate) core {
-	return core{
+// newStandaloneComponents returns the components of a node that runs without peers.
+func newStandaloneComponents(options Options, gate *store.Gate) components {
+	return components{
 		budgets: budget.NewBook(budget.Options{Store: gate, Self: options.self()}),
-		history: history.New(options.history(gate)),
-		table:   gate,
+		history: history.New(options.historyOptions(gate)),
+		store:   gate,
 	}
 }
 
-// newLimits lends and borrows of tenants' limits.
-func newLimits(options Options, peers *peers, knowledge *knowledge, programs *directory.Directory) forward.Limits {
+// newTenantLimits returns the borrower of tenants' request limits, and serves as lender to other
+// nodes.
+func newTenantLimits(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.Limits {
 	vantage := options.Settings.vantage()
 	layout := directory.NewLayout(vantage.Places)
 	lender := quota.NewLender(quota.LenderOptions{
-		Leases: programs, Layout: layout, Tolerance: options.Settings.Limits,
-		LimitOf: knowledge.limitOf, Proof: knowledge.fresh.Proof,
+		Leases: dir, Layout: layout, Tolerance: options.Settings.Limits,
+		LimitOf: verifier.limitOf, Proof: verifier.fresh.Proof,
 	})
-	peers.handleKnowledge(lender, knowledge)
+	peers.handleProofsAndLimits(lender, verifier)
 	return quota.NewBorrower(quota.BorrowerOptions{
-		Self: options.self(), Layout: layout, Region: vantage.Region(), Owners: programs,
-		Peers: peers.asker, Patience: peers.asker.patience, Lender: lender,
-		Learn: knowledge.learn, Count: options.Metrics.LimitAnswer,
+		Self: options.self(), Layout: layout, Region: vantage.Region(), Owners: dir,
+		Peers: peers.client, Patience: peers.client.timeout, Lender: lender,
+		Learn: verifier.adoptProof, Count: options.Metrics.LimitAnswer,
 	})
 }
 
-// newAllowance lends and borrows requests to cold workers.
-func newAllowance(options Options, peers *peers, knowledge *knowledge, programs *directory.Directory) forward.Allowance {
+// newColdAllowance returns the borrower of requests to cold workers, and serves as lender to
+// other nodes.
+func newColdAllowance(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.Allowance {
 	places := options.Settings.Places
 	slots := warmup.Slots{Layout: directory.NewLayout(places), Places: places}
-	lender := warmup.NewLender(programs, slots, knowledge.bearing)
-	peers.handleCold(lender)
+	lender := warmup.NewLender(dir, slots, verifier.coldLimit)
+	peers.handleColdLending(lender)
 	return warmup.NewBorrower(warmup.BorrowerOptions{
-		Self: options.self(), Slots: slots, Owners: programs,
-		Peers: peers.asker, Patience: peers.asker.patience, Lender: lender,
+		Self: options.self(), Slots: slots, Owners: dir,
+		Peers: peers.client, Patience: peers.client.timeout, Lender: lender,
 		Count: options.Metrics.ColdAnswer,
 	})
 }
 
-// self is this process, as others name it.
+// self identifies this process to other nodes.
 func (o Options) self() budget.Holder {
 	return budget.Holder{Process: o.Process, Address: o.Settings.Peers}
 }
 
-// history are the options of what is remembered of programs, kept in a table.
-func (o Options) history(table store.Store) history.Options {
+// historyOptions returns the options of the history keeper, which stores turns in the given
+// store.
+func (o Options) historyOptions(table store.Store) history.Options {
 	return history.Options{
 		Store:      table,
-		CacheBytes: int(o.Settings.MemoryBytes / memoryForHistory),
+		CacheBytes: int(o.Settings.MemoryBytes / historyMemoryDivisor),
 		Region:     o.Settings.Places.Region(o.Settings.Zone),
 	}
 }
--- a/internal/server/errorlog.go
+++ b/internal/server/errorlog.go
@@ -7,19 +7,18 @@
 	"github.com/apex/log"
 )
 
-// httpErrors logs what net/http reports by itself, such as a handler that panicked:
-// its client got neither an answer nor a refusal.
-type httpErrors struct{ logger log.Interface }
+// httpErrorWriter forwards the errors that net/http logs itself, such as a panic in a handler,
+// whose client got no response.
+type httpErrorWriter struct{ logger log.Interface }
 
-// newErrorLog returns a logger for an http.Server.
+// newErrorLog returns a logger for http.Server.ErrorLog.
 func newErrorLog(logger log.Interface) *stdlog.Logger {
-	return stdlog.New(httpErrors{logger}, "", 0)
+	return stdlog.New(httpErrorWriter{logger}, "", 0)
 }
 
-// Write implements io.Writer. A report's first line says what happened, the others
-// where.
-func (h httpErrors) Write(report []byte) (int, error) {
-	what, where, _ := bytes.Cut(bytes.TrimSpace(report), []byte("\n"))
-	h.logger.WithField("where", string(where)).WithField("what", string(what)).Error("net/http reports an error")
+// Write implements io.Writer. The first line of a report is the message, the rest the stack.
+func (h httpErrorWriter) Write(report []byte) (int, error) {
+	message, stack, _ := bytes.Cut(bytes.TrimSpace(report), []byte("\n"))
+	h.logger.WithField("where", string(stack)).WithField("what", string(message)).Error("net/http reported an error")
 	return len(report), nil
 }
--- a/internal/server/evacuations.go
+++ b/internal/server/evacuations.go
@@ -10,10 +10,10 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// newBoard returns the board of evacuated zones of a node, which logs and counts what
-// changes on it. reopened is told of zones that are taken back: their workers may be cold.
-// It returns how many are taken to be.
-func newBoard(options Options, reopened func(zone string, revision store.Version) (cold int)) *evacuation.Board {
+// newEvacuationBoard returns the board of evacuated zones, which logs and counts each change.
+// reopened is called for each zone that is no longer evacuated, and returns how many of its
+// workers are assumed to be cold.
+func newEvacuationBoard(options Options, reopened func(zone string, revision store.Version) (cold int)) *evacuation.Board {
 	return evacuation.New(func(change evacuation.Change) {
 		cold := 0
 		if !change.Evacuated {
@@ -26,51 +26,51 @@
 			"revision":     uint64(change.Revision),
 			"source":       string(change.Source),
 			"cold_workers": cold,
-		}).Info("evacuation")
+		}).Info("evacuation state of zone changed")
 	})
 }
 
-// replaceOperator takes over all of the operator's rows: a zone without a row there is not
-// evacuated any more.
-func (s *Server) replaceOperator(read follow.Reading) {
-	s.board.Whole(read.Version, s.words(read.Rows))
-	s.takeConfigurations(read.Rows)
+// replaceOperatorRows applies a complete read of the operator's rows. A zone without a row is no
+// longer evacuated.
+func (s *Server) replaceOperatorRows(read follow.Reading) {
+	s.evacuations.Whole(read.Version, s.evacuationOrders(read.Rows))
+	s.applyConfigurations(read.Rows)
 }
 
-// changeOperator takes over changed rows of the operator's. A configuration that comes in a
-// part of the first whole read waits for the rest: who has it serves, and must know first
-// which zones are evacuated.
-func (s *Server) changeOperator(rows []store.Row) {
-	for _, word := range s.words(rows) {
-		s.board.Hear(word, evacuation.FromTable)
+// applyOperatorRows applies changed operator rows. A configuration that arrives with a page of
+// the initial read is ignored until the read is complete: a node must know the evacuated zones
+// before it serves.
+func (s *Server) applyOperatorRows(rows []store.Row) {
+	for _, order := range s.evacuationOrders(rows) {
+		s.evacuations.Hear(order, evacuation.FromTable)
 	}
-	if s.board.Known() {
-		s.takeConfigurations(rows)
+	if s.evacuations.Known() {
+		s.applyConfigurations(rows)
 	}
 }
 
-// words are what rows say of evacuated zones.
-func (s *Server) words(rows []store.Row) (words []evacuation.Word) {
+// evacuationOrders returns the evacuation orders that the rows contain.
+func (s *Server) evacuationOrders(rows []store.Row) (orders []evacuation.Word) {
 	if s.options.Records.Evacuation == nil {
 		return nil
 	}
 	for _, row := range rows {
 		if zone, ok := s.options.Records.Evacuation(row); ok {
-			words = append(words, evacuation.Word{Zone: zone, Evacuated: !row.Gone, Revision: row.Version})
+			orders = append(orders, evacuation.Word{Zone: zone, Evacuated: !row.Gone, Revision: row.Version})
 		}
 	}
-	return words
+	return orders
 }
 
-// evacuateShare of the time after which an evacuation binds is how soon after trouble with
-// the table it is known: the rest is for reading the rows as a whole.
-const evacuateShare = 0.8
+// operatorStalenessRatio is the part of EvacuateWithin after which the operator's rows must be
+// current again following a store failure. The rest is for reading all rows.
+const operatorStalenessRatio = 0.8
 
-// operatorFresh is how soon after trouble with the table the operator's rows must be known
-// again; 0: as soon as a feed tells.
-func (s Settings) operatorFresh() time.Duration {
+// maxOperatorStaleness is how soon after a store failure the operator's rows must be current
+// again; 0: as soon as the feed delivers them.
+func (s Settings) maxOperatorStaleness() time.Duration {
 	if s.EvacuateWithin == 0 {
 		return s.Fresh
 	}
-	return min(s.Fresh, time.Duration(evacuateShare*float64(s.EvacuateWithin)))
+	return min(s.Fresh, time.Duration(operatorStalenessRatio*float64(s.EvacuateWithin)))
 }
--- a/internal/server/evacuations_test.go
+++ b/internal/server/evacuations_test.go
@@ -13,9 +13,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// TestNodeServesOnlyOnceItKnowsWhichZonesAreEvacuated: a configuration in a part of the first
-// whole read is in force with the rest, and no sooner.
-func TestNodeServesOnlyOnceItKnowsWhichZonesAreEvacuated(t *testing.T) {
+// Guards against serving with an incomplete list of evacuated zones: a configuration that arrives
+// with a page of the initial read takes effect only when the read is complete.
+func TestConfigurationWaitsForEvacuatedZones(t *testing.T) {
 	configuration, evacuated := row("configuration", 3), row("evacuated", 4)
 	s := New(Options{
 		Store: storetest.New(),
@@ -28,14 +28,14 @@
 		Metrics: NewMetrics(),
 		Logger:  &log.Logger{Handler: discard.New()},
 	})
-	s.changeOperator([]store.Row{configuration})
+	s.applyOperatorRows([]store.Row{configuration})
 	require.Nil(t, s.forwarder.Configuration())
-	s.replaceOperator(follow.Reading{Rows: []store.Row{configuration, evacuated}, Version: 5, Whole: true})
+	s.replaceOperatorRows(follow.Reading{Rows: []store.Row{configuration, evacuated}, Version: 5, Whole: true})
 	require.NotNil(t, s.forwarder.Configuration())
 	require.True(t, s.Evacuated("a"))
 	gone := row(evacuated.Name, 6)
 	gone.Gone = true
-	s.changeOperator([]store.Row{gone})
+	s.applyOperatorRows([]store.Row{gone})
 	require.False(t, s.Evacuated("a"))
 }
 
--- a/internal/server/experiencemetrics.go
+++ b/internal/server/experiencemetrics.go
@@ -9,33 +9,33 @@
 	"github.com/cloverwheel/cloverwheel/internal/experience"
 )
 
-// ExperienceMetrics count what the experience of all nodes with workers leads to, at the node that
-// merges it.
-type ExperienceMetrics struct {
-	decisions *prometheus.CounterVec // by event and reason
-	out       prometheus.Histogram   // how long workers were ejected
+// EjectionMetrics count the decisions to eject and readmit workers, on the node that merges the
+// observations of all nodes.
+type EjectionMetrics struct {
+	decisions  *prometheus.CounterVec // by event and reason
+	ejectedFor prometheus.Histogram   // seconds for which workers were ejected
 }
 
-func newExperienceMetrics(registry *prometheus.Registry) *ExperienceMetrics {
-	m := &ExperienceMetrics{
-		decisions: prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_ejections_total", Help: "Decisions on workers by the experience of all nodes, by event and reason."}, []string{"event", "reason"}),
-		out:       prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "worker_ejected_seconds", Help: "Time for which workers got no requests but trials.", Buckets: []float64{1, 2, 4, 8, 16, 32}}),
+func newEjectionMetrics(registry *prometheus.Registry) *EjectionMetrics {
+	m := &EjectionMetrics{
+		decisions:  prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_ejections_total", Help: "Ejections and readmissions of workers based on the observations of all nodes, by event and reason."}, []string{"event", "reason"}),
+		ejectedFor: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "worker_ejected_seconds", Help: "Time for which ejected workers got only trial requests.", Buckets: []float64{1, 2, 4, 8, 16, 32}}),
 	}
-	registry.MustRegister(m.decisions, m.out)
+	registry.MustRegister(m.decisions, m.ejectedFor)
 	return m
 }
 
-// Noted logs and counts a decision on a worker of a group.
-func (m *ExperienceMetrics) Noted(logger log.Interface, group fmt.Stringer, change experience.Change) {
+// RecordDecision logs and counts a decision on a worker of a group.
+func (m *EjectionMetrics) RecordDecision(logger log.Interface, group fmt.Stringer, change experience.Change) {
 	m.decisions.WithLabelValues(change.Event(), string(change.Reason)).Inc()
 	fields := log.Fields{
 		"worker": change.Worker,
 		"group":  group.String(),
 		"reason": string(change.Reason),
-		"share":  hundredths(change.Share),
-		"weight": hundredths(change.Weight),
+		"share":  truncateHundredths(change.Share),
+		"weight": truncateHundredths(change.Weight),
 		"nodes":  change.Nodes,
-		"busy":   hundredths(change.Busy),
+		"busy":   truncateHundredths(change.Busy),
 	}
 	if change.Out {
 		fields["wait_ms"] = change.Wait.Milliseconds()
@@ -43,9 +43,9 @@
 		return
 	}
 	fields["lasted_ms"] = change.Lasted.Milliseconds()
-	m.out.Observe(change.Lasted.Seconds())
+	m.ejectedFor.Observe(change.Lasted.Seconds())
 	logger.WithFields(fields).Infof("worker %s", change.Event())
 }
 
-// hundredths cuts a number for the log.
-func hundredths(value float64) float64 { return float64(int(100*value)) / 100 }
+// truncateHundredths truncates a number to two decimals.
+func truncateHundredths(value float64) float64 { return float64(int(100*value)) / 100 }
--- a/internal/server/experiencemetrics_test.go
+++ b/internal/server/experiencemetrics_test.go
@@ -13,13 +13,14 @@
 	"github.com/cloverwheel/cloverwheel/internal/experience"
 )
 
-type named string
+type groupName string
 
-func (n named) String() string { return string(n) }
+func (n groupName) String() string { return string(n) }
 
-func TestDecisionsOnWorkersAreLoggedAndCounted(t *testing.T) {
+// Guards against ejections missing from the log or the metrics.
+func TestEjectionDecisionsAreLoggedAndCounted(t *testing.T) {
 	registry := prometheus.NewRegistry()
-	metrics := newExperienceMetrics(registry)
+	metrics := newEjectionMetrics(registry)
 	handler := memory.New()
 	logger := &log.Logger{Handler: handler, Level: log.InfoLevel}
 	for _, change := range []experience.Change{
@@ -27,7 +28,7 @@
 		{Worker: "w@1", Out: true, Reason: experience.Tried, Wait: 2 * time.Second},
 		{Worker: "w@1", Reason: experience.Sound, Lasted: 3 * time.Second},
 	} {
-		metrics.Noted(logger, named("s/a/0"), change)
+		metrics.RecordDecision(logger, groupName("s/a/0"), change)
 	}
 	require.Len(t, handler.Entries, 3)
 	require.Equal(t, "worker ejected", handler.Entries[0].Message)
--- a/internal/server/finder.go
+++ b/internal/server/finder.go
@@ -13,134 +13,138 @@
 )
 
 const (
-	// fewestWorkers of each service that the configuration leads to are kept, or all that it has:
-	// as many as a node's plain requests go to (backend's shortlist).
-	fewestWorkers = 8
-	// growPause is the least time between two times that the part grows because requests found
-	// no worker.
-	growPause = time.Second
-	// keeperRows are how many workers keep what some prompts share, of all services together.
-	// With 9 model workers in ten and five zones each zone has five or six, of six places each:
-	// 30 requests at once, of which the most popular part of 123 programs a second has 5. Where
-	// they are full others read it, too.
-	keeperRows = 32
-	// keepersLast is how long it is remembered who they are, and fewestKeepers how many must be
-	// left of them for that: workers come and go.
-	keepersLast   = 30 * time.Second
-	fewestKeepers = keeperRows / 2
-	// mostKeptParts bounds the shared parts whose keepers are remembered.
-	mostKeptParts = 256
-	// findWait bounds a question to the table on a turn's path. It takes some 6 ms; without its
-	// answer the turn goes on and some workers read again what others keep.
-	findWait = 60 * time.Millisecond
+	// minWorkersPerService is how many workers of each targeted service the node keeps, or all if
+	// there are fewer. It equals the size of backend's shortlist for requests without an assigned
+	// worker.
+	minWorkersPerService = 8
+	// growInterval is the minimum time between two extensions of the kept part because of
+	// requests that found no worker.
+	growInterval = time.Second
+	// prefixHolderLimit is how many workers, over all services, are assigned to hold a shared
+	// prompt prefix in their cache. When these are full, other workers compute the prefix as
+	// well.
+	prefixHolderLimit = 32
+	// prefixHolderTTL is how long the holders of a prefix are cached. The entry is dropped
+	// earlier if fewer than minPrefixHolders of them remain registered.
+	prefixHolderTTL  = 30 * time.Second
+	minPrefixHolders = prefixHolderLimit / 2
+	// maxCachedPrefixes bounds the number of prefixes whose holders are cached.
+	maxCachedPrefixes = 256
+	// lookupTimeout bounds a lookup in the store on the path of a request. On a timeout the
+	// request proceeds, and some workers compute again what others have cached.
+	lookupTimeout = 60 * time.Millisecond
 )
 
-// finder finds workers on a list of which this node keeps a part. It implements forward.Finder.
-type finder struct {
-	workers  *backend.Registry
-	list     *follow.Follower
-	gate     *store.Gate
-	services func() []string // that the configuration in force leads to; nil: none is known
-	count    func(found string)
+// workerFinder finds workers in a list of which this node keeps only a part. It implements
+// forward.Finder.
+type workerFinder struct {
+	workers     *backend.Registry
+	follower    *follow.Follower
+	gate        *store.Gate
+	services    func() []string // services targeted by the current configuration; nil: no configuration
+	countLookup func(result string)
 
-	short atomic.Bool // a request has found no worker since the part last grew
-	grown time.Time   // when it last grew for that; used by the follower alone
+	workerMissing atomic.Bool // a request found no worker since the kept part last grew
+	lastGrown     time.Time   // when the kept part last grew for that reason; used by the follower alone
 
-	mutex   sync.Mutex
-	keepers map[string]keepers // by shared part
+	mutex         sync.Mutex
+	prefixHolders map[string]prefixHolders // by prefix
 }
 
-// keepers are the IDs of workers that keep a shared part, as they were found at a moment.
-type keepers struct {
-	ids   []string
-	found time.Time
+// prefixHolders are the IDs of the workers that hold a prefix, as read from the store.
+type prefixHolders struct {
+	ids     []string
+	foundAt time.Time
 }
 
-// enough reports whether the part of the list that is kept is enough for this node.
-func (f *finder) enough() bool {
+// hasEnough reports whether the kept part of the list is sufficient. It is false at most once per
+// growInterval after a request found no worker.
+func (f *workerFinder) hasEnough() bool {
 	for _, service := range f.services() {
-		if f.workers.Count(service) < fewestWorkers {
+		if f.workers.Count(service) < minWorkersPerService {
 			return false
 		}
 	}
-	if f.short.Load() && time.Since(f.grown) > growPause {
-		f.short.Store(false)
-		f.grown = time.Now()
+	if f.workerMissing.Load() && time.Since(f.lastGrown) > growInterval {
+		f.workerMissing.Store(false)
+		f.lastGrown = time.Now()
 		return false
 	}
 	return true
 }
 
-// NoteShort implements forward.Finder.
-func (f *finder) NoteShort() { f.short.Store(true) }
+// NoteShort implements forward.Finder. It makes the kept part grow.
+func (f *workerFinder) NoteShort() { f.workerMissing.Store(true) }
 
-// Worker implements forward.Finder.
-func (f *finder) Worker(ctx context.Context, key string) {
+// Worker implements forward.Finder. It reads the record of an unknown worker from the store.
+func (f *workerFinder) Worker(ctx context.Context, key string) {
 	id := backend.IDOf(key)
-	if f.workers.Knows(id) || f.list.Whole() || f.gate.Suspect() {
+	if f.workers.Knows(id) || f.follower.Whole() || f.gate.Suspect() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, findWait)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	rows, err := f.list.Ask(ctx, id, id+"\x00", 1)
-	f.note("worker", len(rows), err)
+	rows, err := f.follower.Ask(ctx, id, id+"\x00", 1)
+	f.countResult("worker", len(rows), err)
 }
 
-// Keepers implements forward.Finder.
-func (f *finder) Keepers(ctx context.Context, sharedPart string) []string {
-	if f.list.Whole() {
+// Keepers implements forward.Finder. It returns the IDs of the workers that are assigned to hold a
+// prompt prefix; nil if the whole list is kept, or if they are unknown.
+func (f *workerFinder) Keepers(ctx context.Context, prefix string) []string {
+	if f.follower.Whole() {
 		return nil
 	}
-	if known := f.remembered(sharedPart); known != nil || f.gate.Suspect() {
-		return known
+	if cached := f.cachedHolders(prefix); cached != nil || f.gate.Suspect() {
+		return cached
 	}
-	ctx, cancel := context.WithTimeout(ctx, findWait)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	rows, err := f.list.AskAt(ctx, sharedPart, keeperRows)
-	f.note("keepers", len(rows), err)
+	rows, err := f.follower.AskAt(ctx, prefix, prefixHolderLimit)
+	f.countResult("keepers", len(rows), err)
 	if err != nil {
 		return nil
 	}
-	return f.remember(sharedPart, rows)
+	return f.cacheHolders(prefix, rows)
 }
 
-// remembered are the keepers of a shared part; nil if they have to be asked for.
-func (f *finder) remembered(sharedPart string) []string {
+// cachedHolders returns the cached holders of a prefix, or nil if they must be read from the
+// store.
+func (f *workerFinder) cachedHolders(prefix string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	known, ok := f.keepers[sharedPart]
-	if !ok || time.Since(known.found) > keepersLast {
+	cached, ok := f.prefixHolders[prefix]
+	if !ok || time.Since(cached.foundAt) > prefixHolderTTL {
 		return nil
 	}
-	left := slices.DeleteFunc(slices.Clone(known.ids), func(id string) bool { return !f.workers.Knows(id) })
-	if len(left) < fewestKeepers {
+	remaining := slices.DeleteFunc(slices.Clone(cached.ids), func(id string) bool { return !f.workers.Knows(id) })
+	if len(remaining) < minPrefixHolders {
 		return nil
 	}
-	return left
+	return remaining
 }
 
-func (f *finder) remember(sharedPart string, rows []store.Row) []string {
+func (f *workerFinder) cacheHolders(prefix string, rows []store.Row) []string {
 	ids := make([]string, 0, len(rows))
 	for _, row := range rows {
 		ids = append(ids, row.Name)
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.keepers) >= mostKeptParts {
-		clear(f.keepers) // parts in use are found again
+	if len(f.prefixHolders) >= maxCachedPrefixes {
+		clear(f.prefixHolders) // prefixes in use are looked up again
 	}
-	f.keepers[sharedPart] = keepers{ids: ids, found: time.Now()}
+	f.prefixHolders[prefix] = prefixHolders{ids: ids, foundAt: time.Now()}
 	return ids
 }
 
-// note counts what came of a question.
-func (f *finder) note(what string, rows int, err error) {
+// countResult counts the result of a lookup.
+func (f *workerFinder) countResult(target string, rows int, err error) {
 	switch {
 	case err != nil:
-		f.count(what + "_failed")
+		f.countLookup(target + "_failed")
 	case rows == 0:
-		f.count(what + "_none")
+		f.countLookup(target + "_none")
 	default:
-		f.count(what)
+		f.countLookup(target)
 	}
 }
--- /dev/null
+++ b/internal/server/gather_metrics.go
@@ -0,0 +1,38 @@
+package server
+
+import (
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/cloverwheel/cloverwheel/internal/gather"
+)
+
+var _ gather.Meter = (*Metrics)(nil)
+
+// registerGatherMetrics registers the metrics of batched row writes.
+func (m *Metrics) registerGatherMetrics() {
+	m.gatherCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "gather_calls_total", Help: "Store calls that wrote batched rows, by whether the store accepted them."}, []string{"taken"})
+	m.gatherRows = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "gather_rows", Help: "Rows per store call that wrote batched rows.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64, 100}})
+	m.gatherWait = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "gather_wait_seconds", Help: "Time from the arrival of rows at this node until the store accepted them or their sender's deadline passed.", Buckets: []float64{.01, .02, .04, .08, .16, .32, .64, 1.28}})
+	m.gatherRequests = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "gather_asks_total", Help: "Turns whose rows this node sent to the owner of their group, by outcome. Rows with an outcome other than kept were written by this node itself."}, []string{"outcome"})
+	m.Registry.MustRegister(m.gatherCalls, m.gatherRows, m.gatherWait, m.gatherRequests)
+}
+
+// GatherCall implements gather.Meter.
+func (m *Metrics) GatherCall(rows int, taken bool) {
+	label := "no"
+	if taken {
+		label = "yes"
+	}
+	m.gatherCalls.WithLabelValues(label).Inc()
+	m.gatherRows.Observe(float64(rows))
+}
+
+// GatherWait implements gather.Meter.
+func (m *Metrics) GatherWait(waited time.Duration) { m.gatherWait.Observe(waited.Seconds()) }
+
+// GatherAsk implements gather.Meter.
+func (m *Metrics) GatherAsk(outcome gather.Outcome) {
+	m.gatherRequests.WithLabelValues(string(outcome)).Inc()
+}
--- a/internal/server/guards.go
+++ b/internal/server/guards.go
@@ -8,30 +8,30 @@
 	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
-// Kinds of connections, as metrics and log lines name them.
+// Kinds of connections in metrics and log lines.
 const (
 	kindNode   = "node"
 	kindTable  = "table"
 	kindWorker = "worker"
-	kindClient = "client" // given up by the kernel alone, and not counted
+	kindClient = "client" // closed by the kernel alone, and not counted
 )
 
-// Guards watch a node's connections for silence.
+// Guards detect silent connections of a node, by kind of peer.
 type Guards struct {
 	Nodes, Table, Workers, Clients silence.Guard
 }
 
-// NewGuards returns what watches the connections of a node with these settings.
+// NewGuards returns the guards for a node with these settings.
 func NewGuards(settings Settings, metrics *Metrics, logger log.Interface) Guards {
 	guard := func(kind string, limits silence.Limits) silence.Guard {
 		var once sync.Once
 		return silence.Guard{
 			Limits:  limits,
-			GivenUp: metrics.silent.WithLabelValues(kind).Inc,
+			GivenUp: metrics.silentConnections.WithLabelValues(kind).Inc,
 			Unguarded: func(err error) {
 				once.Do(func() {
 					logger.WithError(err).WithField("kind", kind).
-						Warn("the kernel takes no limit of a connection's silence; look which options it allows")
+						Warn("cannot set the silence timeout of a connection, so a silent peer may go undetected; check which TCP options the kernel supports")
 				})
 			},
 		}
--- a/internal/server/isolation.go
+++ b/internal/server/isolation.go
@@ -14,93 +14,97 @@
 )
 
 const (
-	// isolationTick is how often a node looks whether it is isolated.
-	isolationTick = 100 * time.Millisecond
-	// callPause is the pause between two calls to the table while nobody elsewhere answers.
-	callPause = 300 * time.Millisecond
+	// isolationCheckInterval is how often a node checks whether it is isolated.
+	isolationCheckInterval = 100 * time.Millisecond
+	// storeProbeInterval is the minimum time between two probes of the store while no remote peer
+	// answers. It is also the timeout of a probe.
+	storeProbeInterval = 300 * time.Millisecond
 )
 
-// noteAsked notes what came of a question to another process. Nodes of the own zone are lost
-// together with it; where there is only one zone, all other nodes count.
-func (p *peers) noteAsked(asked budget.Holder, err error) {
+// recordPeerResult records the result of a call to another process for isolation detection. Nodes
+// of the same zone do not count, because they fail together with it, unless there is only one
+// zone.
+func (p *peers) recordPeerResult(target budget.Holder, err error) {
 	switch {
-	case !p.isElsewhere(asked):
+	case !p.outsideFailureDomain(target):
 	case err == nil:
-		p.elsewhere.Answered(time.Now())
+		p.isolation.Answered(time.Now())
 	case !errors.Is(err, context.Canceled):
-		p.elsewhere.Missed(time.Now())
+		p.isolation.Missed(time.Now())
 	}
 }
 
-// isElsewhere reports whether a process runs outside what may be cut off together with this
-// node.
-func (p *peers) isElsewhere(holder budget.Holder) bool {
+// outsideFailureDomain reports whether a process runs outside the zone of this node. With a
+// single zone every process does.
+func (p *peers) outsideFailureDomain(holder budget.Holder) bool {
 	vantage := p.transport.vantage
 	return vantage.To(holder.Zone()) != locality.SameZone || vantage.Places.Zones() <= 1
 }
 
-// IsIsolated reports whether the node has lost the table, by whatever way, and all nodes
-// elsewhere.
+// IsIsolated reports whether the node can reach neither the store, directly or through other
+// nodes, nor any node outside its failure domain.
 func (s *Server) IsIsolated() bool { return s.isolated.Load() }
 
-// SendsAway reports whether clients should take their connections elsewhere.
+// SendsAway reports whether clients should reconnect to another node, because this one is
+// draining or isolated.
 func (s *Server) SendsAway() bool { return s.Draining() || s.IsIsolated() }
 
-// followIsolation keeps the belief up to date until ctx ends.
-func (s *Server) followIsolation(ctx context.Context) {
-	var called time.Time // when the table was last called for this
-	for wait.For(ctx, isolationTick) == nil {
+// monitorIsolation updates the isolation state until ctx ends.
+func (s *Server) monitorIsolation(ctx context.Context) {
+	var lastProbe time.Time // time of the last store probe
+	for wait.For(ctx, isolationCheckInterval) == nil {
 		now := time.Now()
-		if s.peers.elsewhere.InDoubt(now) {
-			go s.askElsewhere(ctx)
+		if s.peers.isolation.InDoubt(now) {
+			go s.probeRemotePeer(ctx)
 		}
-		if s.peers.elsewhere.Silent() && now.Sub(called) >= callPause {
-			called = now
-			go s.callTable(ctx)
+		if s.peers.isolation.Silent() && now.Sub(lastProbe) >= storeProbeInterval {
+			lastProbe = now
+			go s.probeStore(ctx)
 		}
-		s.noteIsolation(s.peers.elsewhere.Isolated(s.table.Lost(), now))
+		s.setIsolated(s.peers.isolation.Isolated(s.store.Lost(), now))
 	}
 }
 
-// noteIsolation takes over whether the node is isolated.
-func (s *Server) noteIsolation(isolated bool) {
+// setIsolated updates the isolation state and logs a change.
+func (s *Server) setIsolated(isolated bool) {
 	if isolated == s.isolated.Swap(isolated) {
 		return
 	}
-	s.options.Logger.WithField("isolated", isolated).WithField("proof_ms", s.knowledge.proofAge()).
-		Warn("isolation: a node that reaches neither the table nor nodes elsewhere takes no new clients")
+	s.options.Logger.WithField("isolated", isolated).WithField("proof_ms", s.verifier.proofAgeMillis()).
+		Warn("isolation state changed; an isolated node reaches neither the store nor remote nodes and accepts no new clients")
 }
 
-// askElsewhere asks a node elsewhere, which one does not matter: it is its answer that counts.
-func (s *Server) askElsewhere(ctx context.Context) {
-	if s.programs == nil {
+// probeRemotePeer calls one random node outside the failure domain. Any answer shows that the
+// node is not isolated.
+func (s *Server) probeRemotePeer(ctx context.Context) {
+	if s.directory == nil {
 		return
 	}
-	owners := slices.DeleteFunc(s.programs.Owners(), func(owner budget.Holder) bool { return !s.peers.isElsewhere(owner) })
+	owners := slices.DeleteFunc(s.directory.Owners(), func(owner budget.Holder) bool { return !s.peers.outsideFailureDomain(owner) })
 	if len(owners) == 0 {
 		return
 	}
-	if !s.peers.elsewhere.Silent() {
-		owners = locality.Near(s.peers.transport.vantage, owners, budget.Holder.Zone) // no question crosses regions while all is well
+	if !s.peers.isolation.Silent() {
+		owners = locality.Near(s.peers.transport.vantage, owners, budget.Holder.Zone) // avoids calls to other regions unless no peer answers
 	}
-	answer, sent, err := s.knowledge.askProof(ctx, owners[rand.IntN(len(owners))])
+	answer, sent, err := s.verifier.requestProof(ctx, owners[rand.IntN(len(owners))])
 	if err == nil {
-		s.knowledge.learn(answer.Proof, sent)
+		s.verifier.adoptProof(answer.Proof, sent)
 	}
 }
 
-// callTable makes one small call: a node without clients makes no other, and would learn
-// neither that the table is lost nor that it answers again. Failures of one part count once.
-func (s *Server) callTable(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callPause)
+// probeStore reads one row of a random part. Without it, an idle node would detect neither the
+// loss nor the recovery of the store. Failures of one part count once, so the part is random.
+func (s *Server) probeStore(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, storeProbeInterval)
 	defer cancel()
 	parts := budget.Parts()
-	_, _ = s.table.Range(ctx, budget.Table, parts[rand.IntN(len(parts))], "", "", 1)
+	_, _ = s.store.Range(ctx, budget.Table, parts[rand.IntN(len(parts))], "", "", 1)
 }
 
-// tableWays is the table as this node reaches it.
-type tableWays interface {
+// relayedStore is the shared store, called directly or through other nodes.
+type relayedStore interface {
 	store.Store
-	// Lost reports whether the last calls failed by all ways.
+	// Lost reports whether the last calls failed, both directly and through other nodes.
 	Lost() bool
 }
--- a/internal/server/knowledge.go
+++ b/internal/server/knowledge.go
@@ -21,284 +21,288 @@
 )
 
 const (
-	// provePart of the bound on keys is how old a proof gets before a younger one is
-	// sought: two steps of passing it on stay well within the bound.
-	provePart = 0.33
-	// proveTick is how often a node looks whether it needs a proof.
-	proveTick = 100 * time.Millisecond
-	// Another node is waited for as long as answers from its place are seen to take, from
-	// askProofWait to longestAskProofWait.
-	askProofWait        = 100 * time.Millisecond
-	longestAskProofWait = 300 * time.Millisecond
-	// askNodePause is the least pause between two such questions.
-	askNodePause = 300 * time.Millisecond
-	// lostNodePause is the pause between two such questions of a node whose own feed of the
-	// operator's rows is lost: an evacuation binds within seconds.
-	lostNodePause = time.Second
-	// urgentPart of the bound is the age at which an owner asks other nodes, too, and a node
-	// that owns no slot the table; strangerWait is the least time without any proof
-	// before that: owners ask first, and the table takes some 200 such questions a second.
-	urgentPart   = 0.7
-	strangerWait = 1500 * time.Millisecond
-	// leaseRenewal is how old the proof of a slot's ownership gets before it is renewed.
-	leaseRenewal = 1500 * time.Millisecond
+	// renewRatio is the part of the freshness bound at which the node requests a newer proof. Two
+	// hops, from the store to an owner to this node, then stay well within the bound.
+	renewRatio = 0.33
+	// verifyInterval is the mean time between two checks whether a newer proof is needed.
+	verifyInterval = 100 * time.Millisecond
+	// The timeout of a proof request to another node follows the observed latency of its zone,
+	// between minProofTimeout and maxProofTimeout.
+	minProofTimeout = 100 * time.Millisecond
+	maxProofTimeout = 300 * time.Millisecond
+	// peerRequestInterval is the minimum time between two proof requests to other nodes.
+	peerRequestInterval = 300 * time.Millisecond
+	// feedLostInterval is the time between two such requests while the node's own feed of the
+	// operator's rows is lost. Evacuations must take effect within seconds.
+	feedLostInterval = time.Second
+	// urgentRatio is the part of the freshness bound at which a slot owner also asks other nodes,
+	// and a node without slots also queries the store. The latter waits nonOwnerDelay first,
+	// counted from when proofs became necessary, so that slot owners reach the store before it.
+	urgentRatio   = 0.7
+	nonOwnerDelay = 1500 * time.Millisecond
+	// leaseRenewalAge is the age at which the proof of slot ownership is renewed.
+	leaseRenewalAge = 1500 * time.Millisecond
 )
 
-// knowledge keeps the proofs by which this node lets keys in and lends of limits: that
-// its configuration is the newest, and that it owns its directory slots. One call to the
-// table gives both. A node that owns no slot asks one that does. Where the configuration
-// has neither tenants nor cold workers that get less, no call is made, but while the own
-// feed of the operator's rows is lost, a node asks another for evacuated zones.
-type knowledge struct {
-	fresh    *freshness.Keeper
-	options  Options
-	server   *Server
-	table    store.Store
-	programs *directory.Directory
-	asker    *asker // nil: no other node is asked
-	board    *evacuation.Board
-	// operatorLost says that the table does not answer this node's feed of the operator's rows.
-	operatorLost atomic.Bool
+// verifier proves that the configuration of this node is the newest and that the node owns its
+// directory slots. Without a recent proof the node must not accept API keys or lend from limits.
+// One store query proves both; a node without slots requests the proof from a slot owner. No
+// proof is requested while the configuration has neither tenants nor limits for cold workers.
+// While the node's own feed of the operator's rows is lost, it also fetches evacuated zones from
+// another node.
+type verifier struct {
+	fresh       *freshness.Keeper
+	options     Options
+	server      *Server
+	store       store.Store
+	directory   *directory.Directory
+	peerClient  *peerClient // nil: the node runs without peers
+	evacuations *evacuation.Board
+	// operatorFeedLost reports that the node's own feed of the operator's rows gets no answer
+	// from the store.
+	operatorFeedLost atomic.Bool
 
 	// Used by run alone:
-	needSince time.Time // since when proofs are needed; zero: they are not
-	nodeAsked time.Time // when another node was last asked
-	unhelped  bool      // which gave no proof
+	neededSince     time.Time // when proofs became necessary; zero: they are not
+	lastPeerRequest time.Time // time of the last proof request to another node
+	lastPeerFailed  bool      // that request returned no proof
 
-	mutex  sync.Mutex
-	row    store.Row // the configuration in force, as the table has it
-	leases time.Time // when the ownership of all slots was last proven
-	asking asking
+	mutex          sync.Mutex
+	configRow      store.Row // row of the current configuration
+	leasesVerified time.Time // when the ownership of all slots was last verified
+	queries        queryState
 }
 
-func newKnowledge(options Options, board *evacuation.Board) *knowledge {
-	return &knowledge{fresh: freshness.New(options.Settings.RevokeWithin), options: options, board: board}
+func newVerifier(options Options, evacuations *evacuation.Board) *verifier {
+	return &verifier{fresh: freshness.New(options.Settings.RevokeWithin), options: options, evacuations: evacuations}
 }
 
-// attach sets what the proofs are sought with.
-func (k *knowledge) attach(s *Server, core core) {
-	k.server, k.table, k.programs = s, core.table, core.programs
+// attach connects the verifier to the components that it uses, which are created after it.
+func (v *verifier) attach(s *Server, parts components) {
+	v.server, v.store, v.directory = s, parts.store, parts.directory
 	if s.peers.address != "" {
-		k.asker = s.peers.asker
+		v.peerClient = s.peers.client
 	}
-	k.options.Metrics.WatchProof(func() float64 { return k.fresh.Proof().Age.Seconds() })
+	v.options.Metrics.RegisterProofAge(func() float64 { return v.fresh.Proof().Age.Seconds() })
 }
 
-// noteRow notes a configuration that is in force, or older than that.
-func (k *knowledge) noteRow(row store.Row, configuration *route.Configuration) {
-	k.mutex.Lock()
-	if row.Version > k.row.Version {
-		k.row = row
+// recordConfiguration records the row of a configuration that is in force or superseded.
+func (v *verifier) recordConfiguration(row store.Row, configuration *route.Configuration) {
+	v.mutex.Lock()
+	if row.Version > v.configRow.Version {
+		v.configRow = row
 	}
-	k.mutex.Unlock()
-	if present := k.server.forwarder.Configuration(); present != nil && present.Version >= configuration.Version {
-		k.fresh.InForce(row.Version)
+	v.mutex.Unlock()
+	if current := v.server.forwarder.Configuration(); current != nil && current.Version >= configuration.Version {
+		v.fresh.InForce(row.Version)
 	}
 }
 
-func (k *knowledge) configurationRow() store.Row {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return k.row
+func (v *verifier) currentRow() store.Row {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	return v.configRow
 }
 
-// limitOf is a tenant's limit by the configuration in force; known is false if that may
-// be too old to lend by.
-func (k *knowledge) limitOf(name string) (limit tenant.Limit, known bool) {
-	if _, fresh := k.fresh.Age(); !fresh {
+// limitOf returns the limit of a tenant in the current configuration; known is false if the
+// configuration may be too old to lend by, or has no such tenant.
+func (v *verifier) limitOf(name string) (limit tenant.Limit, known bool) {
+	if _, fresh := v.fresh.Age(); !fresh {
 		return tenant.Limit{}, false
 	}
-	configuration := k.server.forwarder.Configuration()
+	configuration := v.server.forwarder.Configuration()
 	if configuration == nil {
 		return tenant.Limit{}, false
 	}
-	holder := configuration.Tenants.ByName(name)
-	if holder == nil {
+	owner := configuration.Tenants.ByName(name)
+	if owner == nil {
 		return tenant.Limit{}, false
 	}
-	return holder.Limit, true
+	return owner.Limit, true
 }
 
-// needed reports whether the configuration in force has tenants, or cold workers to lend for.
-func (k *knowledge) needed() bool {
-	configuration := k.server.forwarder.Configuration()
+// needed reports whether the current configuration requires proofs: it has tenants, or limits for
+// cold workers.
+func (v *verifier) needed() bool {
+	configuration := v.server.forwarder.Configuration()
 	return configuration != nil && (configuration.Tenants != nil || configuration.Meters())
 }
 
-// run keeps the proofs young until ctx ends.
-func (k *knowledge) run(ctx context.Context) {
-	for wait.For(ctx, proveTick/2+rand.N(proveTick)) == nil {
-		if k.operatorLost.Load() && time.Since(k.nodeAsked) > lostNodePause {
-			k.askNode(ctx)
+// run renews the proofs until ctx ends.
+func (v *verifier) run(ctx context.Context) {
+	for wait.For(ctx, verifyInterval/2+rand.N(verifyInterval)) == nil {
+		if v.operatorFeedLost.Load() && time.Since(v.lastPeerRequest) > feedLostInterval {
+			v.requestFromPeer(ctx)
 		}
-		if !k.needed() {
-			k.needSince = time.Time{}
+		if !v.needed() {
+			v.neededSince = time.Time{}
 			continue
 		}
-		if k.needSince.IsZero() {
-			k.needSince = time.Now().Add(rand.N(strangerWait)) // not all at once
+		if v.neededSince.IsZero() {
+			v.neededSince = time.Now().Add(rand.N(nonOwnerDelay)) // random, so that nodes do not all query at once
 		}
-		k.renew(ctx)
+		v.renew(ctx)
 	}
 }
 
-// renew seeks younger proofs where they are due.
-func (k *knowledge) renew(ctx context.Context) {
-	due := k.olderThan(provePart)
-	if claims := k.claims(); len(claims) > 0 {
-		if due || k.leasesDue() {
-			k.askTable(ctx, claims, longestOwnerPause)
+// renew requests newer proofs where they are due.
+func (v *verifier) renew(ctx context.Context) {
+	due := v.proofOlderThan(renewRatio)
+	if claims := v.slotClaims(); len(claims) > 0 {
+		if due || v.leasesDue() {
+			v.queryStore(ctx, claims, maxOwnerBackoff)
 		}
-		if k.olderThan(urgentPart) {
-			k.askNode(ctx)
+		if v.proofOlderThan(urgentRatio) {
+			v.requestFromPeer(ctx)
 		}
 		return
 	}
-	if !due || k.askNode(ctx) {
+	if !due || v.requestFromPeer(ctx) {
 		return
 	}
-	if k.olderThan(urgentPart) && time.Since(k.needSince) > strangerWait {
-		k.askTable(ctx, nil, longestStrangerPause)
+	if v.proofOlderThan(urgentRatio) && time.Since(v.neededSince) > nonOwnerDelay {
+		v.queryStore(ctx, nil, maxNonOwnerBackoff)
 	}
 }
 
-// olderThan reports whether the proof that keys are let in by is older than a part of the
-// bound, or missing.
-func (k *knowledge) olderThan(part float64) bool {
-	bound := k.fresh.Bound()
-	proof := k.fresh.Proof()
-	return bound > 0 && (proof.Revision == 0 || proof.Age > time.Duration(part*float64(bound)))
+// proofOlderThan reports whether the freshness proof is missing or older than the given ratio of
+// the bound.
+func (v *verifier) proofOlderThan(ratio float64) bool {
+	bound := v.fresh.Bound()
+	proof := v.fresh.Proof()
+	return bound > 0 && (proof.Revision == 0 || proof.Age > time.Duration(ratio*float64(bound)))
 }
 
-func (k *knowledge) claims() []store.Condition {
-	if k.programs == nil {
+func (v *verifier) slotClaims() []store.Condition {
+	if v.directory == nil {
 		return nil
 	}
-	return k.programs.Claims()
+	return v.directory.Claims()
 }
 
-func (k *knowledge) leasesDue() bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return time.Since(k.leases) > leaseRenewal
+func (v *verifier) leasesDue() bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	return time.Since(v.leasesVerified) > leaseRenewalAge
 }
 
-func (k *knowledge) proofAge() int64 {
-	age, _ := k.fresh.Age()
+func (v *verifier) proofAgeMillis() int64 {
+	age, _ := v.fresh.Age()
 	return age.Milliseconds()
 }
 
-// proveClaims notes the table's answer to a question about this process's slots, sent at a
-// moment: that all claims hold, or the rows as they are where conflict is not nil.
-func (k *knowledge) proveClaims(claims []store.Condition, conflict *store.Conflict, sent time.Time) {
+// recordClaims records the result of a query, sent at the given time, for the slots of this
+// process. A nil conflict means that all claims hold; otherwise it contains the current rows.
+func (v *verifier) recordClaims(claims []store.Condition, conflict *store.Conflict, sent time.Time) {
 	if len(claims) == 0 {
 		return
 	}
 	if conflict == nil {
-		k.programs.Proven(claims, sent)
+		v.directory.Proven(claims, sent)
 	} else {
-		k.programs.Disproven(claims, conflict, sent)
+		v.directory.Disproven(claims, conflict, sent)
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if sent.After(k.leases) {
-		k.leases = sent
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	if sent.After(v.leasesVerified) {
+		v.leasesVerified = sent
 	}
 }
 
-// takeRow takes over the configuration's row as it was when a question was answered that
-// had been sent at a moment.
-func (k *knowledge) takeRow(row store.Row, sent time.Time) {
+// applyRow applies the configuration row returned by a query that was sent at the given time.
+func (v *verifier) applyRow(row store.Row, sent time.Time) {
 	if row.Version == 0 {
-		return // the operator took it away: what is in force stays
+		return // deleted by the operator: the current configuration stays in force
 	}
-	if row.Version > k.configurationRow().Version {
-		k.server.takeConfigurations([]store.Row{row})
+	if row.Version > v.currentRow().Version {
+		v.server.applyConfigurations([]store.Row{row})
 	}
-	k.fresh.Prove(row.Version, sent)
+	v.fresh.Prove(row.Version, sent)
 }
 
-// learn takes over another node's proof, which came in the answer to a question sent at a
-// moment: it was as old then as it is said to be, or younger.
-func (k *knowledge) learn(proof freshness.Proof, sent time.Time) {
+// adoptProof adopts the proof of another node, received for a request that was sent at the given
+// time. The stated age is taken as the age at that time, which never makes the proof look newer
+// than it is.
+func (v *verifier) adoptProof(proof freshness.Proof, sent time.Time) {
 	if proof.Revision != 0 {
-		k.fresh.Prove(proof.Revision, sent.Add(-proof.Age))
+		v.fresh.Prove(proof.Revision, sent.Add(-proof.Age))
 	}
 }
 
-// proofRequest asks a node for its proof, and for the configuration if it has a newer one.
+// proofRequest requests a node's proof, and its configuration if that is newer than Revision.
 type proofRequest struct{ Revision store.Version }
 
-// proofAnswer is a node's proof.
+// proofAnswer contains a node's freshness proof and its evacuated zones.
 type proofAnswer struct {
 	Proof       freshness.Proof
-	Row         store.Row // the configuration in force there, if it is newer than the asker's
+	Row         store.Row // current configuration of the answering node, if newer than the requester's
 	Evacuations evacuation.Snapshot
 }
 
-// prove answers another node.
-func (k *knowledge) prove(request proofRequest) proofAnswer {
-	answer := proofAnswer{Proof: k.fresh.Proof(), Evacuations: k.board.Snapshot()}
-	if row := k.configurationRow(); row.Version > request.Revision {
+// answerProof answers the proof request of another node.
+func (v *verifier) answerProof(request proofRequest) proofAnswer {
+	answer := proofAnswer{Proof: v.fresh.Proof(), Evacuations: v.evacuations.Snapshot()}
+	if row := v.currentRow(); row.Version > request.Revision {
 		answer.Row = row
 	}
 	return answer
 }
 
-// askNode asks a node that owns a slot, and so has a young proof, or else any that was met.
-// It reports whether that gave a younger one than this node had.
-func (k *knowledge) askNode(ctx context.Context) bool {
-	if k.asker == nil || k.programs == nil {
+// requestFromPeer requests a proof and the evacuated zones from a slot owner, or from any known
+// node if no owner is known. It reports whether the proof was newer than this node's.
+func (v *verifier) requestFromPeer(ctx context.Context) bool {
+	if v.peerClient == nil || v.directory == nil {
 		return false
 	}
-	owners := k.programs.Owners()
+	owners := v.directory.Owners()
 	if len(owners) == 0 {
-		owners = k.server.budgets.Met()
+		owners = v.server.budgets.Met()
 	}
-	if len(owners) == 0 || time.Since(k.nodeAsked) < askNodePause {
+	if len(owners) == 0 || time.Since(v.lastPeerRequest) < peerRequestInterval {
 		return false
 	}
-	k.nodeAsked = time.Now()
-	before, _ := k.fresh.Age()
-	had := k.fresh.Proof().Revision != 0
-	answer, sent, err := k.askProof(ctx, k.ownerToAsk(owners))
+	v.lastPeerRequest = time.Now()
+	before, _ := v.fresh.Age()
+	had := v.fresh.Proof().Revision != 0
+	answer, sent, err := v.requestProof(ctx, v.choosePeer(owners))
 	if err == nil {
-		k.board.Learn(answer.Evacuations) // needs no proof: it is obeyed, however old
+		v.evacuations.Learn(answer.Evacuations) // evacuations apply regardless of the age of the proof
 	}
-	k.unhelped = err != nil || answer.Proof.Revision == 0
-	if k.unhelped {
+	v.lastPeerFailed = err != nil || answer.Proof.Revision == 0
+	if v.lastPeerFailed {
 		return false
 	}
-	if answer.Row.Version > k.configurationRow().Version {
-		k.server.takeConfigurations([]store.Row{answer.Row})
+	if answer.Row.Version > v.currentRow().Version {
+		v.server.applyConfigurations([]store.Row{answer.Row})
 	}
-	k.learn(answer.Proof, sent)
-	after, fresh := k.fresh.Age()
+	v.adoptProof(answer.Proof, sent)
+	after, fresh := v.fresh.Age()
 	return fresh && (!had || after < before)
 }
 
-// ownerToAsk is an owner of the node's region, or any one after a question that did not help.
-func (k *knowledge) ownerToAsk(owners []budget.Holder) budget.Holder {
-	if !k.unhelped {
-		owners = locality.Near(k.options.Settings.vantage(), owners, budget.Holder.Zone)
+// choosePeer returns a random owner in the node's region, or in any region after a request that
+// returned no proof.
+func (v *verifier) choosePeer(owners []budget.Holder) budget.Holder {
+	if !v.lastPeerFailed {
+		owners = locality.Near(v.options.Settings.vantage(), owners, budget.Holder.Zone)
 	}
 	return owners[rand.IntN(len(owners))]
 }
 
-func (k *knowledge) askProof(ctx context.Context, owner budget.Holder) (proofAnswer, time.Time, error) {
-	ctx, cancel := context.WithTimeout(ctx, k.asker.patience(owner.Process, askProofWait, longestAskProofWait))
+func (v *verifier) requestProof(ctx context.Context, owner budget.Holder) (proofAnswer, time.Time, error) {
+	ctx, cancel := context.WithTimeout(ctx, v.peerClient.timeout(owner.Process, minProofTimeout, maxProofTimeout))
 	defer cancel()
 	sent := time.Now()
-	answer, err := k.asker.Proof(ctx, owner, proofRequest{Revision: k.configurationRow().Version})
+	answer, err := v.peerClient.Proof(ctx, owner, proofRequest{Revision: v.currentRow().Version})
 	return answer, sent, err
 }
 
-// handleKnowledge sets what other nodes are answered about proofs and limits.
-func (p *peers) handleKnowledge(lender *quota.Lender, knowledge *knowledge) {
+// handleProofsAndLimits registers the handlers for proof requests and for tenants' limits.
+func (p *peers) handleProofsAndLimits(lender *quota.Lender, verifier *verifier) {
 	peer.Handle(p.mux, methodLend, func(_ context.Context, request quota.Request) (quota.Answer, error) {
 		return lender.Answer(request), nil
 	})
 	peer.Handle(p.mux, methodProof, func(_ context.Context, request proofRequest) (proofAnswer, error) {
-		return knowledge.prove(request), nil
+		return verifier.answerProof(request), nil
 	})
 }
--- a/internal/server/golden_test.go
+++ b/internal/server/messages_test.go
@@ -20,8 +20,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// goldenMessages are messages between nodes as builds have written them that are in use. A message
-// that changes gets another file besides, it does not change its own.
+// goldenMessages are messages between nodes as encoded by released builds. A changed message gets
+// an additional file; existing files stay as they are.
 func goldenMessages() map[string]any {
 	holder := budget.Holder{Process: "p1", Address: "10.0.0.1:7380"}
 	row := store.Row{Key: store.Key{Table: "op", Part: "", Name: "config"}, Value: []byte("{}"), Version: 7}
@@ -47,8 +47,8 @@
 
 func goldenMessageFile(name string) string { return filepath.Join("testdata", "messages", name) }
 
-// TestMessagesOfBuildsInUseAreRead: nodes of two builds run side by side.
-func TestMessagesOfBuildsInUseAreRead(t *testing.T) {
+// Guards against messages that nodes of an older build can no longer exchange with this one.
+func TestDecodesMessagesOfReleasedBuilds(t *testing.T) {
 	for name, want := range goldenMessages() {
 		payload, err := os.ReadFile(goldenMessageFile(name))
 		require.NoError(t, err)
@@ -58,8 +58,9 @@
 	}
 }
 
-// TestMessagesOfALaterBuildAreRead: it may have added a field, at any depth.
-func TestMessagesOfALaterBuildAreRead(t *testing.T) {
+// Guards against rejecting messages of a newer build, which may contain additional fields at any
+// depth.
+func TestDecodesMessagesWithUnknownFields(t *testing.T) {
 	type laterHolder struct {
 		Process string
 		Address string
--- a/internal/server/pause.go
+++ b/internal/server/pause.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// beatEvery is how often a node looks whether it was paused.
-	beatEvery = 500 * time.Millisecond
-	// pausedFor is from which gap on it counts as paused.
-	pausedFor = 1500 * time.Millisecond
+	// stallCheckInterval is how often a node checks whether it was stalled.
+	stallCheckInterval = 500 * time.Millisecond
+	// stallThreshold is the minimum gap between two checks that counts as a stall.
+	stallThreshold = 1500 * time.Millisecond
 )
 
-// notePauses logs when the process stood still, because what its clients saw then
-// is in no other line.
-func (s *Server) notePauses(ctx context.Context) {
-	for before := time.Now(); wait.For(ctx, beatEvery) == nil; {
+// monitorStalls logs when the process did not run for a while, for example because it was
+// suspended. No other log line explains the client errors of that time.
+func (s *Server) monitorStalls(ctx context.Context) {
+	for before := time.Now(); wait.For(ctx, stallCheckInterval) == nil; {
 		now := time.Now()
-		if gap := now.Sub(before); gap > pausedFor {
-			s.options.Logger.WithField("ms", gap.Milliseconds()).Warn("the process stood still; requests of that time have lost their clients")
+		if gap := now.Sub(before); gap > stallThreshold {
+			s.options.Logger.WithField("ms", gap.Milliseconds()).Warn("process was stalled; clients may have dropped the requests of that time")
 		}
 		before = now
 	}
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -21,74 +21,78 @@
 	"github.com/cloverwheel/cloverwheel/internal/warmup"
 )
 
-// Methods of nodes.
+// Methods of calls between nodes.
 const (
-	// methodHandOver asks a node for tokens of a program that it does not use.
+	// methodHandOver asks a node to transfer unused tokens of a program.
 	methodHandOver = "budget.hand_over"
-	// methodChain asks a node for what was said up to a turn.
+	// methodChain asks a node for the conversation history up to a turn.
 	methodChain = "history.chain"
-	// methodCommit and methodRange ask a node to call the table.
+	// methodCommit and methodRange ask a node to make a call to the store.
 	methodCommit = "table.commit"
 	methodRange  = "table.range"
-	// methodLocate asks the owner of a directory slot who had turns of a program.
+	// methodLocate asks the owner of a directory slot which nodes ran turns of a program.
 	methodLocate = "directory.locate"
-	// methodGrant asks the owner of a directory slot for its part of a program's budget.
+	// methodGrant asks the owner of a directory slot for tokens from its part of a program's
+	// budget.
 	methodGrant = "directory.grant"
-	// methodLend asks the owner of a share of a tenant's limit for one request.
+	// methodLend asks the owner of a share of a tenant's limit to admit one request.
 	methodLend = "quota.lend"
-	// methodLendCold asks the owner of a cold worker's slot for one request to that worker.
+	// methodLendCold asks the owner of a cold worker's slot to admit one request to that worker.
 	methodLendCold = "warmup.lend"
-	// methodRoom tells the keeper of a group of workers what runs there, and asks it for a place.
+	// methodRoom reports a node's load on a group of workers to the keeper of the group, and may
+	// request a placement.
 	methodRoom = "room.report"
-	// methodGather asks the owner of a slot to write rows of turns together with those of others.
+	// methodGather asks the owner of a slot to write turn rows in a batch with those of other
+	// nodes.
 	methodGather = "history.gather"
-	// methodProof asks a node since when its configuration is known to be the newest.
+	// methodProof asks a node for its proof that its configuration is the newest.
 	methodProof = "configuration.proof"
 )
 
-// peerKey keeps strangers of other systems out. It is no secret: what a node hands
-// over it hands to those who can name its process, and only the table tells that.
+// peerKey prevents accidental calls from other systems. It is not a secret. Nodes give data only
+// to callers that name the process, and process names are published in the store alone.
 const peerKey = "cloverwheel-node"
 
 const (
-	// peerDialTimeout bounds a connection to another node. No caller waits for it: each has
-	// its own, shorter patience. It covers a way of 100 ms that loses a packet.
+	// peerDialTimeout bounds opening a connection to another node. It allows for one lost packet
+	// at a round trip of 100 ms. Calls have their own, shorter timeouts.
 	peerDialTimeout = 400 * time.Millisecond
-	// peerQuiet is how long calls wait without a byte from their node before its connection is
-	// doubted: no longer than the shortest wait for a proof, which may be asked for once more.
-	peerQuiet = 100 * time.Millisecond
-	// lateAnswer is how long an answer is still listened to whose asker has gone on. It
-	// tells how long the way takes: an asker that waits for less would never learn it. It
-	// is more than any asker waits.
-	lateAnswer = 1500 * time.Millisecond
-	// maxLate bounds the answers that are listened to so: enough to learn ways by. A silent
-	// node asked 1,000 times a second would else hold 1,500 of the calls that may be in
-	// progress to all nodes together (peer.DefaultMaxCalls), and their memory.
-	maxLate = 64
-	// peerIdleTimeout is how long an unused connection to another node is kept.
+	// peerSilenceTimeout is how long calls wait without a byte from a node before its connection
+	// is suspected to be dead. It does not exceed minProofTimeout, so a proof request can be
+	// retried in time.
+	peerSilenceTimeout = 100 * time.Millisecond
+	// lateResponseTimeout is how long a response is awaited after its caller has given up. Late
+	// responses show the latency of a zone to callers whose timeout is too short for it. The
+	// value is above the timeout of every caller.
+	lateResponseTimeout = 1500 * time.Millisecond
+	// maxAbandonedCalls bounds the calls that are awaited after their callers have given up.
+	// Without the bound, calls to an unresponsive node would use up the limit on calls in
+	// progress to all nodes (peer.DefaultMaxCalls), and their memory.
+	maxAbandonedCalls = 64
+	// peerIdleTimeout is how long an unused connection to another node is kept open.
 	peerIdleTimeout = 4 * time.Second
-	// maxPeerRequest and maxPeerAnswer bound messages between nodes, in bytes.
-	maxPeerRequest = 2 << 20
-	maxPeerAnswer  = 4 << 20
+	// maxPeerRequest and maxPeerResponse bound the messages between nodes, in bytes.
+	maxPeerRequest  = 2 << 20
+	maxPeerResponse = 4 << 20
 )
 
-// PeerNetwork carries messages between nodes in place of TCP.
+// PeerNetwork transports messages between nodes in place of TCP.
 type PeerNetwork interface {
 	// Transport returns the transport of the node at an address.
 	Transport(from peer.Address) peer.Transport
-	// Attach makes mux reachable at an address; a nil mux ends that.
+	// Attach makes mux reachable at an address; a nil mux detaches it.
 	Attach(address peer.Address, mux *peer.Mux)
 }
 
-// peers is how a node talks to others.
+// peers is the node's endpoint for calls from and to other nodes.
 type peers struct {
-	address   string // where this node answers; empty: it does not talk
+	address   string // address of this node; empty: it runs without peers
 	network   PeerNetwork
 	options   peer.Options
 	mux       *peer.Mux
-	transport *measured
-	asker     *asker
-	elsewhere isolation.Detector
+	transport *meteredTransport
+	client    *peerClient
+	isolation isolation.Detector
 }
 
 func newPeers(options Options) *peers {
@@ -97,39 +101,39 @@
 	p.options = peer.Options{
 		Keys:        peer.NewKeys(peerKey),
 		MaxRequest:  maxPeerRequest,
-		MaxResponse: maxPeerAnswer,
+		MaxResponse: maxPeerResponse,
 		DialTimeout: peerDialTimeout,
 		IdleTimeout: peerIdleTimeout,
-		QuietTime:   peerQuiet,
+		QuietTime:   peerSilenceTimeout,
 		Guard:       options.Guards.Nodes,
 		Registerer:  options.Metrics.Registry,
 	}
-	p.transport = &measured{vantage: options.Settings.vantage(), count: options.Metrics.NodeMessage}
+	p.transport = &meteredTransport{vantage: options.Settings.vantage(), count: options.Metrics.NodeMessage}
 	if network != nil {
 		p.transport.Transport = network.Transport(peer.Address(address))
 	} else {
 		p.transport.Transport = peer.NewHTTPTransport(p.options)
 	}
-	p.asker = &asker{transport: p.transport, asked: p.noteAsked}
+	p.client = &peerClient{transport: p.transport, onResult: p.recordPeerResult}
 	return p
 }
 
-// chainRequest asks for the chain that ends with a turn.
+// chainRequest requests the turns up to and including Turn.
 type chainRequest struct {
-	Process string // that is asked
+	Process string // process addressed by the request
 	Turn    string
 }
 
-// chainAnswer is the chain, the oldest turn first; empty if it is not remembered.
+// chainAnswer contains the turns, oldest first; empty if they are not cached.
 type chainAnswer struct{ Turns []*history.Turn }
 
-// handle sets what other nodes are answered.
-func (p *peers) handle(process string, book *budget.Book, keeper *history.Keeper, programs *directory.Directory) {
+// handleProgramCalls registers the handlers for calls about programs.
+func (p *peers) handleProgramCalls(process string, book *budget.Book, turns *history.Keeper, dir *directory.Directory) {
 	peer.Handle(p.mux, methodLocate, func(_ context.Context, request directory.Request) (directory.Answer, error) {
-		return programs.Answer(request), nil
+		return dir.Answer(request), nil
 	})
 	peer.Handle(p.mux, methodGrant, func(_ context.Context, request directory.GrantRequest) (directory.GrantAnswer, error) {
-		return programs.AnswerGrant(request), nil
+		return dir.AnswerGrant(request), nil
 	})
 	peer.Handle(p.mux, methodHandOver, func(ctx context.Context, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
 		return book.HandOver(ctx, request), nil
@@ -138,11 +142,12 @@
 		if request.Process != process {
 			return chainAnswer{}, nil
 		}
-		return chainAnswer{Turns: keeper.Known(request.Turn)}, nil
+		return chainAnswer{Turns: turns.Known(request.Turn)}, nil
 	})
 }
 
-// serve answers other nodes until ctx ends.
+// serve handles calls of other nodes until ctx ends. If it cannot listen, the node runs without
+// them.
 func (p *peers) serve(ctx context.Context, group *errgroup.Group, s *Server) {
 	if p.address == "" {
 		return
@@ -158,7 +163,7 @@
 	}
 	listener, err := s.options.Listen(p.address)
 	if err != nil {
-		s.options.Logger.WithError(err).WithField("address", p.address).Error("other nodes cannot ask this one; free the port and restart")
+		s.options.Logger.WithError(err).WithField("address", p.address).Error("cannot listen for calls of other nodes, continuing without; free the port and restart")
 		return
 	}
 	server := peer.NewServer(p.options, p.mux)
@@ -166,132 +171,136 @@
 	group.Go(func() error { return server.Serve(silence.Listener{Listener: listener, Guard: p.options.Guard}) })
 }
 
-// asker asks other nodes by messages, and follows how long those of each zone take to
-// answer. It implements budget.Peers, directory.Peers, directory.GrantPeers, quota.Peers,
-// warmup.Peers, gather.Peers and forward.Neighbours.
-type asker struct {
-	transport *measured
-	ways      wait.Ways    // by zone of the process asked
-	late      atomic.Int64 // calls whose askers have gone
-	// asked is told what came of each question; nil: nobody is.
-	asked func(asked budget.Holder, err error)
+// peerClient calls other nodes and measures the latency of each zone. It implements budget.Peers,
+// directory.Peers, directory.GrantPeers, quota.Peers, warmup.Peers, room.Peers, gather.Peers and
+// forward.Neighbours.
+type peerClient struct {
+	transport *meteredTransport
+	latencies wait.Ways    // by zone of the called process
+	abandoned atomic.Int64 // calls whose callers have given up
+	// onResult is called with the result of each call; may be nil.
+	onResult func(target budget.Holder, err error)
 }
 
-// note tells what came of a question.
-func (a *asker) note(asked budget.Holder, err error) {
-	if a.asked != nil {
-		a.asked(asked, err)
+// report passes the result of a call to onResult.
+func (c *peerClient) report(target budget.Holder, err error) {
+	if c.onResult != nil {
+		c.onResult(target, err)
 	}
 }
 
-// patience is a wait.Patience.
-func (a *asker) patience(process string, least, most time.Duration) time.Duration {
-	return a.ways.Longest(locality.ZoneOf(process), least, most)
+// timeout returns the timeout for a call to a process, based on the latency of its zone. It is a
+// wait.Patience.
+func (c *peerClient) timeout(process string, least, most time.Duration) time.Duration {
+	return c.latencies.Longest(locality.ZoneOf(process), least, most)
 }
 
-// goOn lets a call whose asker has gone be listened to, or ends it if too many are.
-func (a *asker) goOn(call context.Context, end context.CancelFunc) {
-	if a.late.Add(1) > maxLate {
+// abandon counts a call whose caller has given up until the call ends. It cancels the call if
+// there are too many.
+func (c *peerClient) abandon(call context.Context, end context.CancelFunc) {
+	if c.abandoned.Add(1) > maxAbandonedCalls {
 		end()
 	}
-	context.AfterFunc(call, func() { a.late.Add(-1) })
+	context.AfterFunc(call, func() { c.abandoned.Add(-1) })
 }
 
-// askPeer asks a process. It returns when ctx ends; an answer that comes later is only
-// noted as such.
-func askPeer[Answer, Request any](ctx context.Context, a *asker, asked budget.Holder, method string, request Request) (Answer, error) {
-	return askPeerFor(ctx, a, asked, method, request, func(_ Answer, took time.Duration) time.Duration { return took })
+// callPeer calls a process. It returns when ctx ends; a later response is only used to measure
+// the latency.
+func callPeer[Answer, Request any](ctx context.Context, c *peerClient, target budget.Holder, method string, request Request) (Answer, error) {
+	return callPeerTimed(ctx, c, target, method, request, func(_ Answer, elapsed time.Duration) time.Duration { return elapsed })
 }
 
-// askPeerFor is askPeer where an answer tells how much of the time it took was spent on the way.
-func askPeerFor[Answer, Request any](ctx context.Context, a *asker, asked budget.Holder, method string, request Request, onWay func(Answer, time.Duration) time.Duration) (Answer, error) {
+// callPeerTimed is callPeer with a function that returns the network time of a call, given the
+// answer and the total time.
+func callPeerTimed[Answer, Request any](ctx context.Context, c *peerClient, target budget.Holder, method string, request Request, networkTime func(Answer, time.Duration) time.Duration) (Answer, error) {
 	type result struct {
 		answer Answer
 		err    error
 	}
-	a.transport.note(asked.Process, peer.Address(asked.Address))
+	c.transport.recordZone(target.Process, peer.Address(target.Address))
 	results := make(chan result, 1)
-	detached, cancel := context.WithTimeout(context.WithoutCancel(ctx), lateAnswer)
+	detached, cancel := context.WithTimeout(context.WithoutCancel(ctx), lateResponseTimeout)
 	go func() {
 		defer cancel()
-		begun := time.Now()
-		answer, err := peer.Invoke[Answer](detached, a.transport, peer.Address(asked.Address), method, request)
+		started := time.Now()
+		answer, err := peer.Invoke[Answer](detached, c.transport, peer.Address(target.Address), method, request)
 		if err == nil {
-			a.ways.Observe(locality.ZoneOf(asked.Process), max(0, onWay(answer, time.Since(begun))))
-			a.note(asked, nil)
+			c.latencies.Observe(locality.ZoneOf(target.Process), max(0, networkTime(answer, time.Since(started))))
+			c.report(target, nil)
 		}
 		results <- result{answer, err}
 	}()
 	select {
 	case got := <-results:
 		if got.err != nil {
-			a.note(asked, got.err)
+			c.report(target, got.err)
 		}
 		return got.answer, got.err
 	case <-ctx.Done():
-		a.note(asked, ctx.Err())
-		a.goOn(detached, cancel)
+		c.report(target, ctx.Err())
+		c.abandon(detached, cancel)
 		var none Answer
 		return none, ctx.Err()
 	}
 }
 
 // HandOver implements budget.Peers.
-func (a *asker) HandOver(ctx context.Context, address string, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
-	return askPeer[budget.HandOverAnswer](ctx, a, budget.Holder{Process: request.Process, Address: address}, methodHandOver, request)
+func (c *peerClient) HandOver(ctx context.Context, address string, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
+	return callPeer[budget.HandOverAnswer](ctx, c, budget.Holder{Process: request.Process, Address: address}, methodHandOver, request)
 }
 
 // Locate implements directory.Peers.
-func (a *asker) Locate(ctx context.Context, address string, request directory.Request) (directory.Answer, error) {
-	return askPeer[directory.Answer](ctx, a, budget.Holder{Process: request.Process, Address: address}, methodLocate, request)
+func (c *peerClient) Locate(ctx context.Context, address string, request directory.Request) (directory.Answer, error) {
+	return callPeer[directory.Answer](ctx, c, budget.Holder{Process: request.Process, Address: address}, methodLocate, request)
 }
 
 // Grant implements directory.GrantPeers.
-func (a *asker) Grant(ctx context.Context, address string, request directory.GrantRequest) (directory.GrantAnswer, error) {
-	return askPeer[directory.GrantAnswer](ctx, a, budget.Holder{Process: request.Process, Address: address}, methodGrant, request)
+func (c *peerClient) Grant(ctx context.Context, address string, request directory.GrantRequest) (directory.GrantAnswer, error) {
+	return callPeer[directory.GrantAnswer](ctx, c, budget.Holder{Process: request.Process, Address: address}, methodGrant, request)
 }
 
 // Lend implements quota.Peers.
-func (a *asker) Lend(ctx context.Context, owner budget.Holder, request quota.Request) (quota.Answer, error) {
-	return askPeer[quota.Answer](ctx, a, owner, methodLend, request)
+func (c *peerClient) Lend(ctx context.Context, owner budget.Holder, request quota.Request) (quota.Answer, error) {
+	return callPeer[quota.Answer](ctx, c, owner, methodLend, request)
 }
 
-// Proof asks a process since when its configuration is known to be the newest.
-func (a *asker) Proof(ctx context.Context, owner budget.Holder, request proofRequest) (proofAnswer, error) {
-	return askPeer[proofAnswer](peer.Repeatable(ctx), a, owner, methodProof, request)
+// Proof requests a process's proof that its configuration is the newest.
+func (c *peerClient) Proof(ctx context.Context, owner budget.Holder, request proofRequest) (proofAnswer, error) {
+	return callPeer[proofAnswer](peer.Repeatable(ctx), c, owner, methodProof, request)
 }
 
-// mayCarry reports whether a call's content may pass through a process.
-func mayCarry(ctx context.Context, places *locality.Map, holder budget.Holder) bool {
+// mayPassThrough reports whether the content of a call may be sent to a process, by the regions
+// that the content is bound to.
+func mayPassThrough(ctx context.Context, places *locality.Map, holder budget.Holder) bool {
 	return locality.Content(ctx).Allow(places.Region(locality.ZoneOf(holder.Process)))
 }
 
 // LendCold implements warmup.Peers.
-func (a *asker) LendCold(ctx context.Context, owner budget.Holder, request warmup.Request) (warmup.Answer, error) {
-	return askPeer[warmup.Answer](ctx, a, owner, methodLendCold, request)
+func (c *peerClient) LendCold(ctx context.Context, owner budget.Holder, request warmup.Request) (warmup.Answer, error) {
+	return callPeer[warmup.Answer](ctx, c, owner, methodLendCold, request)
 }
 
 // Room implements room.Peers.
-func (a *asker) Room(ctx context.Context, keeper budget.Holder, request room.Request) (room.Answer, error) {
-	onWay := func(answer room.Answer, took time.Duration) time.Duration { return took - answer.HeldFor }
-	return askPeerFor(ctx, a, keeper, methodRoom, request, onWay)
+func (c *peerClient) Room(ctx context.Context, keeper budget.Holder, request room.Request) (room.Answer, error) {
+	networkTime := func(answer room.Answer, elapsed time.Duration) time.Duration { return elapsed - answer.HeldFor }
+	return callPeerTimed(ctx, c, keeper, methodRoom, request, networkTime)
 }
 
 // Chain implements forward.Neighbours.
-func (a *asker) Chain(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
-	if !mayCarry(ctx, a.transport.vantage.Places, holder) {
+func (c *peerClient) Chain(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
+	if !mayPassThrough(ctx, c.transport.vantage.Places, holder) {
 		return nil, nil
 	}
-	answer, err := askPeer[chainAnswer](peer.Repeatable(ctx), a, holder, methodChain, chainRequest{Process: holder.Process, Turn: turn})
+	answer, err := callPeer[chainAnswer](peer.Repeatable(ctx), c, holder, methodChain, chainRequest{Process: holder.Process, Turn: turn})
 	return answer.Turns, err
 }
 
 // Gather implements gather.Peers.
-func (a *asker) Gather(ctx context.Context, owner budget.Holder, request gather.Request) (gather.Answer, error) {
-	if !mayCarry(ctx, a.transport.vantage.Places, owner) {
+func (c *peerClient) Gather(ctx context.Context, owner budget.Holder, request gather.Request) (gather.Answer, error) {
+	if !mayPassThrough(ctx, c.transport.vantage.Places, owner) {
 		return gather.Answer{}, gather.ErrNotCarried
 	}
-	return askPeerFor(ctx, a, owner, methodGather, request, func(answer gather.Answer, took time.Duration) time.Duration {
-		return took - answer.Took
+	return callPeerTimed(ctx, c, owner, methodGather, request, func(answer gather.Answer, elapsed time.Duration) time.Duration {
+		return elapsed - answer.Took
 	})
 }
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -16,101 +16,100 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// distantPeers answers after a while, if its caller still listens.
-type distantPeers struct {
+// slowTransport answers after a delay, or never.
+type slowTransport struct {
 	peer.Transport
-	takes  atomic.Int64 // ns
-	silent atomic.Bool
-	calls  atomic.Int64 // under way
+	delay      atomic.Int64 // ns
+	silent     atomic.Bool
+	inProgress atomic.Int64
 }
 
 // Call implements peer.Transport.
-func (d *distantPeers) Call(ctx context.Context, _ peer.Address, _ string, _ []byte) ([]byte, error) {
-	d.calls.Add(1)
-	defer d.calls.Add(-1)
+func (d *slowTransport) Call(ctx context.Context, _ peer.Address, _ string, _ []byte) ([]byte, error) {
+	d.inProgress.Add(1)
+	defer d.inProgress.Add(-1)
 	if d.silent.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := wait.For(ctx, time.Duration(d.takes.Load())); err != nil {
+	if err := wait.For(ctx, time.Duration(d.delay.Load())); err != nil {
 		return nil, err
 	}
 	return peer.Encode(directory.Answer{Owner: true})
 }
 
-// TestPatienceFollowsTheWayToEachZone: an asker whose waits are too short for a way learns
-// by late answers what it takes; after a slow-down or silence it is as before.
-func TestPatienceFollowsTheWayToEachZone(t *testing.T) {
+// Guards against timeouts that are permanently too short for a zone, or too long after a slow or
+// silent period.
+func TestPeerTimeoutFollowsZoneLatency(t *testing.T) {
 	const least, most = 30 * time.Millisecond, 200 * time.Millisecond
 	process := locality.ProcessName("far", "node", "1")
-	for _, takes := range []time.Duration{time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
-		t.Run(fmt.Sprint(takes), func(t *testing.T) {
+	for _, latency := range []time.Duration{time.Millisecond, 30 * time.Millisecond, 100 * time.Millisecond} {
+		t.Run(fmt.Sprint(latency), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				others := &distantPeers{}
-				others.takes.Store(int64(takes))
-				asker := &asker{transport: countedNothing(others, nil)}
-				ask := func() error {
-					ctx, cancel := context.WithTimeout(t.Context(), asker.patience(process, least, most))
+				transport := &slowTransport{}
+				transport.delay.Store(int64(latency))
+				client := &peerClient{transport: newUncountedTransport(transport, nil)}
+				call := func() error {
+					ctx, cancel := context.WithTimeout(t.Context(), client.timeout(process, least, most))
 					defer cancel()
-					_, err := asker.Locate(ctx, "address", directory.Request{Process: process})
+					_, err := client.Locate(ctx, "address", directory.Request{Process: process})
 					return err
 				}
-				askFor := func(lasts time.Duration) {
-					for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-						_ = ask()
+				callFor := func(duration time.Duration) {
+					for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+						_ = call()
 					}
 				}
-				for name, trouble := range map[string]func(){
+				for name, disturb := range map[string]func(){
 					"calm":   func() {},
-					"slow":   func() { others.takes.Store(int64(100 * takes)) },
-					"silent": func() { others.silent.Store(true) },
+					"slow":   func() { transport.delay.Store(int64(100 * latency)) },
+					"silent": func() { transport.silent.Store(true) },
 				} {
-					trouble()
-					askFor(4500 * time.Millisecond)
-					others.takes.Store(int64(takes))
-					others.silent.Store(false)
-					askFor(2 * time.Second)
+					disturb()
+					callFor(4500 * time.Millisecond)
+					transport.delay.Store(int64(latency))
+					transport.silent.Store(false)
+					callFor(2 * time.Second)
 					for range 20 {
-						require.NoError(t, ask(), name)
+						require.NoError(t, call(), name)
 					}
-					require.LessOrEqual(t, asker.patience(process, least, most), max(least, 2*takes), name)
+					require.LessOrEqual(t, client.timeout(process, least, most), max(least, 2*latency), name)
 				}
-				require.Equal(t, least, asker.patience("near", least, most))
-				time.Sleep(lateAnswer)
+				require.Equal(t, least, client.timeout("near", least, most))
+				time.Sleep(lateResponseTimeout)
 			})
 		})
 	}
 }
 
-// TestSilentConnectionsAreDoubtedWithinPatience: a call that may be repeated is made again
-// while its asker still waits; how long a new connection may take to open is another matter.
-func TestSilentConnectionsAreDoubtedWithinPatience(t *testing.T) {
+// Guards against detecting a dead connection only after the timeout of the calls that wait on it.
+func TestSilenceTimeoutIsWithinCallTimeouts(t *testing.T) {
 	p := newPeers(Options{Metrics: NewMetrics()})
 	require.Positive(t, p.options.QuietTime)
-	require.LessOrEqual(t, p.options.QuietTime, askProofWait)
+	require.LessOrEqual(t, p.options.QuietTime, minProofTimeout)
 	require.Less(t, p.options.QuietTime, p.options.DialTimeout)
 }
 
-// TestSilentNodePilesUpNoCalls: those whose askers have gone are bounded, and end.
-func TestSilentNodePilesUpNoCalls(t *testing.T) {
+// Guards against an unresponsive node accumulating calls whose callers have given up.
+func TestAbandonedCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		others := &distantPeers{}
-		others.silent.Store(true)
-		asker := &asker{transport: countedNothing(others, nil)}
+		transport := &slowTransport{}
+		transport.silent.Store(true)
+		client := &peerClient{transport: newUncountedTransport(transport, nil)}
 		for range 1000 {
 			go func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 40*time.Millisecond)
 				defer cancel()
-				_, _ = asker.Locate(ctx, "address", directory.Request{})
+				_, _ = client.Locate(ctx, "address", directory.Request{})
 			}()
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(50 * time.Millisecond)
 		synctest.Wait()
-		require.EqualValues(t, maxLate, others.calls.Load())
-		time.Sleep(lateAnswer)
+		require.EqualValues(t, maxAbandonedCalls, transport.inProgress.Load())
+		time.Sleep(lateResponseTimeout)
 		synctest.Wait()
-		require.Zero(t, others.calls.Load())
-		require.Zero(t, asker.late.Load())
+		require.Zero(t, transport.inProgress.Load())
+		require.Zero(t, client.abandoned.Load())
 	})
 }
--- a/internal/server/question.go
+++ b/internal/server/question.go
@@ -9,141 +9,141 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// This file asks the table for the proofs that knowledge keeps.
+// This file queries the store for the proofs that the verifier keeps.
 
 const (
-	// askSpacing is the pause between two questions to the table, longer by as much for each
-	// that is unanswered, and maxAsking how many are under way: a table that is silent loses
-	// all that wait for it, and one that is slow answers late; both are learnt soon this way.
-	askSpacing = 400 * time.Millisecond
-	maxAsking  = 4
-	// proveTimeout bounds each: a crowded table answers after a second.
-	proveTimeout = 1500 * time.Millisecond
-	// readFor is for how long questions are reads after one that failed. A transaction that
-	// changes nothing is smaller than the rows, but waits its turn among the writes of its part.
-	readFor = 5 * time.Second
-	// The pauses after questions to the table that failed: owners come back sooner.
-	firstAskPause        = 150 * time.Millisecond
-	longestOwnerPause    = 600 * time.Millisecond
-	longestStrangerPause = 4 * time.Second
+	// queryInterval is the minimum time between two store queries; each unanswered query adds as
+	// much again. At most maxOutstandingQueries are unanswered at once. Overlapping queries
+	// detect both a lost answer and a slow store early.
+	queryInterval         = 400 * time.Millisecond
+	maxOutstandingQueries = 4
+	// queryTimeout bounds one query. An overloaded store may take a second to answer.
+	queryTimeout = 1500 * time.Millisecond
+	// readFallbackTime is how long queries read rows after a failed query. The usual transaction
+	// without writes transfers less, but queues behind the writes of its part.
+	readFallbackTime = 5 * time.Second
+	// Backoff after failed queries. Slot owners retry sooner.
+	initialQueryBackoff = 150 * time.Millisecond
+	maxOwnerBackoff     = 600 * time.Millisecond
+	maxNonOwnerBackoff  = 4 * time.Second
 )
 
-// asking is what is known of questions to the table.
-type asking struct {
-	underWay int
-	last     time.Time     // when the newest was sent
-	again    time.Time     // before which none is sent
-	pause    time.Duration // after the last one that failed; 0: it was answered
-	reads    time.Time     // until when questions are reads
+// queryState is the state of the queries to the store.
+type queryState struct {
+	outstanding int
+	lastSent    time.Time     // when the newest query was sent
+	notBefore   time.Time     // no query is sent before this time
+	backoff     time.Duration // after a failure; 0: the last query was answered
+	readUntil   time.Time     // queries read rows until this time
 }
 
-// askTable asks the table, without waiting for its answer, unless it has just been asked.
-// After a failure it is not asked for a while, for longest at most.
-func (k *knowledge) askTable(ctx context.Context, claims []store.Condition, longest time.Duration) {
-	if !k.mayAsk() {
+// queryStore starts a query without waiting for its answer, unless one was sent recently or the
+// store is in backoff. The backoff after a failure grows up to maxBackoff.
+func (v *verifier) queryStore(ctx context.Context, claims []store.Condition, maxBackoff time.Duration) {
+	if !v.tryStartQuery() {
 		return
 	}
 	go func() {
-		err := k.question(ctx, claims)
-		k.noteAnswer(ctx, err, longest)
+		err := v.query(ctx, claims)
+		v.finishQuery(ctx, err, maxBackoff)
 		if err == nil && len(claims) > 0 {
-			k.programs.Settle(ctx)
+			v.directory.Settle(ctx)
 		}
 	}()
 }
 
-// mayAsk reports whether the table may be asked now, and notes that it is.
-func (k *knowledge) mayAsk() bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
+// tryStartQuery reports whether a query may be sent now, and if so counts it as outstanding.
+func (v *verifier) tryStartQuery() bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
 	now := time.Now()
-	spacing := time.Duration(1+k.asking.underWay) * askSpacing
-	if k.asking.underWay >= maxAsking || now.Before(k.asking.again) || now.Sub(k.asking.last) < spacing {
+	interval := time.Duration(1+v.queries.outstanding) * queryInterval
+	if v.queries.outstanding >= maxOutstandingQueries || now.Before(v.queries.notBefore) || now.Sub(v.queries.lastSent) < interval {
 		return false
 	}
-	k.asking.underWay++
-	k.asking.last = now
+	v.queries.outstanding++
+	v.queries.lastSent = now
 	return true
 }
 
-// question asks whether the configuration is the newest and this process owns its slots: by
-// a transaction that changes nothing and holds only if all is as believed. (A call that
-// waits for changes proves nothing by its silence.)
-func (k *knowledge) question(ctx context.Context, claims []store.Condition) error {
-	if k.mustRead() {
-		return k.read(ctx, claims)
+// query verifies that the configuration is the newest and that this process owns its slots. It
+// commits a transaction without writes whose conditions are the known versions. (A watch without
+// events would prove nothing.)
+func (v *verifier) query(ctx context.Context, claims []store.Condition) error {
+	if v.usesReads() {
+		return v.queryByRead(ctx, claims)
 	}
-	row := k.configurationRow()
+	row := v.currentRow()
 	conditions := append([]store.Condition{{Key: row.Key, Version: row.Version}}, claims...)
-	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	sent := time.Now()
-	_, err := k.table.Commit(ctx, store.Transaction{Conditions: conditions})
+	_, err := v.store.Commit(ctx, store.Transaction{Conditions: conditions})
 	var conflict *store.Conflict
 	switch {
 	case err == nil:
-		k.fresh.Prove(row.Version, sent)
-		k.proveClaims(claims, nil, sent)
+		v.fresh.Prove(row.Version, sent)
+		v.recordClaims(claims, nil, sent)
 	case errors.As(err, &conflict):
-		k.takeRow(conflict.Find(row.Key), sent)
-		k.proveClaims(claims, conflict, sent)
+		v.applyRow(conflict.Find(row.Key), sent)
+		v.recordClaims(claims, conflict, sent)
 	}
 	return err
 }
 
-func (k *knowledge) mustRead() bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return time.Now().Before(k.asking.reads)
+func (v *verifier) usesReads() bool {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	return time.Now().Before(v.queries.readUntil)
 }
 
-// read asks the same by reading the rows.
-func (k *knowledge) read(ctx context.Context, claims []store.Condition) error {
-	known := k.configurationRow()
+// queryByRead verifies the same by reading the rows.
+func (v *verifier) queryByRead(ctx context.Context, claims []store.Condition) error {
+	known := v.currentRow()
 	if known.Version == 0 {
-		return nil // the follower reads it first
+		return nil // the follower reads the first configuration
 	}
-	ctx, cancel := context.WithTimeout(ctx, proveTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	sent := time.Now()
-	page, err := k.table.Range(ctx, known.Table, known.Part, known.Name, known.Name+"\x00", 1)
+	page, err := v.store.Range(ctx, known.Table, known.Part, known.Name, known.Name+"\x00", 1)
 	if err != nil {
 		return err
 	}
 	if len(page.Rows) > 0 {
-		k.takeRow(page.Rows[0], sent)
+		v.applyRow(page.Rows[0], sent)
 	}
 	if len(claims) == 0 {
 		return nil
 	}
 	sent = time.Now()
-	if page, err = k.table.Range(ctx, claims[0].Table, claims[0].Part, "", "", 0); err != nil {
+	if page, err = v.store.Range(ctx, claims[0].Table, claims[0].Part, "", "", 0); err != nil {
 		return err
 	}
-	k.proveClaims(claims, &store.Conflict{Rows: page.Rows}, sent)
+	v.recordClaims(claims, &store.Conflict{Rows: page.Rows}, sent)
 	return nil
 }
 
-// noteAnswer notes whether the table has answered, and logs when that changes.
-func (k *knowledge) noteAnswer(ctx context.Context, err error, longest time.Duration) {
-	age := k.proofAge()
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.asking.underWay--
-	entry := k.options.Logger.WithField("proof_ms", age)
+// finishQuery records the result of a query and logs when the store starts or stops answering.
+func (v *verifier) finishQuery(ctx context.Context, err error, maxBackoff time.Duration) {
+	age := v.proofAgeMillis()
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	v.queries.outstanding--
+	entry := v.options.Logger.WithField("proof_ms", age)
 	switch {
 	case store.Answered(err):
-		if k.asking.pause > 0 {
-			entry.Info("configuration proven to be the newest again")
+		if v.queries.backoff > 0 {
+			entry.Info("configuration verified as the newest again")
 		}
-		k.asking.pause, k.asking.again = 0, time.Time{}
+		v.queries.backoff, v.queries.notBefore = 0, time.Time{}
 	case ctx.Err() != nil:
 	default:
-		if k.asking.pause == 0 {
-			entry.WithError(err).Warn("configuration not proven to be the newest, trying again")
+		if v.queries.backoff == 0 {
+			entry.WithError(err).Warn("cannot verify that the configuration is the newest; retrying")
 		}
-		k.asking.reads = time.Now().Add(readFor)
-		k.asking.pause = min(max(2*k.asking.pause, firstAskPause), longest)
-		k.asking.again = time.Now().Add(k.asking.pause/2 + rand.N(k.asking.pause))
+		v.queries.readUntil = time.Now().Add(readFallbackTime)
+		v.queries.backoff = min(max(2*v.queries.backoff, initialQueryBackoff), maxBackoff)
+		v.queries.notBefore = time.Now().Add(v.queries.backoff/2 + rand.N(v.queries.backoff))
 	}
 }
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -11,47 +11,48 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-func (s *Server) takeConfigurations(rows []store.Row) {
+func (s *Server) applyConfigurations(rows []store.Row) {
 	for _, row := range rows {
 		configuration, ok, err := s.options.Records.Configuration(row)
 		if !ok {
 			continue
 		}
 		if err != nil {
-			s.options.Logger.WithError(err).Error("configuration not understood, keeping the one in force")
+			s.options.Logger.WithError(err).Error("cannot decode configuration; keeping the current one")
 			continue
 		}
-		removed, added := s.followKeys(configuration)
-		taken := s.forwarder.SetConfiguration(configuration)
-		s.knowledge.noteRow(row, configuration)
+		removed, added := s.recordKeyChanges(configuration)
+		applied := s.forwarder.SetConfiguration(configuration)
+		s.verifier.recordConfiguration(row, configuration)
 		s.options.Logger.WithFields(log.Fields{
 			"version":  int64(configuration.Version),
 			"routes":   configuration.Len(),
 			"tenants":  configuration.Tenants.Len(),
 			"revision": uint64(row.Version),
-			"taken":    taken,
+			"taken":    applied,
 
 			"keys_removed": removed,
 			"keys_added":   added,
-		}).Info("configuration")
-		if doubled := configuration.Tenants.Doubled(); doubled > 0 {
-			s.options.Logger.WithField("version", int64(configuration.Version)).WithField("keys", doubled).
-				Error("keys held by several tenants let nobody in; give each tenant its own")
+		}).Info("configuration received")
+		if duplicates := configuration.Tenants.Doubled(); duplicates > 0 {
+			s.options.Logger.WithField("version", int64(configuration.Version)).WithField("keys", duplicates).
+				Error("keys shared by several tenants are rejected; give each tenant its own keys")
 		}
 	}
 }
 
-// followKeys notes which keys a configuration takes away from those of the one in force.
-func (s *Server) followKeys(next *route.Configuration) (removed, added int) {
-	present := s.forwarder.Configuration()
-	if present == nil || next.Version <= present.Version {
+// recordKeyChanges records in the next configuration which keys of the current one it removes,
+// and returns the numbers of removed and added keys.
+func (s *Server) recordKeyChanges(next *route.Configuration) (removed, added int) {
+	current := s.forwarder.Configuration()
+	if current == nil || next.Version <= current.Version {
 		return 0, 0
 	}
-	return next.Tenants.Follow(present.Tenants, int64(next.Version))
+	return next.Tenants.Follow(current.Tenants, int64(next.Version))
 }
 
-// replaceWorkers takes over the whole list, or the part of it that is kept: who is not on it is gone,
-// or not kept any more.
+// replaceWorkers applies a complete read of the worker list or of the kept part. Workers that are
+// not in it are removed, or no longer kept.
 func (s *Server) replaceWorkers(read follow.Reading) {
 	listed := make(map[string]bool, len(read.Rows))
 	for _, row := range read.Rows {
@@ -67,40 +68,40 @@
 			updates = append(updates, backend.Update{Record: backend.Record{ID: id}, End: end})
 		}
 	}
-	s.foreign.keepOnly(listed)
-	s.applyWorkers(updates)
-	s.changeWorkers(read.Rows)
-	s.listed.Store(true) // also if there is none
+	s.invalidEntries.retain(listed)
+	s.applyWorkerUpdates(updates)
+	s.applyWorkerRows(read.Rows)
+	s.workersLoaded.Store(true) // also if the list is empty
 }
 
-// changeWorkers takes over changed entries. A part of a long list is enough to
-// begin with.
-func (s *Server) changeWorkers(rows []store.Row) {
+// applyWorkerRows applies changed rows of the worker list. The first page of a long list is
+// enough for the node to become ready.
+func (s *Server) applyWorkerRows(rows []store.Row) {
 	if len(rows) > 0 {
-		defer s.listed.Store(true)
+		defer s.workersLoaded.Store(true)
 	}
 	updates := make([]backend.Update, 0, len(rows))
 	for _, row := range rows {
-		if update, news := s.workerUpdate(row); news {
+		if update, changed := s.workerUpdate(row); changed {
 			updates = append(updates, update)
 		}
 	}
-	s.applyWorkers(updates)
+	s.applyWorkerUpdates(updates)
 }
 
-func (s *Server) applyWorkers(updates []backend.Update) {
-	for index, news := range s.workers.Apply(updates) {
-		if news {
+func (s *Server) applyWorkerUpdates(updates []backend.Update) {
+	for index, changed := range s.workers.Apply(updates) {
+		if changed {
 			s.logWorker(updates[index])
 		}
 	}
 }
 
-// workerUpdate is what a row says of a worker, unless that is known: a list is read as a whole
-// after each of its pages was taken over.
-func (s *Server) workerUpdate(row store.Row) (update backend.Update, news bool) {
+// workerUpdate returns the update that a row causes; changed is false if its revision is already
+// applied, which is usual for a complete read after its pages.
+func (s *Server) workerUpdate(row store.Row) (update backend.Update, changed bool) {
 	if row.Gone {
-		s.foreign.forget(row.Name)
+		s.invalidEntries.remove(row.Name)
 		return backend.Update{Record: backend.Record{ID: row.Name}, End: backend.Removed}, true
 	}
 	if row.Version != 0 && s.workers.Revision(row.Name) == uint64(row.Version) {
@@ -108,21 +109,21 @@
 	}
 	record, err := s.options.Records.Worker(row)
 	if err != nil {
-		if s.foreign.note(row) {
-			s.options.Metrics.ForeignEntries.Inc()
+		if s.invalidEntries.add(row) {
+			s.options.Metrics.InvalidEntries.Inc()
 			s.options.Logger.WithError(err).WithField("worker", row.Name).WithField("revision", uint64(row.Version)).
-				Warn("entry of the list of workers is passed over")
+				Warn("skipping invalid entry of the worker list")
 		}
 		return backend.Update{Record: backend.Record{ID: row.Name}, End: backend.Unusable}, true
 	}
-	s.foreign.forget(row.Name)
+	s.invalidEntries.remove(row.Name)
 	return backend.Update{Record: record}, true
 }
 
 func (s *Server) logWorker(update backend.Update) {
 	entry := s.options.Logger.WithField("worker", update.Record.Key())
 	if update.End != backend.Stays {
-		entry.WithField("end", update.End.String()).Info("worker gone")
+		entry.WithField("end", update.End.String()).Info("worker removed")
 		return
 	}
 	record := update.Record
@@ -133,15 +134,15 @@
 		"draining": record.Draining,
 		"cold_ms":  record.ColdLeft.Milliseconds(),
 		"revision": record.Revision,
-	}).Info("worker")
+	}).Info("worker updated")
 }
 
-// foreignEntries are the entries of the list of workers that name no worker, by name with their
-// revisions. Each is logged when it appears or changes, not at each reading.
-type foreignEntries map[string]store.Version
+// invalidEntries holds the entries of the worker list that do not decode to a worker, as
+// revisions by name. Each is logged when it appears or changes, not on every read.
+type invalidEntries map[string]store.Version
 
-// note notes an entry. It reports whether that is news.
-func (f foreignEntries) note(row store.Row) bool {
+// add records an entry. It reports whether the entry is new or changed.
+func (f invalidEntries) add(row store.Row) bool {
 	if known, ok := f[row.Name]; ok && known == row.Version {
 		return false
 	}
@@ -149,9 +150,9 @@
 	return true
 }
 
-func (f foreignEntries) forget(name string) { delete(f, name) }
+func (f invalidEntries) remove(name string) { delete(f, name) }
 
-// keepOnly forgets the entries that are not on the list any more.
-func (f foreignEntries) keepOnly(listed map[string]bool) {
+// retain removes the entries that are no longer listed.
+func (f invalidEntries) retain(listed map[string]bool) {
 	maps.DeleteFunc(f, func(name string, _ store.Version) bool { return !listed[name] })
 }
--- a/internal/server/regions_test.go
+++ b/internal/server/regions_test.go
@@ -15,92 +15,98 @@
 
 var (
 	testVantage = locality.Vantage{Places: locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
-	farOne      = holderIn("b1", "far-one")
-	farOther    = holderIn("b1", "far-other")
-	nearOne     = holderIn("a2", "near-one")
-	nearOther   = holderIn("a1", "near-other")
+	remoteOne   = holderIn("b1", "far-one")
+	remoteTwo   = holderIn("b1", "far-other")
+	nearbyOne   = holderIn("a2", "near-one")
+	nearbyTwo   = holderIn("a1", "near-other")
 )
 
+// holderIn returns a process on a node of the given zone.
 func holderIn(zone, node string) budget.Holder {
 	return budget.Holder{Process: locality.ProcessName(zone, node, "0"), Address: node}
 }
 
-func TestProofsAreAskedForInTheOwnRegion(t *testing.T) {
-	k := newKnowledge(Options{Settings: Settings{Places: testVantage.Places, Zone: testVantage.Zone}}, evacuation.New(nil))
-	owners := []budget.Holder{farOne, nearOne, farOther}
+// Guards against proof requests to other regions while the node's own region answers.
+func TestProofsAreRequestedWithinTheRegionFirst(t *testing.T) {
+	v := newVerifier(Options{Settings: Settings{Places: testVantage.Places, Zone: testVantage.Zone}}, evacuation.New(nil))
+	owners := []budget.Holder{remoteOne, nearbyOne, remoteTwo}
 	for range 50 {
-		require.Equal(t, nearOne, k.ownerToAsk(owners))
+		require.Equal(t, nearbyOne, v.choosePeer(owners))
 	}
-	require.Contains(t, owners[2:], k.ownerToAsk(owners[2:]), "there is none in the region")
-	k.unhelped = true
+	require.Contains(t, owners[2:], v.choosePeer(owners[2:]), "no owner in the region")
+	v.lastPeerFailed = true
 	seen := map[budget.Holder]bool{}
 	for range 200 {
-		seen[k.ownerToAsk(owners)] = true
+		seen[v.choosePeer(owners)] = true
 	}
-	require.Len(t, seen, len(owners), "the region's did not help")
+	require.Len(t, seen, len(owners), "the owner in the region failed")
 }
 
-// relaysOf are relays that know of nodes and have no other node to ask.
-func relaysOf(known ...budget.Holder) *relays {
-	return &relays{vantage: testVantage, known: func() []budget.Holder { return append([]budget.Holder(nil), known...) }}
+// relayClientFor returns a client with the given candidates.
+func relayClientFor(candidates ...budget.Holder) *relayClient {
+	return &relayClient{vantage: testVantage, candidates: func() []budget.Holder { return append([]budget.Holder(nil), candidates...) }}
 }
 
-// chosenBy lists the nodes that relays would ask for a call that is bound to no region.
-func chosenBy(t *testing.T, r *relays) []budget.Holder {
+// chosenRelays returns the nodes chosen for a call that is not bound to regions.
+func chosenRelays(t *testing.T, r *relayClient) []budget.Holder {
 	t.Helper()
 	chosen, failure := r.choose(t.Context())
 	require.ErrorIs(t, failure, store.ErrNotDone)
 	return chosen
 }
 
-func TestCallsPassThroughTheOwnRegion(t *testing.T) {
-	r := relaysOf(farOne, nearOne, farOther, nearOther)
+// Guards against relaying through other regions while the own one answers, and against staying
+// with a region whose nodes fail.
+func TestRelaysInTheRegionAreTriedFirst(t *testing.T) {
+	r := relayClientFor(remoteOne, nearbyOne, remoteTwo, nearbyTwo)
 	for range 50 {
-		require.ElementsMatch(t, []budget.Holder{nearOne, nearOther}, chosenBy(t, r))
+		require.ElementsMatch(t, []budget.Holder{nearbyOne, nearbyTwo}, chosenRelays(t, r))
 	}
-	r.note(nearOne)
-	require.Equal(t, []budget.Holder{nearOne, nearOther}, chosenBy(t, r), "who helped last is asked first")
-	r.forget(nearOne)
-	r.forget(nearOther)
+	r.recordSuccess(nearbyOne)
+	require.Equal(t, []budget.Holder{nearbyOne, nearbyTwo}, chosenRelays(t, r), "the relay that answered last is tried first")
+	r.recordFailure(nearbyOne)
+	r.recordFailure(nearbyTwo)
 	seen := map[budget.Holder]bool{}
 	for range 200 {
-		for _, holder := range chosenBy(t, r) {
+		for _, holder := range chosenRelays(t, r) {
 			seen[holder] = true
 		}
 	}
-	require.Len(t, seen, 4, "the region's did not help")
-	r.note(farOne)
-	require.Equal(t, farOne, chosenBy(t, r)[0])
-	require.NotEqual(t, farOther, chosenBy(t, r)[1], "the region is tried again")
+	require.Len(t, seen, 4, "the relays of the region failed")
+	r.recordSuccess(remoteOne)
+	require.Equal(t, remoteOne, chosenRelays(t, r)[0])
+	require.NotEqual(t, remoteTwo, chosenRelays(t, r)[1], "the own region is tried again")
 }
 
-func TestFarOwnersAreKnownWithoutHavingMet(t *testing.T) {
-	known := withFarOwners(testVantage, []budget.Holder{nearOne, farOne}, []budget.Holder{farOne, farOther, nearOther})
-	require.Equal(t, []budget.Holder{nearOne, farOne, farOther}, known)
-	require.Empty(t, withFarOwners(locality.Vantage{}, nil, []budget.Holder{farOne}), "no regions known")
+// Guards against having no relay when the whole region has lost the store.
+func TestOwnersInOtherRegionsAreRelayCandidates(t *testing.T) {
+	candidates := withRemoteOwners(testVantage, []budget.Holder{nearbyOne, remoteOne}, []budget.Holder{remoteOne, remoteTwo, nearbyTwo})
+	require.Equal(t, []budget.Holder{nearbyOne, remoteOne, remoteTwo}, candidates)
+	require.Empty(t, withRemoteOwners(locality.Vantage{}, nil, []budget.Holder{remoteOne}), "no regions configured")
 }
 
-// silentTransport answers every call with the same bytes.
-type silentTransport struct{ peer.Transport }
+// fixedTransport answers every call with the same bytes.
+type fixedTransport struct{ peer.Transport }
 
 // Call implements peer.Transport.
-func (silentTransport) Call(context.Context, peer.Address, string, []byte) ([]byte, error) {
+func (fixedTransport) Call(context.Context, peer.Address, string, []byte) ([]byte, error) {
 	return []byte("12345"), nil
 }
 
+// Guards against counting a message under the wrong distance, also for an unknown address.
 func TestMessagesAreCountedByDistance(t *testing.T) {
 	counted := map[locality.Distance][3]int{}
-	m := &measured{
-		Transport: silentTransport{}, vantage: testVantage,
-		owners: func() []budget.Holder { return []budget.Holder{farOne} },
+	m := &meteredTransport{
+		Transport: fixedTransport{}, vantage: testVantage,
+		owners: func() []budget.Holder { return []budget.Holder{remoteOne} },
 		count: func(distance locality.Distance, sent, received int) {
 			before := counted[distance]
 			counted[distance] = [3]int{before[0] + 1, before[1] + sent, before[2] + received}
 		},
 	}
-	m.note(nearOne.Process, peer.Address(nearOne.Address))
-	m.note(nearOther.Process, peer.Address(nearOther.Address))
-	for _, address := range []string{nearOne.Address, nearOne.Address, nearOther.Address, farOne.Address, "nobody knows it"} {
+	m.recordZone(nearbyOne.Process, peer.Address(nearbyOne.Address))
+	m.recordZone(nearbyTwo.Process, peer.Address(nearbyTwo.Address))
+	for _, address := range []string{nearbyOne.Address, nearbyOne.Address, nearbyTwo.Address, remoteOne.Address, "unknown"} {
 		_, err := m.Call(t.Context(), peer.Address(address), "method", []byte("123"))
 		require.NoError(t, err)
 	}
--- a/internal/server/relay.go
+++ b/internal/server/relay.go
@@ -15,134 +15,135 @@
 )
 
 const (
-	// relaysAsked is how many nodes are asked to make a call, one after the other.
-	relaysAsked = 2
-	// relayPatiences is for how many times the table's usual patience one is
-	// waited for.
-	relayPatiences = 3
+	// maxRelays is how many nodes are asked to make a call, one after the other.
+	maxRelays = 2
+	// relayTimeoutFactor is the timeout of a relayed call as a multiple of the store's usual
+	// timeout.
+	relayTimeoutFactor = 3
 )
 
-// outcome is what came of a call to the table at another node.
+// outcome is the result of a store call made by another node.
 type outcome int
 
-// The outcomes. The zero value is that of a process other than the one asked.
+// Outcomes. The zero value is also the answer of a process that was not the one addressed.
 const (
-	outcomeNotDone  outcome = iota // it had no effect
-	outcomeDone                    // the table did it
-	outcomeConflict                // its conditions do not hold
-	outcomeUnsure                  // it may have had an effect
+	outcomeNotApplied outcome = iota // the call had no effect
+	outcomeApplied                   // the store applied the call
+	outcomeConflict                  // the conditions of the transaction do not hold
+	outcomeUnknown                   // the call may have had an effect
 )
 
-// commitRequest asks a process to make a transaction.
+// commitRequest asks a process to commit a transaction.
 type commitRequest struct {
-	Process     string // that is asked
+	Process     string // process addressed by the request
 	Transaction store.Transaction
 }
 
-// commitAnswer is what came of it.
+// commitAnswer is the result of a commitRequest.
 type commitAnswer struct {
 	Outcome outcome
 	Version store.Version
-	Rows    []store.Row // of a conflict
+	Rows    []store.Row // current rows of a conflict
 }
 
 // rangeRequest asks a process to read rows.
 type rangeRequest struct {
-	Process               string // that is asked
+	Process               string // process addressed by the request
 	Table, Part, From, To string
 	Limit                 int
 }
 
-// rangeAnswer is what it read.
+// rangeAnswer is the result of a rangeRequest.
 type rangeAnswer struct {
 	Outcome outcome
 	Page    store.Page
 }
 
-// errRelaySilent is a relayed transaction without an answer: it may have an effect.
-var errRelaySilent = errors.New("the node that was asked to call the table did not answer")
+// errRelayOutcomeUnknown is the error of a relayed transaction without a definite answer. It may
+// have been applied.
+var errRelayOutcomeUnknown = errors.New("outcome of the relayed store call is unknown; the transaction may have been applied")
 
-// handleRelayed answers other nodes that ask this one to call the table. It calls
-// by its own way alone, and only while that is sound.
-func handleRelayed(mux *peer.Mux, process string, table *store.Gate) {
+// handleRelayCalls registers the handlers for store calls on behalf of other nodes. They use this
+// node's direct connection alone, and only while it works.
+func handleRelayCalls(mux *peer.Mux, process string, gate *store.Gate) {
 	peer.Handle(mux, methodCommit, func(ctx context.Context, request commitRequest) (commitAnswer, error) {
-		if request.Process != process || table.Suspect() {
+		if request.Process != process || gate.Suspect() {
 			return commitAnswer{}, nil
 		}
-		version, err := table.Commit(ctx, request.Transaction)
-		return answerOf(version, err), nil
+		version, err := gate.Commit(ctx, request.Transaction)
+		return newCommitAnswer(version, err), nil
 	})
 	peer.Handle(mux, methodRange, func(ctx context.Context, request rangeRequest) (rangeAnswer, error) {
-		if request.Process != process || table.Suspect() {
+		if request.Process != process || gate.Suspect() {
 			return rangeAnswer{}, nil
 		}
-		page, err := table.Range(ctx, request.Table, request.Part, request.From, request.To, request.Limit)
+		page, err := gate.Range(ctx, request.Table, request.Part, request.From, request.To, request.Limit)
 		if err != nil {
 			return rangeAnswer{}, nil
 		}
-		return rangeAnswer{Outcome: outcomeDone, Page: page}, nil
+		return rangeAnswer{Outcome: outcomeApplied, Page: page}, nil
 	})
 }
 
-func answerOf(version store.Version, err error) commitAnswer {
+func newCommitAnswer(version store.Version, err error) commitAnswer {
 	var conflict *store.Conflict
 	switch {
 	case err == nil:
-		return commitAnswer{Outcome: outcomeDone, Version: version}
+		return commitAnswer{Outcome: outcomeApplied, Version: version}
 	case errors.As(err, &conflict):
 		return commitAnswer{Outcome: outcomeConflict, Rows: conflict.Rows}
 	case errors.Is(err, store.ErrNotDone):
 		return commitAnswer{}
 	default:
-		return commitAnswer{Outcome: outcomeUnsure}
+		return commitAnswer{Outcome: outcomeUnknown}
 	}
 }
 
-// err is the answer as an error of a Store.
+// err returns the outcome as an error of store.Store.
 func (a commitAnswer) err() error {
 	switch a.Outcome {
-	case outcomeDone:
+	case outcomeApplied:
 		return nil
 	case outcomeConflict:
 		return &store.Conflict{Rows: a.Rows}
-	case outcomeUnsure:
-		return errRelaySilent
+	case outcomeUnknown:
+		return errRelayOutcomeUnknown
 	default:
 		return store.ErrNotDone
 	}
 }
 
-// relays implements store.Relays over messages between nodes.
-type relays struct {
-	transport *measured
-	vantage   locality.Vantage
-	known     func() []budget.Holder // nodes that may be asked, the newest first
-	patience  func() time.Duration   // with a call to the table
-	count     func()                 // counts the calls that other nodes are asked for
-
-	mutex sync.Mutex
-	last  budget.Holder // that helped
-	// unhelped counts the nodes in a row that did not help.
-	unhelped int
+// relayClient makes store calls through other nodes. It implements store.Relays.
+type relayClient struct {
+	transport  *meteredTransport
+	vantage    locality.Vantage
+	candidates func() []budget.Holder // nodes that may relay a call, newest first
+	timeout    func() time.Duration   // usual timeout of a store call
+	countCall  func()                 // counts the calls sent to other nodes
+
+	mutex      sync.Mutex
+	lastHelper budget.Holder // node that answered last; empty after it failed
+	// failures counts consecutive nodes that did not answer the call.
+	failures int
 }
 
-// Commit implements store.Relays. Once a node may have made the transaction, its
-// failure is doubtful, whatever the next one says.
-func (r *relays) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+// Commit implements store.Relays. Once a node may have applied the transaction, the failure is
+// reported as uncertain, whatever the next node answers.
+func (r *relayClient) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	chosen, failure := r.choose(ctx)
 	for _, holder := range chosen {
 		request := commitRequest{Process: holder.Process, Transaction: transaction}
-		answer, err := ask[commitAnswer](ctx, r, holder, methodCommit, request)
+		answer, err := callRelay[commitAnswer](ctx, r, holder, methodCommit, request)
 		if err == nil {
 			err = answer.err()
 		} else {
-			err = errRelaySilent
+			err = errRelayOutcomeUnknown
 		}
 		if store.Answered(err) {
-			r.note(holder)
+			r.recordSuccess(holder)
 			return answer.Version, err
 		}
-		r.forget(holder)
+		r.recordFailure(holder)
 		if !errors.Is(err, store.ErrNotDone) {
 			failure = err
 		}
@@ -151,50 +152,50 @@
 }
 
 // Range implements store.Relays.
-func (r *relays) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
+func (r *relayClient) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	chosen, failure := r.choose(ctx)
 	for _, holder := range chosen {
 		request := rangeRequest{Process: holder.Process, Table: table, Part: part, From: from, To: to, Limit: limit}
-		answer, err := ask[rangeAnswer](peer.Repeatable(ctx), r, holder, methodRange, request)
-		if err == nil && answer.Outcome == outcomeDone {
-			r.note(holder)
+		answer, err := callRelay[rangeAnswer](peer.Repeatable(ctx), r, holder, methodRange, request)
+		if err == nil && answer.Outcome == outcomeApplied {
+			r.recordSuccess(holder)
 			return answer.Page, nil
 		}
-		r.forget(holder)
+		r.recordFailure(holder)
 	}
 	return store.Page{}, failure
 }
 
-// ask asks one node, for a bounded time.
-func ask[Answer, Request any](ctx context.Context, r *relays, holder budget.Holder, method string, request Request) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, relayPatiences*r.patience())
+// callRelay calls one node with a bounded timeout.
+func callRelay[Answer, Request any](ctx context.Context, r *relayClient, holder budget.Holder, method string, request Request) (Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeoutFactor*r.timeout())
 	defer cancel()
-	r.count()
-	r.transport.note(holder.Process, peer.Address(holder.Address))
+	r.countCall()
+	r.transport.recordZone(holder.Process, peer.Address(holder.Address))
 	return peer.Invoke[Answer](ctx, r.transport, peer.Address(holder.Address), method, request)
 }
 
-// choose lists the nodes to ask: the one that helped last first, then those of this node's
-// region, or any while those do not help. What is bound to regions goes through nodes there
-// only. failure is what it means if none of them helps.
-func (r *relays) choose(ctx context.Context) (chosen []budget.Holder, failure error) {
-	known := slices.DeleteFunc(r.known(), func(holder budget.Holder) bool { return !mayCarry(ctx, r.vantage.Places, holder) })
-	rand.Shuffle(len(known), func(i, j int) { known[i], known[j] = known[j], known[i] })
+// choose returns the nodes to try in order: first the one that answered last, then nodes of this
+// node's region, or of any region while those fail. A call bound to regions only goes through
+// nodes of these regions. failure is the error to return if none of them answers.
+func (r *relayClient) choose(ctx context.Context) (chosen []budget.Holder, failure error) {
+	candidates := slices.DeleteFunc(r.candidates(), func(holder budget.Holder) bool { return !mayPassThrough(ctx, r.vantage.Places, holder) })
+	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	r.mutex.Lock()
-	last, unhelped := r.last, r.unhelped
+	lastHelper, failures := r.lastHelper, r.failures
 	r.mutex.Unlock()
-	if unhelped < relaysAsked {
-		locality.NearFirst(r.vantage, known, budget.Holder.Zone)
+	if failures < maxRelays {
+		locality.NearFirst(r.vantage, candidates, budget.Holder.Zone)
 	}
-	chosen = make([]budget.Holder, 0, relaysAsked+1)
-	if last.Process != "" && mayCarry(ctx, r.vantage.Places, last) {
-		chosen = append(chosen, last)
+	chosen = make([]budget.Holder, 0, maxRelays+1)
+	if lastHelper.Process != "" && mayPassThrough(ctx, r.vantage.Places, lastHelper) {
+		chosen = append(chosen, lastHelper)
 	}
-	for _, holder := range known {
-		if len(chosen) == relaysAsked {
+	for _, holder := range candidates {
+		if len(chosen) == maxRelays {
 			break
 		}
-		if holder != last {
+		if holder != lastHelper {
 			chosen = append(chosen, holder)
 		}
 	}
@@ -204,9 +205,9 @@
 	return chosen, store.ErrNotDone
 }
 
-// withFarOwners adds owners of slots in other regions to the nodes met lately. Turns let a
-// node meet those of its region, which may all have lost their way to the table together.
-func withFarOwners(vantage locality.Vantage, met, owners []budget.Holder) []budget.Holder {
+// withRemoteOwners adds slot owners in other regions to the recently seen nodes. Those are mostly
+// of this node's region, which may have lost the store as a whole.
+func withRemoteOwners(vantage locality.Vantage, met, owners []budget.Holder) []budget.Holder {
 	for _, owner := range owners {
 		if vantage.To(owner.Zone()) == locality.OtherRegion && !slices.Contains(met, owner) {
 			met = append(met, owner)
@@ -215,19 +216,19 @@
 	return met
 }
 
-// note remembers a node that helped.
-func (r *relays) note(helper budget.Holder) {
+// recordSuccess makes the node that answered the first choice.
+func (r *relayClient) recordSuccess(helper budget.Holder) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.last, r.unhelped = helper, 0
+	r.lastHelper, r.failures = helper, 0
 }
 
-// forget lets others be asked before one that did not help.
-func (r *relays) forget(holder budget.Holder) {
+// recordFailure counts a failure of a node, and drops it as the first choice.
+func (r *relayClient) recordFailure(holder budget.Holder) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.unhelped++
-	if r.last == holder {
-		r.last = budget.Holder{}
+	r.failures++
+	if r.lastHelper == holder {
+		r.lastHelper = budget.Holder{}
 	}
 }
--- a/internal/server/room.go
+++ b/internal/server/room.go
@@ -17,41 +17,42 @@
 	"github.com/cloverwheel/cloverwheel/internal/route"
 )
 
-// rooms is how a node keeps account of workers' places, and asks other nodes for them. Only
-// services are looked at of whose workers it is said how many places they have, and only where
-// this node knows all of them. It implements room.Workers.
-type rooms struct {
-	reporter *room.Reporter
-	keeper   *room.Keeper
-	vantage  locality.Vantage
-	service  func(name string) route.Service
-	workers  *backend.Registry
-	whole    func() bool // the whole list of workers is known
-}
-
-var _ room.Workers = (*rooms)(nil)
-
-// newRooms returns the rooms of a node, and sets what other nodes are answered.
-func newRooms(options Options, peers *peers, knowledge *knowledge, programs *directory.Directory) *rooms {
+// roomTracker tracks the free capacity of workers and asks other nodes for placement. It covers
+// services whose configuration gives the capacity of a worker, and only while this node knows the
+// complete worker list. It implements room.Workers.
+type roomTracker struct {
+	reporter        *room.Reporter
+	keeper          *room.Keeper
+	vantage         locality.Vantage
+	service         func(name string) route.Service
+	workers         *backend.Registry
+	workersComplete func() bool // reports whether the complete worker list is known
+}
+
+var _ room.Workers = (*roomTracker)(nil)
+
+// newRoomTracker returns the tracker of a node and registers its handler for calls of other
+// nodes.
+func newRoomTracker(options Options, peers *peers, verifier *verifier, dir *directory.Directory) *roomTracker {
 	vantage := options.Settings.vantage()
-	slots := &room.Slots{Layout: directory.NewLayout(vantage.Places), Places: vantage.Places, Owners: programs}
-	r := &rooms{vantage: vantage, service: knowledge.service}
-	seen := experience.NewBoards(experience.Options[room.Group]{
-		Members: r.keys, Busy: func(group room.Group) float64 { return r.keeper.Busy(group) },
+	slots := &room.Slots{Layout: directory.NewLayout(vantage.Places), Places: vantage.Places, Owners: dir}
+	r := &roomTracker{vantage: vantage, service: verifier.service}
+	boards := experience.NewBoards(experience.Options[room.Group]{
+		Members: r.memberKeys, Busy: func(group room.Group) float64 { return r.keeper.Busy(group) },
 		OnChange: func(group room.Group, change experience.Change) {
-			options.Metrics.Experience.Noted(options.Logger, group, change)
+			options.Metrics.Ejections.RecordDecision(options.Logger, group, change)
 		},
 	})
 	r.keeper = room.NewKeeper(room.KeeperOptions{
-		Process: options.Process, Slots: slots, Members: r.members, Experience: seen,
-		Count: options.Metrics.Room.Answered, Logger: options.Logger,
+		Process: options.Process, Slots: slots, Members: r.members, Experience: boards,
+		Count: options.Metrics.Room.RecordAnswer, Logger: options.Logger,
 	})
 	r.reporter = room.NewReporter(room.ReporterOptions{
-		Self: options.self(), Zone: vantage.Zone, Slots: slots, Peers: peers.asker, Workers: r,
-		Patience: peers.asker.patience, Keeper: r.keeper, Learner: r,
-		Count: options.Metrics.Room.Found, Told: options.Metrics.Room.Told, Logger: options.Logger,
+		Self: options.self(), Zone: vantage.Zone, Slots: slots, Peers: peers.client, Workers: r,
+		Patience: peers.client.timeout, Keeper: r.keeper, Learner: r,
+		Count: options.Metrics.Room.RecordPlacement, Told: options.Metrics.Room.RecordReport, Logger: options.Logger,
 	})
-	options.Metrics.Room.Watch(r.keeper.Kept)
+	options.Metrics.Room.RegisterGauges(r.keeper.Kept)
 	peer.Handle(peers.mux, methodRoom, func(ctx context.Context, request room.Request) (room.Answer, error) {
 		return r.keeper.Answer(ctx, request), nil
 	})
@@ -59,15 +60,15 @@
 }
 
 // TakeSamples implements room.Learner.
-func (r *rooms) TakeSamples(service string) []experience.Sample {
+func (r *roomTracker) TakeSamples(service string) []experience.Sample {
 	return r.workers.TakeSamples(service)
 }
 
 // NoteVerdicts implements room.Learner.
-func (r *rooms) NoteVerdicts(verdicts []experience.Verdict) { r.workers.NoteVerdicts(verdicts) }
+func (r *roomTracker) NoteVerdicts(verdicts []experience.Verdict) { r.workers.NoteVerdicts(verdicts) }
 
-// keys lists the workers of a group that may get requests, in order.
-func (r *rooms) keys(group room.Group) []string {
+// memberKeys returns the sorted keys of the workers of a group that may get requests.
+func (r *roomTracker) memberKeys(group room.Group) []string {
 	members, _ := r.members(group)
 	keys := make([]string, 0, len(members))
 	for _, member := range members {
@@ -77,23 +78,24 @@
 	return keys
 }
 
-// attach sets where the workers are known from.
-func (r *rooms) attach(s *Server) {
+// attach sets the source of the workers, which is created after the tracker.
+func (r *roomTracker) attach(s *Server) {
 	if r != nil {
-		r.workers, r.whole = s.workers, s.list.Whole
+		r.workers, r.workersComplete = s.workers, s.workerFollower.Whole
 	}
 }
 
-// forRequests is what requests find their workers by; nil if there is none.
-func (r *rooms) forRequests() forward.Room {
+// forwardRoom returns the placement interface for the forwarder; nil if the node runs without
+// peers.
+func (r *roomTracker) forwardRoom() forward.Room {
 	if r == nil {
 		return nil
 	}
 	return r.reporter
 }
 
-// Busy implements admission.Keepers.
-func (r *rooms) Busy(service string) *admission.Keeper {
+// Busy implements admission.Keepers. It returns nil if the load of the service is unknown.
+func (r *roomTracker) Busy(service string) *admission.Keeper {
 	busy, age, known := r.reporter.Busy(service, admission.KeeperAge)
 	if !known {
 		return nil
@@ -101,36 +103,39 @@
 	return &admission.Keeper{Busy: busy, Age: age}
 }
 
-// forAdmission is who tells how full a service's workers are; nil if nobody does.
-func (r *rooms) forAdmission() admission.Keepers {
+// admissionKeepers returns the source of worker load for admission control; nil if the node runs
+// without peers.
+func (r *roomTracker) admissionKeepers() admission.Keepers {
 	if r == nil {
 		return nil
 	}
 	return r
 }
 
-// kept reports whether room is kept for a service.
-func (r *rooms) kept(service string) bool { return r.service(service).Places > 0 && r.whole() }
+// tracks reports whether the capacity of a service's workers is tracked.
+func (r *roomTracker) tracks(service string) bool {
+	return r.service(service).Places > 0 && r.workersComplete()
+}
 
-// GroupOf implements room.Workers.
-func (r *rooms) GroupOf(service, key string) (room.Group, bool) {
+// GroupOf implements room.Workers. It returns the group of the worker with the given key.
+func (r *roomTracker) GroupOf(service, key string) (room.Group, bool) {
 	worker, ok := r.workers.WorkerOf(key)
-	if !ok || worker.Service() != service || !r.kept(service) {
+	if !ok || worker.Service() != service || !r.tracks(service) {
 		return room.Group{}, false
 	}
 	return r.groupIn(service, worker.Zone(), worker.ID())
 }
 
-// GroupIn implements room.Workers.
-func (r *rooms) GroupIn(service, zone, key string) (room.Group, bool) {
-	if !r.kept(service) {
+// GroupIn implements room.Workers. It maps any key to a group of a zone.
+func (r *roomTracker) GroupIn(service, zone, key string) (room.Group, bool) {
+	if !r.tracks(service) {
 		return room.Group{}, false
 	}
 	return r.groupIn(service, zone, key)
 }
 
-// groupIn is the group of a zone that a name belongs to.
-func (r *rooms) groupIn(service, zone, name string) (room.Group, bool) {
+// groupIn returns the group of a zone that a name hashes to.
+func (r *roomTracker) groupIn(service, zone, name string) (room.Group, bool) {
 	workers := len(r.workers.OfZone(service, zone))
 	if workers == 0 {
 		return room.Group{}, false
@@ -138,8 +143,8 @@
 	return room.Group{Service: service, Zone: zone, Number: room.NumberOf(name, room.Groups(workers))}, true
 }
 
-// Others implements room.Workers.
-func (r *rooms) Others(service, zone string) []room.Distant {
+// Others implements room.Workers. It returns the other zones of the region, nearest first.
+func (r *roomTracker) Others(service, zone string) []room.Distant {
 	var others []room.Distant
 	for _, other := range r.workers.ZonesOf(service) {
 		if other != zone && r.Near(other) {
@@ -152,13 +157,14 @@
 	return others
 }
 
-// Near implements room.Workers.
-func (r *rooms) Near(zone string) bool { return r.vantage.To(zone) != locality.OtherRegion }
+// Near implements room.Workers. It reports whether a zone is in this node's region.
+func (r *roomTracker) Near(zone string) bool { return r.vantage.To(zone) != locality.OtherRegion }
 
-// Shunned implements room.Workers.
-func (r *rooms) Shunned(group room.Group) (shunned []string) {
+// Shunned implements room.Workers. It returns the workers that have just failed or declined a
+// request of this node.
+func (r *roomTracker) Shunned(group room.Group) (shunned []string) {
 	now := time.Now()
-	for _, worker := range r.inGroup(group) {
+	for _, worker := range r.groupWorkers(group) {
 		if worker.Shunned(now) {
 			shunned = append(shunned, worker.Key())
 		}
@@ -166,8 +172,8 @@
 	return shunned
 }
 
-// inGroup lists the workers of a group.
-func (r *rooms) inGroup(group room.Group) []*backend.Worker {
+// groupWorkers returns the workers of a group.
+func (r *roomTracker) groupWorkers(group room.Group) []*backend.Worker {
 	workers := r.workers.OfZone(group.Service, group.Zone)
 	groups := room.Groups(len(workers))
 	return slices.DeleteFunc(workers, func(worker *backend.Worker) bool {
@@ -175,14 +181,14 @@
 	})
 }
 
-// members lists the workers of a group that may get requests; ok is false if this node does not know
-// them all.
-func (r *rooms) members(group room.Group) (members []room.Member, ok bool) {
-	if !r.kept(group.Service) {
+// members returns the workers of a group that may get requests; ok is false if this node does not
+// know all of them.
+func (r *roomTracker) members(group room.Group) (members []room.Member, ok bool) {
+	if !r.tracks(group.Service) {
 		return nil, false
 	}
 	service := r.service(group.Service)
-	for _, worker := range r.inGroup(group) {
+	for _, worker := range r.groupWorkers(group) {
 		if !r.workers.Takes(worker) {
 			continue
 		}
--- a/internal/server/room_test.go
+++ b/internal/server/room_test.go
@@ -13,10 +13,11 @@
 	"github.com/cloverwheel/cloverwheel/internal/route"
 )
 
-// testRooms is those of a node in zone a that knows so many workers in each zone.
-func testRooms(perZone map[string]int) *rooms {
+// newTestRoomTracker returns the tracker of a node in zone a, with the given number of workers of
+// each of two services in each zone.
+func newTestRoomTracker(perZone map[string]int) *roomTracker {
 	places := locality.NewMap(map[string]string{"a": "one", "b": "one", "c": "other"})
-	r := &rooms{
+	r := &roomTracker{
 		vantage: locality.Vantage{Places: places, Zone: "a"},
 		workers: backend.NewRegistry(backend.Options{Zone: "a", Places: places}),
 		service: func(name string) route.Service {
@@ -25,7 +26,7 @@
 			}
 			return route.Service{Name: name, Places: 6, Memory: 1000}
 		},
-		whole: func() bool { return true },
+		workersComplete: func() bool { return true },
 	}
 	for zone, count := range perZone {
 		for index := range count {
@@ -38,10 +39,11 @@
 	return r
 }
 
-// TestEachWorkerIsInOneGroup, and groups are neither large nor many.
+// Guards against workers in no group or in several, and against groups that are too large or too
+// many.
 func TestEachWorkerIsInOneGroup(t *testing.T) {
 	for _, count := range []int{1, 11, 16, 17, 45, 140, 560} {
-		r := testRooms(map[string]int{"a": count, "b": 3})
+		r := newTestRoomTracker(map[string]int{"a": count, "b": 3})
 		seen := map[string]int{}
 		groups := room.Groups(count)
 		require.LessOrEqual(t, groups, max(1, count/8))
@@ -62,28 +64,28 @@
 	}
 }
 
-// TestRoomIsKeptOnlyWhereItIsCalledFor: the configuration says how many places workers have, and this
-// node knows all of them.
-func TestRoomIsKeptOnlyWhereItIsCalledFor(t *testing.T) {
-	r := testRooms(map[string]int{"a": 3})
+// Guards against tracking capacity for a service that does not configure it, or with an
+// incomplete worker list.
+func TestRoomIsTrackedOnlyForConfiguredServices(t *testing.T) {
+	r := newTestRoomTracker(map[string]int{"a": 3})
 	_, ok := r.GroupIn("s", "a", "key")
 	require.True(t, ok)
 	_, ok = r.GroupIn("plain", "a", "key")
 	require.False(t, ok)
 	_, ok = r.GroupIn("s", "c", "key")
-	require.False(t, ok, "nobody is there")
+	require.False(t, ok, "zone without workers")
 	_, ok = r.GroupOf("s", "plaina0")
-	require.False(t, ok, "of another service")
-	r.whole = func() bool { return false }
+	require.False(t, ok, "worker of another service")
+	r.workersComplete = func() bool { return false }
 	_, ok = r.GroupIn("s", "a", "key")
 	require.False(t, ok)
 	_, ok = r.members(room.Group{Service: "s", Zone: "a"})
 	require.False(t, ok)
 }
 
-// TestWorkersThatTakeNothingAreNoMembers, and those that this node has just seen fail are shunned.
-func TestWorkersThatTakeNothingAreNoMembers(t *testing.T) {
-	r := testRooms(map[string]int{"a": 3})
+// Guards against placing requests on draining workers, or on workers that have just declined one.
+func TestDrainingWorkersAreNotMembers(t *testing.T) {
+	r := newTestRoomTracker(map[string]int{"a": 3})
 	r.workers.Put(backend.Record{ID: "sa1", Service: "s", Address: "sa1", Zone: "a", Draining: true, Revision: 2})
 	members, _ := r.members(room.Group{Service: "s", Zone: "a"})
 	require.Len(t, members, 2)
@@ -93,9 +95,9 @@
 	require.Equal(t, []string{"sa0"}, r.Shunned(room.Group{Service: "s", Zone: "a"}))
 }
 
-// TestOtherZonesOfTheRegion are those that a request may go to for room.
-func TestOtherZonesOfTheRegion(t *testing.T) {
-	r := testRooms(map[string]int{"a": 1, "b": 1, "c": 1})
+// Guards against overflow to zones of another region.
+func TestOthersListsZonesOfTheRegion(t *testing.T) {
+	r := newTestRoomTracker(map[string]int{"a": 1, "b": 1, "c": 1})
 	others := r.Others("s", "a")
 	require.Len(t, others, 1)
 	require.Equal(t, "b", others[0].Zone)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package server is one node before the workers: it follows the configuration
-// and the list of workers, takes clients' connections, says whether it is ready,
-// and stops without cutting a request. It keeps nothing that outlasts it.
+// Package server runs one node of the load balancer in front of the workers. A node follows the
+// configuration and the worker list, accepts client connections, reports its readiness, and shuts
+// down without cutting off requests. It keeps no state that outlives the process.
 package server
 
 import (
@@ -31,55 +31,58 @@
 	"github.com/cloverwheel/cloverwheel/internal/sweep"
 )
 
-// Settings are what the machine gives to a node.
+// Settings are a node's settings from its environment.
 type Settings struct {
-	Node        string
-	Zone        string
-	IP          string
-	Front       string // IP:PORT for clients
-	Ready       string // IP:PORT for questions whether this node is ready
-	Metrics     string // IP:PORT for metrics; empty: none
-	Peers       string // IP:PORT for other nodes; empty: this node does not talk to them
-	MemoryBytes int64  // that the process may use; 0: not limited
-	Descriptors int    // of sockets that the process may have; 0: not limited
-	Grace       time.Duration
-	// Fresh is how soon after trouble with the table the node must know its newest
-	// state again; 0: not said.
+	Node        string        // node name
+	Zone        string        // zone of the node
+	IP          string        // IP address of the node
+	Front       string        // IP:PORT for clients
+	Ready       string        // IP:PORT for readiness checks
+	Metrics     string        // IP:PORT for metrics; empty: not served
+	Peers       string        // IP:PORT for other nodes; empty: the node runs without peers
+	MemoryBytes int64         // memory limit of the process; 0: a default of 256 MiB
+	Descriptors int           // maximum number of socket descriptors; 0: unlimited
+	Grace       time.Duration // time for a planned shutdown
+	// Fresh is how soon after a store failure the node's state must be current again; 0:
+	// unspecified.
 	Fresh time.Duration
-	// RevokeWithin is how long after its removal a key may still let requests in; 0: for ever.
+	// RevokeWithin is how long after its removal an API key may still be accepted; 0: unlimited.
 	RevokeWithin time.Duration
-	// Limits is how tenants' limits are judged.
+	// Limits is the tolerance in the enforcement of tenants' limits.
 	Limits quota.Tolerance
-	// Places tells the region of each zone.
+	// Places maps each zone to its region.
 	Places *locality.Map
-	// EvacuateWithin is how soon after its acknowledgement an evacuation binds; 0: not said.
+	// EvacuateWithin is how soon after its acknowledgement an evacuation must take effect; 0:
+	// unspecified.
 	EvacuateWithin time.Duration
-	// In a second a cold worker may get the requests that it bears, multiplied by
-	// ColdOverage, and ColdSlack besides. Both 0: nothing is judged.
+	// In any second a cold worker may get its rated number of requests times ColdOverage, plus
+	// ColdSlack. Both 0: the limit is not enforced.
 	ColdOverage float64
 	ColdSlack   float64
-	// TableWrites is how many writing calls a second the table takes from all nodes together; 0: not said.
+	// TableWrites is the number of writing calls per second that the store accepts from all nodes
+	// together; 0: unspecified.
 	TableWrites float64
-	// TableAcross tells that the table takes transactions across parts.
+	// TableAcross states that the store supports transactions across parts.
 	TableAcross bool
 }
 
-// Records decodes the rows of the tables that are followed.
+// Records decodes the rows of the followed tables.
 type Records struct {
-	ConfigurationTable string
-	WorkersTable       string
+	ConfigurationTable string // table of the operator's rows
+	WorkersTable       string // table of the worker list
 	// Configuration decodes a configuration; ok is false for other rows.
 	Configuration func(store.Row) (configuration *route.Configuration, ok bool, err error)
-	Worker        func(store.Row) (backend.Record, error)
-	// Evacuation tells which zone a row of ConfigurationTable evacuates while it is there;
-	// ok is false for other rows. Nil: no zone is ever evacuated.
+	// Worker decodes an entry of the worker list.
+	Worker func(store.Row) (backend.Record, error)
+	// Evacuation returns the zone that a row of ConfigurationTable evacuates as long as the row
+	// exists; ok is false for other rows. Nil: zones cannot be evacuated.
 	Evacuation func(store.Row) (zone string, ok bool)
 }
 
-// vantage is where the node stands.
+// vantage returns the node's location.
 func (s Settings) vantage() locality.Vantage { return locality.Vantage{Places: s.Places, Zone: s.Zone} }
 
-// Options of a Server.
+// Options are the options of a Server.
 type Options struct {
 	Settings  Settings
 	Process   string // unique to this process
@@ -87,87 +90,88 @@
 	Transport forward.Transport
 	Prober    forward.Prober // may be nil
 	Records   Records
-	// Listen opens a listener and Dial a connection; nil is TCP.
+	// Listen opens a listener and Dial a connection; nil: TCP.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
-	// PeerNetwork carries messages to other nodes; nil is HTTP over TCP.
+	// PeerNetwork transports messages to other nodes; nil: HTTP over TCP.
 	PeerNetwork PeerNetwork
-	// Guards watch connections for silence; the zero value leaves that to the kernel.
+	// Guards detect silent connections; the zero value relies on kernel defaults.
 	Guards Guards
-	// DialTimeout is how long a worker may take to accept a connection.
+	// DialTimeout bounds opening a connection to a worker.
 	DialTimeout time.Duration
-	// Front and Ready make the handlers of the two addresses.
+	// Front and Ready create the handlers of the client address and the readiness address.
 	Front   func(*Server) http.Handler
 	Ready   func(*Server) http.Handler
 	Metrics *Metrics
 	Logger  log.Interface
 }
 
-// Server is a node.
+// Server is one node.
 type Server struct {
-	options   Options
-	forwarder *forward.Forwarder
-	workers   *backend.Registry
-	board     *evacuation.Board
-	draining  atomic.Bool
-	isolated  atomic.Bool
-	listed    atomic.Bool      // the list of workers is known
-	foreign   foreignEntries   // guarded by the follower of the list, which makes one call at a time
-	list      *follow.Follower // of workers
-	finder    *finder
-	sweeper   *sweep.Sweeper
-	budgets   *budget.Book
-	knowledge *knowledge
-	table     tableWays
-	programs  *directory.Directory // nil: this node does not talk to others
-	peers     *peers
-	room      *rooms // nil likewise
-	clients   *clients
-	drain     chan struct{}
-	inFlight  atomic.Int64 // bytes of bodies
+	options        Options
+	forwarder      *forward.Forwarder
+	workers        *backend.Registry
+	evacuations    *evacuation.Board
+	draining       atomic.Bool
+	isolated       atomic.Bool
+	workersLoaded  atomic.Bool      // the worker list, or its first page, is loaded
+	invalidEntries invalidEntries   // used by the follower alone, which makes one call at a time
+	workerFollower *follow.Follower // of the worker list
+	finder         *workerFinder
+	sweeper        *sweep.Sweeper
+	budgets        *budget.Book
+	verifier       *verifier
+	store          relayedStore
+	directory      *directory.Directory // nil: the node runs without peers
+	peers          *peers
+	room           *roomTracker // nil likewise
+	clients        *clientConns
+	drain          chan struct{}
+	bodyBytes      atomic.Int64 // bytes held by request and response bodies
 }
 
 const (
-	// memoryForBodies and memoryForHistory are the shares of the process's memory
-	// that requests' bodies and cached turns may take.
-	memoryForBodies  = 8 // an eighth
-	memoryForHistory = 10
-	// memoryForGathering is that of rows that wait to be written for other nodes.
-	memoryForGathering = 32
-	// heapShare of the memory is where the garbage collector begins to work harder.
-	heapShare = 0.7
-	// defaultMemory is taken where no limit is given.
-	defaultMemory = 256 << 20
-	// gatherWorkers bounds how often the list of workers is asked for.
-	gatherWorkers = 300 * time.Millisecond
+	// bodyMemoryDivisor and historyMemoryDivisor set the parts of the process's memory that
+	// request bodies and cached turns may use.
+	bodyMemoryDivisor    = 8 // one eighth
+	historyMemoryDivisor = 10
+	// gatherMemoryDivisor sets the part for rows that wait to be written for other nodes.
+	gatherMemoryDivisor = 32
+	// heapLimitRatio is the part of the memory at which the garbage collector becomes more
+	// aggressive.
+	heapLimitRatio = 0.7
+	// defaultMemoryBytes is the memory limit if the settings give none.
+	defaultMemoryBytes = 256 << 20
+	// workerBatchDelay is how long changes of the worker list are batched before they are read.
+	workerBatchDelay = 300 * time.Millisecond
 )
 
-// New returns a node that is not running yet.
+// New returns a node; Run starts it.
 func New(options Options) *Server {
 	options = options.withDefaults()
 	gate := store.NewGate(options.Store, options.Logger)
 	var workers *backend.Registry
-	board := newBoard(options, func(zone string, revision store.Version) int { return workers.ZoneReopened(zone, uint64(revision)) })
-	knowledge := newKnowledge(options, board)
-	workers = newWorkers(options, knowledge)
+	evacuations := newEvacuationBoard(options, func(zone string, revision store.Version) int { return workers.ZoneReopened(zone, uint64(revision)) })
+	verifier := newVerifier(options, evacuations)
+	workers = newWorkers(options, verifier)
 	peers := newPeers(options)
-	core := newCore(options, gate, peers, knowledge)
-	finder := &finder{workers: workers, gate: gate, keepers: map[string]keepers{}, count: options.Metrics.Found}
+	parts := newComponents(options, gate, peers, verifier)
+	finder := &workerFinder{workers: workers, gate: gate, prefixHolders: map[string]prefixHolders{}, countLookup: options.Metrics.WorkerLookup}
 	var s *Server
 	s = &Server{
-		options:   options,
-		workers:   workers,
-		board:     board,
-		budgets:   core.budgets,
-		knowledge: knowledge,
-		table:     core.table,
-		programs:  core.programs,
-		peers:     peers,
-		room:      core.room,
-		foreign:   foreignEntries{},
-		finder:    finder,
-		clients:   newClients(options.Settings.Descriptors),
-		drain:     make(chan struct{}),
+		options:        options,
+		workers:        workers,
+		evacuations:    evacuations,
+		budgets:        parts.budgets,
+		verifier:       verifier,
+		store:          parts.store,
+		directory:      parts.directory,
+		peers:          peers,
+		room:           parts.room,
+		invalidEntries: invalidEntries{},
+		finder:         finder,
+		clients:        newClientConns(options.Settings.Descriptors),
+		drain:          make(chan struct{}),
 		sweeper: sweep.New(sweep.Options{
 			Store:  gate,
 			Tables: []sweep.Table{{Name: budget.Table, Parts: budget.Parts()}, {Name: history.Table, Parts: history.Parts()}},
@@ -176,35 +180,35 @@
 		forwarder: forward.New(forward.Options{
 			Workers:    workers,
 			Transport:  options.Transport,
-			Budgets:    core.budgets,
-			History:    core.history,
-			Neighbours: core.neighbours,
-			Turns:      core.programs,
-			Patience:   peers.asker.patience,
-			Freshness:  knowledge.fresh,
-			Limits:     core.limits,
+			Budgets:    parts.budgets,
+			History:    parts.history,
+			Neighbours: parts.neighbours,
+			Turns:      parts.directory,
+			Patience:   peers.client.timeout,
+			Freshness:  verifier.fresh,
+			Limits:     parts.limits,
 			Isolated:   func() bool { return s.IsIsolated() },
-			Allowance:  core.allowance,
+			Allowance:  parts.allowance,
 			Admit:      func(bytes int64) (func(), bool) { return s.Admit(bytes) },
 			Finder:     finder,
 			Prober:     options.Prober,
-			Room:       core.room.forRequests(),
+			Room:       parts.room.forwardRoom(),
 			Standing:   standing.NewLearner(),
-			Admission:  admission.NewGate(core.room.forAdmission()),
+			Admission:  admission.NewGate(parts.room.admissionKeepers()),
 			Metrics:    options.Metrics.Requests,
 			Logger:     options.Logger,
 		}),
 	}
-	knowledge.attach(s, core)
-	s.list = s.newList()
-	finder.list, finder.services = s.list, s.targeted
-	core.room.attach(s)
+	verifier.attach(s, parts)
+	s.workerFollower = s.newWorkerFollower()
+	finder.follower, finder.services = s.workerFollower, s.targetedServices
+	parts.room.attach(s)
 	return s
 }
 
 func (o Options) withDefaults() Options {
 	if o.Settings.MemoryBytes == 0 {
-		o.Settings.MemoryBytes = defaultMemory
+		o.Settings.MemoryBytes = defaultMemoryBytes
 	}
 	if o.Listen == nil {
 		o.Listen = func(address string) (net.Listener, error) { return net.Listen("tcp", address) }
@@ -212,61 +216,63 @@
 	return o
 }
 
-func newWorkers(options Options, knowledge *knowledge) *backend.Registry {
+func newWorkers(options Options, verifier *verifier) *backend.Registry {
 	return backend.NewRegistry(backend.Options{
 		Zone:        options.Settings.Zone,
 		Places:      options.Settings.Places,
-		Evacuated:   knowledge.board.Evacuated,
-		Cold:        knowledge.cold,
+		Evacuated:   verifier.evacuations.Evacuated,
+		Cold:        verifier.coldPolicy,
 		Node:        options.Settings.Node,
 		DialTimeout: options.DialTimeout,
 		Dial:        options.Dial,
 		Guard:       options.Guards.Workers,
 		OnDial:      options.Metrics.Dials.Inc,
 		OnWay: func(zone string, roundTrip time.Duration) {
-			options.Metrics.WayOf(zone, roundTrip)
-			options.Logger.WithField("zone", zone).WithField("round_trip_us", roundTrip.Microseconds()).Info("way")
+			options.Metrics.SetRoundTrip(zone, roundTrip)
+			options.Logger.WithField("zone", zone).WithField("round_trip_us", roundTrip.Microseconds()).Info("round-trip time to zone changed")
 		},
-		OnLook: options.Metrics.Looks.Inc,
+		OnLook: options.Metrics.WorkerProbes.Inc,
 	})
 }
 
-// Evacuated reports whether a zone's workers get no new work of this node.
-func (s *Server) Evacuated(zone string) bool { return s.board.Evacuated(zone) }
+// Evacuated reports whether a zone is evacuated, so that its workers get no new work from this
+// node.
+func (s *Server) Evacuated(zone string) bool { return s.evacuations.Evacuated(zone) }
 
-// Forwarder serves requests.
+// Forwarder returns the forwarder, which serves requests.
 func (s *Server) Forwarder() *forward.Forwarder { return s.forwarder }
 
-// Draining reports whether the node is stopping.
+// Draining reports whether a planned shutdown has started.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
 // IsReady reports whether the node should get new connections.
 func (s *Server) IsReady() bool {
-	return !s.SendsAway() && s.listed.Load() && s.forwarder.Configuration() != nil && s.clients.takes()
+	return !s.SendsAway() && s.workersLoaded.Load() && s.forwarder.Configuration() != nil && s.clients.accepting()
 }
 
-// Admit counts the bytes of a request's body, or of an answer that is held until its client has taken
-// it, against the memory for both.
+// Admit reserves memory for a request body, or for a response held until its client has read it.
+// It returns a function that releases the memory; ok is false if too much is in use.
 func (s *Server) Admit(bytes int64) (release func(), ok bool) {
-	room := s.options.Settings.MemoryBytes / memoryForBodies
-	if s.inFlight.Add(bytes) > room {
-		s.inFlight.Add(-bytes)
+	limit := s.options.Settings.MemoryBytes / bodyMemoryDivisor
+	if s.bodyBytes.Add(bytes) > limit {
+		s.bodyBytes.Add(-bytes)
 		return nil, false
 	}
-	return func() { s.inFlight.Add(-bytes) }, true
+	return func() { s.bodyBytes.Add(-bytes) }, true
 }
 
-// Drain begins a planned stop; Run returns when it is over.
+// Drain starts a planned shutdown; Run returns when it is complete. Further calls have no effect.
 func (s *Server) Drain() {
 	if s.draining.CompareAndSwap(false, true) {
-		s.options.Logger.Info("stopping: not ready, clients are sent elsewhere")
+		s.options.Logger.Info("shutdown started; reporting not ready and redirecting clients")
 		close(s.drain)
 	}
 }
 
-// Run serves until ctx ends or a planned stop is over.
+// Run serves until ctx ends or a planned shutdown is complete. It returns an error if it cannot
+// listen for clients, readiness checks or metrics, or if a server fails.
 func (s *Server) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(heapShare * float64(s.options.Settings.MemoryBytes)))
+	debug.SetMemoryLimit(int64(heapLimitRatio * float64(s.options.Settings.MemoryBytes)))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
@@ -276,9 +282,9 @@
 			return nil
 		})
 	}
-	runs := []func(context.Context){s.sweeper.Run, s.workers.Run, s.notePauses, s.knowledge.run, s.followIsolation}
-	if s.programs != nil {
-		runs = append(runs, s.programs.Run, s.room.reporter.Run)
+	runs := []func(context.Context){s.sweeper.Run, s.workers.Run, s.monitorStalls, s.verifier.run, s.monitorIsolation}
+	if s.directory != nil {
+		runs = append(runs, s.directory.Run, s.room.reporter.Run)
 	}
 	for _, run := range runs {
 		group.Go(func() error {
@@ -292,7 +298,7 @@
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          newErrorLog(s.options.Logger),
-		ConnState:         s.clients.note,
+		ConnState:         s.clients.trackState,
 	}
 	ready := &http.Server{Handler: s.options.Ready(s), ReadHeaderTimeout: readHeaderTimeout, ErrorLog: newErrorLog(s.options.Logger)}
 	if err := s.serve(group, front, s.options.Settings.Front, s.listenToClients); err != nil {
@@ -308,17 +314,17 @@
 			return err
 		}
 	}
-	s.options.Logger.WithField("front", s.options.Settings.Front).Info("started")
+	s.options.Logger.WithField("front", s.options.Settings.Front).Info("node started")
 	group.Go(func() error {
 		defer cancel()
-		s.awaitStop(ctx, front)
-		s.giveBack(ctx)
+		s.awaitShutdown(ctx, front)
+		s.releaseResources(ctx)
 		return errors.Join(ready.Close(), metrics.Close())
 	})
 	return group.Wait()
 }
 
-// Limits of connections that hold whatever the configuration says.
+// Limits of client connections that the configuration does not change.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 75 * time.Second
@@ -331,7 +337,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return s.clients.listen(listener, s.options.Guards.Clients), nil
+	return s.clients.trackListener(listener, s.options.Guards.Clients), nil
 }
 
 func (s *Server) serve(group *errgroup.Group, server *http.Server, address string, listen func(string) (net.Listener, error)) error {
@@ -353,33 +359,34 @@
 		follow.New(follow.Options{
 			Store:   s.options.Store,
 			Table:   s.options.Records.ConfigurationTable,
-			Replace: s.replaceOperator,
-			Change:  s.changeOperator,
-			Lost:    s.knowledge.operatorLost.Store,
-			Fresh:   s.options.Settings.operatorFresh(),
+			Replace: s.replaceOperatorRows,
+			Change:  s.applyOperatorRows,
+			Lost:    s.verifier.operatorFeedLost.Store,
+			Fresh:   s.options.Settings.maxOperatorStaleness(),
 			Logger:  s.options.Logger,
 		}),
-		s.list,
+		s.workerFollower,
 	}
 }
 
-// newList follows the list of workers.
-func (s *Server) newList() *follow.Follower {
+// newWorkerFollower returns the follower of the worker list.
+func (s *Server) newWorkerFollower() *follow.Follower {
 	return follow.New(follow.Options{
 		Store:   s.options.Store,
 		Table:   s.options.Records.WorkersTable,
 		Replace: s.replaceWorkers,
-		Change:  s.changeWorkers,
+		Change:  s.applyWorkerRows,
 		Fresh:   s.options.Settings.Fresh,
-		Gather:  gatherWorkers,
+		Gather:  workerBatchDelay,
 		Heard:   s.workers.Heard,
-		Part:    &follow.Part{Text: s.options.Settings.Node, Kept: s.workers.Len, Enough: s.finder.enough},
+		Part:    &follow.Part{Text: s.options.Settings.Node, Kept: s.workers.Len, Enough: s.finder.hasEnough},
 		Logger:  s.options.Logger,
 	})
 }
 
-// targeted are the services that the configuration in force leads to; nil if none is known.
-func (s *Server) targeted() []string {
+// targetedServices returns the services that the current configuration routes to; nil if there is
+// no configuration.
+func (s *Server) targetedServices() []string {
 	configuration := s.forwarder.Configuration()
 	if configuration == nil {
 		return nil
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -9,53 +9,55 @@
 )
 
 const (
-	// leaveTime is how long a stopping node goes on taking connections, so that
-	// nobody is sent to a closed door: two missed questions and some more. Of a
-	// short grace it takes no more than leaveShare.
-	leaveTime  = 2500 * time.Millisecond
-	leaveShare = 0.32
-	// exitMargin is what is left of the grace when the last requests are cut.
+	// drainDelay is how long a stopping node keeps accepting connections, so that load balancers
+	// notice that it is not ready: two failed health checks and a margin. With a short grace
+	// period the delay is limited to maxDrainDelayRatio of it.
+	drainDelay         = 2500 * time.Millisecond
+	maxDrainDelayRatio = 0.32
+	// exitMargin is the part of the grace period left when the remaining requests are cut off.
 	exitMargin = 400 * time.Millisecond
-	// giveBackTime of that bounds leaving slots and giving tokens back.
-	giveBackTime = 300 * time.Millisecond
+	// releaseTimeout is the part of exitMargin for releasing directory slots and returning
+	// tokens.
+	releaseTimeout = 300 * time.Millisecond
 )
 
-// awaitStop returns when the node is to end at once, or has ended its requests.
-func (s *Server) awaitStop(ctx context.Context, front *http.Server) {
+// awaitShutdown waits for the end of ctx or for a drain. In a drain it returns once all requests
+// have ended or the grace period is nearly over.
+func (s *Server) awaitShutdown(ctx context.Context, front *http.Server) {
 	select {
 	case <-ctx.Done():
 		front.Close()
 		return
 	case <-s.drain:
 	}
-	begun := time.Now()
-	_ = wait.For(ctx, leaveFor(s.options.Settings.Grace))
-	limited, cancel := context.WithDeadline(ctx, begun.Add(s.options.Settings.Grace-exitMargin))
+	started := time.Now()
+	_ = wait.For(ctx, drainDelayFor(s.options.Settings.Grace))
+	shutdownCtx, cancel := context.WithDeadline(ctx, started.Add(s.options.Settings.Grace-exitMargin))
 	defer cancel()
-	err := front.Shutdown(limited)
-	s.options.Logger.WithField("ms", time.Since(begun).Milliseconds()).WithField("all_ended", err == nil).Info("stopped")
+	err := front.Shutdown(shutdownCtx)
+	s.options.Logger.WithField("ms", time.Since(started).Milliseconds()).WithField("all_ended", err == nil).Info("stopped serving clients")
 	if err != nil {
 		front.Close()
 	}
 }
 
-// giveBack leaves the node's directory slots and returns to the table the tokens
-// that it holds, when it stops as planned.
-func (s *Server) giveBack(ctx context.Context) {
+// releaseResources releases the directory slots of a draining node and returns its unused tokens
+// to the store.
+func (s *Server) releaseResources(ctx context.Context) {
 	if !s.Draining() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, giveBackTime)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	if s.programs != nil {
-		s.programs.Leave(ctx)
+	if s.directory != nil {
+		s.directory.Leave(ctx)
 	}
-	begun := time.Now()
+	started := time.Now()
 	returned := s.budgets.GiveBack(ctx)
-	s.options.Logger.WithField("tokens", returned).WithField("ms", time.Since(begun).Milliseconds()).Info("tokens given back")
+	s.options.Logger.WithField("tokens", returned).WithField("ms", time.Since(started).Milliseconds()).Info("returned unused tokens to the store")
 }
 
-// leaveFor is how long a node with that grace goes on taking connections.
-func leaveFor(grace time.Duration) time.Duration {
-	return min(leaveTime, time.Duration(leaveShare*float64(grace)))
+// drainDelayFor returns how long a node with the given grace period keeps accepting connections.
+func drainDelayFor(grace time.Duration) time.Duration {
+	return min(drainDelay, time.Duration(maxDrainDelayRatio*float64(grace)))
 }
--- a/internal/server/stop_test.go
+++ b/internal/server/stop_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestShortGraceLeavesTimeForRequests(t *testing.T) {
-	require.Equal(t, leaveTime, leaveFor(8*time.Second))
+// Guards against a drain delay that uses up a short grace period.
+func TestDrainDelayLeavesTimeForRequests(t *testing.T) {
+	require.Equal(t, drainDelay, drainDelayFor(8*time.Second))
 	for _, grace := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
-		require.Greater(t, grace-exitMargin-leaveFor(grace), grace/5)
+		require.Greater(t, grace-exitMargin-drainDelayFor(grace), grace/5)
 	}
 }
