--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -81,7 +81,8 @@
 	return c.limit == 0 || c.open < c.limit || c.idle.Len() > 0
 }
 
-// trackListener wraps a listener to record whether the last Accept succeeded.
+// trackListener wraps a listener to record whether the last Accept succeeded. The guard detects
+// silent connections.
 func (c *clientConns) trackListener(listener net.Listener, guard silence.Guard) net.Listener {
 	return &trackedListener{Listener: silence.Listener{Listener: listener, Guard: guard}, clients: c}
 }
@@ -92,13 +93,13 @@
 }
 
 // Accept implements net.Listener.
-func (w *trackedListener) Accept() (net.Conn, error) {
-	connection, err := w.Listener.Accept()
+func (l *trackedListener) Accept() (net.Conn, error) {
+	connection, err := l.Listener.Accept()
 	if err == nil {
-		w.clients.acceptFailed.Store(nil)
+		l.clients.acceptFailed.Store(nil)
 		return connection, nil
 	}
 	now := time.Now()
-	w.clients.acceptFailed.Store(&now)
+	l.clients.acceptFailed.Store(&now)
 	return connection, err
 }
--- a/internal/server/clients_test.go
+++ b/internal/server/clients_test.go
@@ -68,9 +68,9 @@
 	errors []error
 }
 
-func (a *fakeListener) Accept() (net.Conn, error) {
-	err := a.errors[0]
-	a.errors = a.errors[1:]
+func (l *fakeListener) Accept() (net.Conn, error) {
+	err := l.errors[0]
+	l.errors = l.errors[1:]
 	return &fakeConn{}, err
 }
 
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -10,7 +10,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/warmup"
 )
 
-// components are the parts of a node that keep state about programs.
+// components are the parts of a node that requests use besides the forwarder and the worker list.
 type components struct {
 	budgets    *budget.Book
 	history    *history.Keeper
@@ -99,7 +99,7 @@
 	})
 }
 
-// self identifies this process to other nodes.
+// self returns the process name and address by which other nodes call this one.
 func (o Options) self() budget.Holder {
 	return budget.Holder{Process: o.Process, Address: o.Settings.Peers}
 }
--- a/internal/server/finder.go
+++ b/internal/server/finder.go
@@ -14,15 +14,15 @@
 
 const (
 	// minWorkersPerService is how many workers of each targeted service the node keeps, or all if
-	// there are fewer. It equals the size of backend's shortlist for requests without an assigned
-	// worker.
+	// there are fewer. It equals the size of backend's shortlist, so that requests without affinity
+	// find a full one.
 	minWorkersPerService = 8
-	// growInterval is the minimum time between two extensions of the kept part because of
-	// requests that found no worker.
+	// growInterval is the minimum time between two extensions of the kept part of the worker
+	// list because of requests that found no worker.
 	growInterval = time.Second
 	// prefixHolderLimit is how many workers, over all services, are assigned to hold a shared
-	// prompt prefix in their cache. When these are full, other workers compute the prefix as
-	// well.
+	// prompt prefix in their cache. When these workers have no free capacity, others compute the
+	// prefix as well.
 	prefixHolderLimit = 32
 	// prefixHolderTTL is how long the holders of a prefix are cached. The entry is dropped
 	// earlier if fewer than minPrefixHolders of them remain registered.
@@ -73,7 +73,7 @@
 	return true
 }
 
-// NoteShort implements forward.Finder. It makes the kept part grow.
+// NoteShort implements forward.Finder. It makes the kept part of the worker list grow.
 func (f *workerFinder) NoteShort() { f.workerMissing.Store(true) }
 
 // Worker implements forward.Finder. It reads the record of an unknown worker from the store.
--- a/internal/server/knowledge.go
+++ b/internal/server/knowledge.go
@@ -36,8 +36,8 @@
 	// operator's rows is lost. Evacuations must take effect within seconds.
 	feedLostInterval = time.Second
 	// urgentRatio is the part of the freshness bound at which a slot owner also asks other nodes,
-	// and a node without slots also queries the store. The latter waits nonOwnerDelay first,
-	// counted from when proofs became necessary, so that slot owners reach the store before it.
+	// and a node without slots also queries the store. The latter first waits nonOwnerDelay,
+	// counted from neededSince, so that slot owners reach the store before it.
 	urgentRatio   = 0.7
 	nonOwnerDelay = 1500 * time.Millisecond
 	// leaseRenewalAge is the age at which the proof of slot ownership is renewed.
@@ -63,14 +63,14 @@
 	operatorFeedLost atomic.Bool
 
 	// Used by run alone:
-	neededSince     time.Time // when proofs became necessary; zero: they are not
+	neededSince     time.Time // when proofs became necessary, plus a random delay; zero: they are not
 	lastPeerRequest time.Time // time of the last proof request to another node
 	lastPeerFailed  bool      // that request returned no proof
 
-	mutex          sync.Mutex
-	configRow      store.Row // row of the current configuration
-	leasesVerified time.Time // when the ownership of all slots was last verified
-	queries        queryState
+	mutex         sync.Mutex
+	configRow     store.Row // row of the current configuration
+	leasesChecked time.Time // when the ownership of all slots was last checked in the store
+	queries       queryState
 }
 
 func newVerifier(options Options, evacuations *evacuation.Board) *verifier {
@@ -183,7 +183,7 @@
 func (v *verifier) leasesDue() bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return time.Since(v.leasesVerified) > leaseRenewalAge
+	return time.Since(v.leasesChecked) > leaseRenewalAge
 }
 
 func (v *verifier) proofAgeMillis() int64 {
@@ -204,8 +204,8 @@
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if sent.After(v.leasesVerified) {
-		v.leasesVerified = sent
+	if sent.After(v.leasesChecked) {
+		v.leasesChecked = sent
 	}
 }
 
--- a/internal/server/pause.go
+++ b/internal/server/pause.go
@@ -15,7 +15,7 @@
 )
 
 // monitorStalls logs when the process did not run for a while, for example because it was
-// suspended. No other log line explains the client errors of that time.
+// suspended. No other log line reports what clients saw in that time.
 func (s *Server) monitorStalls(ctx context.Context) {
 	for before := time.Now(); wait.For(ctx, stallCheckInterval) == nil; {
 		now := time.Now()
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -61,9 +61,9 @@
 	// is suspected to be dead. It does not exceed minProofTimeout, so a proof request can be
 	// retried in time.
 	peerSilenceTimeout = 100 * time.Millisecond
-	// lateResponseTimeout is how long a response is awaited after its caller has given up. Late
-	// responses show the latency of a zone to callers whose timeout is too short for it. The
-	// value is above the timeout of every caller.
+	// lateResponseTimeout bounds a call as a whole, including the time after its caller has given
+	// up. Late responses show the latency of a zone to callers whose timeout is too short for it.
+	// The value is above the timeout of every caller.
 	lateResponseTimeout = 1500 * time.Millisecond
 	// maxAbandonedCalls bounds the calls that are awaited after their callers have given up.
 	// Without the bound, calls to an unresponsive node would use up the limit on calls in
@@ -163,7 +163,7 @@
 	}
 	listener, err := s.options.Listen(p.address)
 	if err != nil {
-		s.options.Logger.WithError(err).WithField("address", p.address).Error("cannot listen for calls of other nodes, continuing without; free the port and restart")
+		s.options.Logger.WithError(err).WithField("address", p.address).Error("cannot listen for calls of other nodes, continuing without them; free the port and restart")
 		return
 	}
 	server := peer.NewServer(p.options, p.mux)
@@ -205,7 +205,7 @@
 }
 
 // callPeer calls a process. It returns when ctx ends; a later response is only used to measure
-// the latency.
+// the latency, and reported to onResult.
 func callPeer[Answer, Request any](ctx context.Context, c *peerClient, target budget.Holder, method string, request Request) (Answer, error) {
 	return callPeerTimed(ctx, c, target, method, request, func(_ Answer, elapsed time.Duration) time.Duration { return elapsed })
 }
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -25,14 +25,14 @@
 }
 
 // Call implements peer.Transport.
-func (d *slowTransport) Call(ctx context.Context, _ peer.Address, _ string, _ []byte) ([]byte, error) {
-	d.inProgress.Add(1)
-	defer d.inProgress.Add(-1)
-	if d.silent.Load() {
+func (s *slowTransport) Call(ctx context.Context, _ peer.Address, _ string, _ []byte) ([]byte, error) {
+	s.inProgress.Add(1)
+	defer s.inProgress.Add(-1)
+	if s.silent.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := wait.For(ctx, time.Duration(d.delay.Load())); err != nil {
+	if err := wait.For(ctx, time.Duration(s.delay.Load())); err != nil {
 		return nil, err
 	}
 	return peer.Encode(directory.Answer{Owner: true})
--- a/internal/server/question.go
+++ b/internal/server/question.go
@@ -67,8 +67,8 @@
 }
 
 // query verifies that the configuration is the newest and that this process owns its slots. It
-// commits a transaction without writes whose conditions are the known versions. (A watch without
-// events would prove nothing.)
+// commits a transaction without writes whose conditions are the known versions. (A watch that
+// delivers no events would not prove this.)
 func (v *verifier) query(ctx context.Context, claims []store.Condition) error {
 	if v.usesReads() {
 		return v.queryByRead(ctx, claims)
@@ -97,7 +97,7 @@
 	return time.Now().Before(v.queries.readUntil)
 }
 
-// queryByRead verifies the same by reading the rows.
+// queryByRead verifies the same as query by reading the rows.
 func (v *verifier) queryByRead(ctx context.Context, claims []store.Condition) error {
 	known := v.currentRow()
 	if known.Version == 0 {
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		if err != nil {
-			s.options.Logger.WithError(err).Error("cannot decode configuration; keeping the current one")
+			s.options.Logger.WithError(err).Error("cannot decode configuration; keeping the current one until a valid one is published")
 			continue
 		}
 		removed, added := s.recordKeyChanges(configuration)
@@ -123,7 +123,7 @@
 func (s *Server) logWorker(update backend.Update) {
 	entry := s.options.Logger.WithField("worker", update.Record.Key())
 	if update.End != backend.Stays {
-		entry.WithField("end", update.End.String()).Info("worker removed")
+		entry.WithField("end", update.End.String()).Info("worker removed from this node's list")
 		return
 	}
 	record := update.Record
@@ -137,22 +137,22 @@
 	}).Info("worker updated")
 }
 
-// invalidEntries holds the entries of the worker list that do not decode to a worker, as
-// revisions by name. Each is logged when it appears or changes, not on every read.
+// invalidEntries holds the revisions of the worker list entries that do not decode to a worker,
+// by name. Each is logged when it appears or changes, not on every read.
 type invalidEntries map[string]store.Version
 
 // add records an entry. It reports whether the entry is new or changed.
-func (f invalidEntries) add(row store.Row) bool {
-	if known, ok := f[row.Name]; ok && known == row.Version {
+func (e invalidEntries) add(row store.Row) bool {
+	if known, ok := e[row.Name]; ok && known == row.Version {
 		return false
 	}
-	f[row.Name] = row.Version
+	e[row.Name] = row.Version
 	return true
 }
 
-func (f invalidEntries) remove(name string) { delete(f, name) }
+func (e invalidEntries) remove(name string) { delete(e, name) }
 
 // retain removes the entries that are no longer listed.
-func (f invalidEntries) retain(listed map[string]bool) {
-	maps.DeleteFunc(f, func(name string, _ store.Version) bool { return !listed[name] })
+func (e invalidEntries) retain(listed map[string]bool) {
+	maps.DeleteFunc(e, func(name string, _ store.Version) bool { return !listed[name] })
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -55,8 +55,8 @@
 	// EvacuateWithin is how soon after its acknowledgement an evacuation must take effect; 0:
 	// unspecified.
 	EvacuateWithin time.Duration
-	// In any second a cold worker may get its rated number of requests times ColdOverage, plus
-	// ColdSlack. Both 0: the limit is not enforced.
+	// In any second a cold worker may get ColdOverage times the request rate configured for cold
+	// workers, plus ColdSlack requests. Both 0: the limit is not enforced.
 	ColdOverage float64
 	ColdSlack   float64
 	// TableWrites is the number of writing calls per second that the store accepts from all nodes
@@ -124,7 +124,7 @@
 	store          relayedStore
 	directory      *directory.Directory // nil: the node runs without peers
 	peers          *peers
-	room           *roomTracker // nil likewise
+	room           *roomTracker // nil: the node runs without peers
 	clients        *clientConns
 	drain          chan struct{}
 	bodyBytes      atomic.Int64 // bytes held by request and response bodies
@@ -324,7 +324,8 @@
 	return group.Wait()
 }
 
-// Limits of client connections that the configuration does not change.
+// Limits of HTTP connections, independent of the configuration. idleTimeout and maxHeaderBytes
+// apply to clients alone.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 75 * time.Second
