--- a/internal/server/experiencemetrics.go
+++ b/internal/server/experiencemetrics.go
@@ -18,8 +18,8 @@
 
 func newEjectionMetrics(registry *prometheus.Registry) *EjectionMetrics {
 	m := &EjectionMetrics{
-		decisions:  prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_ejections_total", Help: "Ejections and readmissions of workers based on the observations of all nodes, by event and reason."}, []string{"event", "reason"}),
-		ejectedFor: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "worker_ejected_seconds", Help: "Time for which ejected workers got only trial requests.", Buckets: []float64{1, 2, 4, 8, 16, 32}}),
+		decisions:  prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_ejections_total", Help: "Decisions on workers by the experience of all nodes, by event and reason."}, []string{"event", "reason"}),
+		ejectedFor: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "worker_ejected_seconds", Help: "Time for which workers got no requests but trials.", Buckets: []float64{1, 2, 4, 8, 16, 32}}),
 	}
 	registry.MustRegister(m.decisions, m.ejectedFor)
 	return m
--- a/internal/server/gather_metrics.go
+++ b/internal/server/gather_metrics.go
@@ -12,10 +12,10 @@
 
 // registerGatherMetrics registers the metrics of batched row writes.
 func (m *Metrics) registerGatherMetrics() {
-	m.gatherCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "gather_calls_total", Help: "Store calls that wrote batched rows, by whether the store accepted them."}, []string{"taken"})
-	m.gatherRows = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "gather_rows", Help: "Rows per store call that wrote batched rows.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64, 100}})
-	m.gatherWait = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "gather_wait_seconds", Help: "Time from the arrival of rows at this node until the store accepted them or their sender's deadline passed.", Buckets: []float64{.01, .02, .04, .08, .16, .32, .64, 1.28}})
-	m.gatherRequests = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "gather_asks_total", Help: "Turns whose rows this node sent to the owner of their group, by outcome. Rows with an outcome other than kept were written by this node itself."}, []string{"outcome"})
+	m.gatherCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "gather_calls_total", Help: "Calls to the table by which this node wrote gathered rows, by whether the table took them."}, []string{"taken"})
+	m.gatherRows = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "gather_rows", Help: "Rows in such a call.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64, 100}})
+	m.gatherWait = prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "gather_wait_seconds", Help: "How long rows were at this node until the table had them or their sender's time was over.", Buckets: []float64{.01, .02, .04, .08, .16, .32, .64, 1.28}})
+	m.gatherRequests = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "gather_asks_total", Help: "Turns whose rows this node sent to the owner of their group, by what came of it. All but kept were written by a call of the own."}, []string{"outcome"})
 	m.Registry.MustRegister(m.gatherCalls, m.gatherRows, m.gatherWait, m.gatherRequests)
 }
 
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -62,24 +62,24 @@
 		Requests:     forward.NewMetrics(registry),
 		Room:         newRoomMetrics(registry),
 		Dials:        prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_connections_total", Help: "New connections to workers."}),
-		WorkerProbes: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_looks_total", Help: "Connection probes of unresponsive workers."}),
+		WorkerProbes: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_looks_total", Help: "Looks whether a silent worker takes connections."}),
 		Ejections:    newEjectionMetrics(registry),
 	}
-	m.tableCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "table_calls_total", Help: "Calls to the store by operation and table."}, []string{"call", "table"})
-	m.tableBytes = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "table_bytes_total", Help: "Bytes on connections to the store by what these carry: feeds is control traffic, calls is request traffic."}, []string{"carries", "direction"})
-	m.limitAnswers = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "limit_answers_total", Help: "Requests to owners of shares of tenants' limits, by outcome."}, []string{"outcome"})
-	m.roundTrips = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: "way_seconds", Help: "Estimated round-trip time to the workers of a zone."}, []string{"zone"})
-	m.nodeMessages = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "node_messages_total", Help: "Calls to other nodes, by distance."}, []string{"distance"})
-	m.nodeBytes = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "node_bytes_total", Help: "Bytes of calls to other nodes and of their responses, by distance."}, []string{"distance", "direction"})
-	m.evacuated = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: "zone_evacuated", Help: "1 while the zone is evacuated and its workers get no new work; absent for zones that were never evacuated."}, []string{"zone"})
-	m.evacuationRevision = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: "zone_evacuated_revision", Help: "Store revision of the operator's last change of the zone's evacuation state."}, []string{"zone"})
-	m.coldAnswers = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "cold_answers_total", Help: "Requests for permission to use a cold worker, by outcome."}, []string{"outcome"})
-	m.silentConnections = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "silent_connections_total", Help: "Connections closed because the peer stopped responding, by kind."}, []string{"kind"})
-	m.grants = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "grants_total", Help: "Requests for a part of a program's budget that this node answered as the owner, by outcome."}, []string{"outcome"})
-	m.workerLookups = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "list_questions_total", Help: "Lookups of workers that this node does not keep, by target and result."}, []string{"found"})
+	m.tableCalls = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "table_calls_total", Help: "Calls to the table by what they do and to which table."}, []string{"call", "table"})
+	m.tableBytes = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "table_bytes_total", Help: "Bytes on connections to the table by what these carry: feeds is control, calls is work."}, []string{"carries", "direction"})
+	m.limitAnswers = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "limit_answers_total", Help: "Questions to owners of shares of tenants' limits by what came of them."}, []string{"outcome"})
+	m.roundTrips = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: "way_seconds", Help: "What a round trip to workers of a zone is taken to last."}, []string{"zone"})
+	m.nodeMessages = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "node_messages_total", Help: "Questions to other nodes by how far these are."}, []string{"distance"})
+	m.nodeBytes = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "node_bytes_total", Help: "Bytes of questions to other nodes and of their answers by how far these are."}, []string{"distance", "direction"})
+	m.evacuated = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: "zone_evacuated", Help: "1 while a zone's workers get no new work; zones that never were evacuated are left out."}, []string{"zone"})
+	m.evacuationRevision = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: "zone_evacuated_revision", Help: "The table's revision of the word by which a zone is evacuated or was taken back."}, []string{"zone"})
+	m.coldAnswers = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "cold_answers_total", Help: "Questions for a request to a cold worker by what came of them."}, []string{"outcome"})
+	m.silentConnections = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "silent_connections_total", Help: "Connections that were given up because they fell silent, by kind."}, []string{"kind"})
+	m.grants = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "grants_total", Help: "Requests for a part of a program's budget that this node answered as the owner, by what came of them."}, []string{"outcome"})
+	m.workerLookups = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "list_questions_total", Help: "Questions to the list of workers for some that this node does not keep, by what was asked for and what came of it."}, []string{"found"})
 	registry.MustRegister(m.workerLookups, m.limitAnswers, m.coldAnswers, m.silentConnections, m.grants, m.roundTrips, m.nodeMessages, m.nodeBytes, m.evacuated, m.evacuationRevision)
-	m.RelayedCalls = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "table_relayed_calls_total", Help: "Calls to the store made through other nodes."})
-	m.InvalidEntries = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "foreign_worker_entries_total", Help: "New or changed entries of the worker list that do not decode to a worker."})
+	m.RelayedCalls = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "table_relayed_calls_total", Help: "Calls to the table that other nodes were asked to make."})
+	m.InvalidEntries = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "foreign_worker_entries_total", Help: "Entries of the list of workers that appeared or changed and name no worker."})
 	registry.MustRegister(m.Dials, m.WorkerProbes, m.RelayedCalls, m.InvalidEntries, m.tableCalls, m.tableBytes)
 	m.registerGatherMetrics()
 	return m
@@ -133,14 +133,14 @@
 		m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: name, Help: help}, func() float64 { return float64(read()) }))
 	}
 	gauge("slots_owned", "Directory slots that this node owns.", func() int { _, owned := rights(); return owned })
-	gauge("slots_granting", "Directory slots for which this node may grant parts of budgets.", func() int { may, _ := rights(); return may })
+	gauge("slots_granting", "Directory slots of which this node may grant parts of budgets.", func() int { may, _ := rights(); return may })
 }
 
 // RegisterProofAge registers a gauge of the age, in seconds, of the proof that the configuration
 // is the newest.
 func (m *Metrics) RegisterProofAge(age func() float64) {
 	m.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Namespace: "cloverwheel", Name: "proof_age_seconds", Help: "Age of the proof that the current configuration is the newest; 0 without a proof.",
+		Namespace: "cloverwheel", Name: "proof_age_seconds", Help: "How long ago the configuration in force was proven to be the newest; 0 without a proof.",
 	}, age))
 }
 
--- a/internal/server/roommetrics.go
+++ b/internal/server/roommetrics.go
@@ -18,10 +18,10 @@
 func newRoomMetrics(registry *prometheus.Registry) *RoomMetrics {
 	m := &RoomMetrics{
 		registry:    registry,
-		requests:    prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "room_requests_total", Help: "Requests by the source of the placement decision."}, []string{"source"}),
-		waitSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "room_wait_seconds", Help: "Time that requests waited for the answer of a keeper.", Buckets: []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5}}),
-		reports:     prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "room_reports_total", Help: "Load reports to keepers without a placement request, by whether the keeper received them."}, []string{"heard"}),
-		answers:     prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "room_answers_total", Help: "Placement requests that this node answered as a keeper, by outcome and reason."}, []string{"outcome", "reason"}),
+		requests:    prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "room_requests_total", Help: "Requests by what told where there is room for them."}, []string{"source"}),
+		waitSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "room_wait_seconds", Help: "Time that requests waited for a keeper's word.", Buckets: []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5}}),
+		reports:     prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "room_reports_total", Help: "Reports to keepers that came without a question."}, []string{"heard"}),
+		answers:     prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "room_answers_total", Help: "Questions for places that this node answered as a keeper."}, []string{"outcome", "reason"}),
 	}
 	registry.MustRegister(m.requests, m.waitSeconds, m.reports, m.answers)
 	return m
@@ -55,6 +55,6 @@
 	gauge := func(name, help string, read func() int) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: name, Help: help}, func() float64 { return float64(read()) }))
 	}
-	gauge("room_groups_kept", "Groups of workers whose capacity this node tracks as their keeper.", func() int { groups, _ := kept(); return groups })
-	gauge("room_waiting", "Requests that wait at this keeper for capacity at a worker.", func() int { _, waiting := kept(); return waiting })
+	gauge("room_groups_kept", "Groups of workers of whose places this node keeps account.", func() int { groups, _ := kept(); return groups })
+	gauge("room_waiting", "Requests that wait here for a place at a worker.", func() int { _, waiting := kept(); return waiting })
 }
