--- a/internal/quota/booking_test.go
+++ b/internal/quota/booking_test.go
@@ -10,109 +10,109 @@
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
-// fullLender is a lender whose share is lent whole, the first request of it longAgo.
-func fullLender(leases *fakeLeases, longAgo time.Duration) *Lender {
+// exhaustedLender is a lender without a free permit, whose first one was issued longAgo.
+func exhaustedLender(leases *fakeLeases, longAgo time.Duration) *Lender {
 	l := newFakeLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 	l.Answer(Request{Tenant: "t", Program: "p"})
 	time.Sleep(longAgo)
-	lend(l)
+	lendAll(l)
 	return l
 }
 
-// patient asks for a request of a program under way that may be held.
-var patient = Request{Tenant: "t", Program: "p", UnderWay: true, Patience: time.Second}
+// holdable is a request of a running program that may be held.
+var holdable = Request{Tenant: "t", Program: "p", UnderWay: true, Patience: time.Second}
 
-// TestProgramUnderWayIsToldWhenItsRequestIsFree: instead of being refused.
-func TestProgramUnderWayIsToldWhenItsRequestIsFree(t *testing.T) {
+// Guards against refusing a running program whose request could be held for a short time.
+func TestRunningProgramCanBookPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := fullLender(&fakeLeases{}, testTolerance.Window-500*time.Millisecond)
+		l := exhaustedLender(&fakeLeases{}, testTolerance.Window-500*time.Millisecond)
 		answer := l.Answer(Request{Tenant: "t", Program: "p", UnderWay: true})
-		require.False(t, answer.Lent, "it may not be held")
+		require.False(t, answer.Lent, "a request without patience must not be held")
 		require.Positive(t, answer.Soon)
 		booked := l.Answer(Request{Tenant: "t", Program: "p", UnderWay: true, Patience: answer.Soon})
 		require.True(t, booked.Lent)
 		require.Equal(t, answer.Soon, booked.Wait)
-		require.False(t, l.Answer(patient).Lent, "it was the only one")
+		require.False(t, l.Answer(holdable).Lent, "the only free permit is booked")
 		time.Sleep(booked.Wait)
-		require.False(t, l.Answer(Request{Tenant: "t"}).Lent, "nobody else gets it")
+		require.False(t, l.Answer(Request{Tenant: "t"}).Lent, "the booked permit must not go to another request")
 	})
 }
 
-// TestProgramThatBeginsIsNotHeld: it would take what those under way need.
-func TestProgramThatBeginsIsNotHeld(t *testing.T) {
+// Guards against new programs booking permits that running ones need.
+func TestNewProgramCannotBookPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := fullLender(&fakeLeases{}, testTolerance.Window-500*time.Millisecond)
+		l := exhaustedLender(&fakeLeases{}, testTolerance.Window-500*time.Millisecond)
 		answer := l.Answer(Request{Tenant: "t", Program: "another", Patience: time.Second})
 		require.False(t, answer.Lent)
 		require.Zero(t, answer.Soon)
 	})
 }
 
-// TestNothingIsBookedBeyondTheLease: a successor may lend from then on.
-func TestNothingIsBookedBeyondTheLease(t *testing.T) {
+// Guards against bookings beyond the lease, after which a successor may lend.
+func TestBookingEndsWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leases := &fakeLeases{}
-		l := fullLender(leases, testTolerance.Window-500*time.Millisecond)
+		l := exhaustedLender(leases, testTolerance.Window-500*time.Millisecond)
 		leases.lease.Until = time.Now().Add(100 * time.Millisecond)
-		require.False(t, l.Answer(patient).Lent)
+		require.False(t, l.Answer(holdable).Lent)
 		leases.lease.Until = time.Now().Add(time.Second)
-		require.True(t, l.Answer(patient).Lent)
+		require.True(t, l.Answer(holdable).Lent)
 	})
 }
 
-// TestWhatIsBookedKeepsTheTablesWord: an owner does not take back that it may lend the whole
-// while requests are booked, nor once they are used and count.
-func TestWhatIsBookedKeepsTheTablesWord(t *testing.T) {
+// Guards against lowering a tenant while booked permits are outstanding, or are used and still
+// count.
+func TestBookedPermitsPreventLower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		leases := &fakeLeases{raises: true} // a share of 44, the ordinary part 24, the reserve 6
+		leases := &fakeLeases{raises: true} // full share 44, base 24, reserve 6
 		l := newFakeLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 		for range 32 {
 			require.True(t, l.Answer(Request{Tenant: "t"}).Lent)
-			synctest.Wait() // the table gets the word
+			synctest.Wait() // the tenant is raised
 		}
 		time.Sleep(testTolerance.Window / 2)
-		require.Equal(t, 12, lend(l), "the rest of the whole")
+		require.Equal(t, 12, lendAll(l), "the rest of the full share is lent")
 		time.Sleep(testTolerance.Window/2 - 700*time.Millisecond)
 		booked := 0
-		for l.Answer(patient).Lent {
+		for l.Answer(holdable).Lent {
 			booked++
 		}
 		require.Equal(t, 6, booked)
-		for range 40 { // what was lent at first leaves the window meanwhile, and what is booked comes
+		for range 40 { // the first permits leave the window while the booked ones enter it
 			time.Sleep(20 * time.Millisecond)
 			l.Answer(Request{Tenant: "t"})
 			synctest.Wait()
 		}
-		require.Zero(t, leases.lowers, "12 and 6 count, more than 0.6 of the ordinary part")
+		require.Zero(t, leases.lowers, "12 and 6 permits count, which is above lowerThreshold of the base allowance")
 	})
 }
 
-// TestHeldRequestsAreServed: a program that would send more than its tenant's limit allows
-// is held now and then, and never refused.
-func TestHeldRequestsAreServed(t *testing.T) {
+// Guards against refusing a running program that exceeds its tenant's limit slightly: its
+// requests are held instead.
+func TestRunningProgramIsHeldInsteadOfRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := calmWorld(4, tenant.Limit{PerSecond: 10, Burst: 10})
+		c := newSettledCluster(4, tenant.Limit{PerSecond: 10, Burst: 10})
 		begun, longest := time.Now(), time.Duration(0)
 		for time.Since(begun) < 20*time.Second {
 			asked := time.Now()
-			_ = w.send(addressOf(0), "hot", "p")
+			_ = c.send(addressOf(0), "hot", "p")
 			longest = max(longest, time.Since(asked))
-			time.Sleep(60 * time.Millisecond) // up to 16 requests a second, of 14.4
+			time.Sleep(60 * time.Millisecond) // up to 16 requests per second; the limit allows 14.4
 		}
-		require.Empty(t, w.refused)
-		require.Greater(t, longest, 100*time.Millisecond, "some were held")
-		w.stop()
+		require.Empty(t, c.refused)
+		require.Greater(t, longest, 100*time.Millisecond, "no request was held")
+		c.stop()
 	})
 }
 
-// TestSmallSharesAreLentWhole: the table gets the word though the ordinary part is no whole
-// number of requests.
-func TestSmallSharesAreLentWhole(t *testing.T) {
+// Guards against a small share whose tenant is never raised because its base allowance is not
+// a whole number of permits.
+func TestSmallShareIsRaised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		leases := &fakeLeases{raises: true} // a share of 9 and 4, the ordinary part 5.4
+		leases := &fakeLeases{raises: true} // full share 9 and 4 of the slack, base 5.4
 		l := newFakeLender(leases, tenant.Limit{PerSecond: 4.5, Burst: 4.5})
-		lent := lend(l)
-		askForMore(l)
-		require.Equal(t, 13, lent+lend(l)+1) // askForMore got one
+		lent := lendAll(l)
+		triggerRaise(l)
+		require.Equal(t, 13, lent+lendAll(l)+1) // triggerRaise took one
 	})
 }
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -18,63 +18,66 @@
 )
 
 const (
-	// An owner is waited for as long as answers from its place are seen to take, from
-	// askWait to longestAskWait; within a region it usually answers in 1 to 5 ms.
-	askWait        = 60 * time.Millisecond
-	longestAskWait = 200 * time.Millisecond
-	// askPatience is the least time without an answer after which the next owner is asked,
-	// too; longer if the last one asked is seen to take more.
-	askPatience = 20 * time.Millisecond
-	// spareFor is how long a request that was lent and not used may be used by another of
-	// the same tenant. It is lent for the window in which it was asked for, and counts a
-	// little longer than that.
-	spareFor = 50 * time.Millisecond
-	// silentRetryAfter is when a client should come back if no owner answers, spread by half
-	// as much: owners come back in 1 or 2 s, or others take over their slots in 5.
-	silentRetryAfter = 700 * time.Millisecond
-	// patienceShare is for which part of the time that it has left a request of a program
-	// under way may be held for one that is booked for it.
-	patienceShare = 0.8
+	// The timeout of a call to an owner follows the observed response times of its node,
+	// within these bounds.
+	minOwnerTimeout = 60 * time.Millisecond
+	maxOwnerTimeout = 200 * time.Millisecond
+	// minHedgeDelay is the shortest time without an answer after which the next owner is
+	// asked in parallel. The delay is longer if the node asked last is known to be slower.
+	minHedgeDelay = 20 * time.Millisecond
+	// unusedPermitTTL is how long a returned permit may be used by another request of the
+	// same tenant. The permit was counted in the window in which it was issued.
+	unusedPermitTTL = 50 * time.Millisecond
+	// unavailableRetryAfter is the retry delay if no owner responds; up to half as much jitter
+	// is added. A restarted owner is back within 2 s, and a failed one is replaced within 5 s.
+	unavailableRetryAfter = 700 * time.Millisecond
+	// maxHoldPart is the part of a request's remaining time for which it may be held until
+	// its booked permit becomes valid.
+	maxHoldPart = 0.8
 )
 
-// Owners tell which process owns a slot.
+// Owners looks up which process owns a slot.
 type Owners interface {
-	// Owner is the owner of a slot, unless it is unknown or has just not answered.
+	// Owner returns the owner of a slot. ok is false if the owner is unknown or has just
+	// failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// Heard and Missed are told whether an owner answered.
+	// Heard records that the owner of a slot answered, and Missed that the process that was
+	// asked did not answer as the owner.
 	Heard(slot int)
 	Missed(slot int, asked budget.Holder)
 }
 
-// Peers asks other nodes.
+// Peers sends calls to other nodes.
 type Peers interface {
+	// Lend asks the owner of a share for a permit.
 	Lend(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
-// BorrowerOptions of a Borrower.
+// BorrowerOptions configures a Borrower.
 type BorrowerOptions struct {
 	Self   budget.Holder
 	Layout directory.Layout
 	Region string // of this node
 	Owners Owners
 	Peers  Peers
-	// Patience is how long other nodes' answers are seen to take; nil: not known.
+	// Patience estimates the response times of other nodes. With nil, the shortest timeouts
+	// are used.
 	Patience wait.Patience
-	Lender   *Lender // of this process
-	// Learn is told of proofs in answers, and when their question was sent.
+	Lender   *Lender // of this process; used for slots that it owns
+	// Learn receives the proof of freshness in an answer and the time when the call was sent.
 	Learn func(proof freshness.Proof, sent time.Time)
-	// Count is told what came of each question.
+	// Count receives the outcome of each call, for metrics.
 	Count func(Outcome)
 }
 
-// Outcome is what came of a question to the owner of a share.
+// Outcome is the result of asking the owner of a share for a permit.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a call to an owner.
 const (
-	OutcomeLent   Outcome = "lent"
-	OutcomeEmpty  Outcome = "empty"  // nothing may be lent now
-	OutcomeSilent Outcome = "silent" // nobody answered who may lend
+	OutcomeLent   Outcome = "lent"   // a permit was issued
+	OutcomeEmpty  Outcome = "empty"  // the owner may issue none now
+	OutcomeSilent Outcome = "silent" // no process answered that may issue permits
 )
 
 func (a shareAnswer) outcome() Outcome {
@@ -88,80 +91,83 @@
 	}
 }
 
-// Borrower gets what requests need of their tenants' limits. It implements forward.Limits.
+// Borrower obtains permits for requests against their tenants' limits. It implements
+// forward.Limits.
 type Borrower struct {
 	options BorrowerOptions
 
-	mutex sync.Mutex
-	spare map[string][]time.Time // by tenant: until when a request lent and not used is good
-	homes map[string]home        // by tenant and program
-	swept time.Time
+	mutex         sync.Mutex
+	unused        map[string][]time.Time  // expiry times of returned permits, by tenant
+	programShares map[string]programShare // by tenant and program
+	lastSweep     time.Time
 }
 
-// home is the share whose owner let a program begin. It knows the program; others do not.
-type home struct {
-	share int
-	used  time.Time
+// programShare is the share whose owner admitted a program. Only that owner counts the
+// program as running.
+type programShare struct {
+	share    int
+	lastUsed time.Time
 }
 
 var _ forward.Limits = (*Borrower)(nil)
 
-// NewBorrower returns a borrower that holds nothing.
+// NewBorrower returns a borrower without cached permits.
 func NewBorrower(options BorrowerOptions) *Borrower {
-	return &Borrower{options: options, spare: map[string][]time.Time{}, homes: map[string]home{}, swept: time.Now()}
+	return &Borrower{options: options, unused: map[string][]time.Time{}, programShares: map[string]programShare{}, lastSweep: time.Now()}
 }
 
-// Admit implements forward.Limits. It asks the owner of the share that the program's
-// requests fall to, and others where that one has nothing or does not answer.
+// Admit implements forward.Limits. It first asks the owner of the program's share, then the
+// owners of the other shares if that one refuses or is slow to answer.
 func (b *Borrower) Admit(ctx context.Context, ask forward.LimitRequest) error {
-	if b.takeSpare(ask.Tenant) {
+	if b.takeUnused(ask.Tenant) {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	inquiry := &inquiry{borrower: b, ask: ask, answers: make(chan shareAnswer, shares)}
-	inquiry.first = b.firstShare(ask)
-	outcome, err := inquiry.run(ctx)
+	acquisition := &acquisition{borrower: b, ask: ask, answers: make(chan shareAnswer, shares)}
+	acquisition.first = b.firstShare(ask)
+	outcome, err := acquisition.run(ctx)
 	if err != nil || outcome.lent {
 		return err
 	}
-	if wait, booked := inquiry.book(ctx, &outcome); booked {
-		return pause(ctx, wait)
+	if wait, booked := acquisition.book(ctx, &outcome); booked {
+		return sleep(ctx, wait)
 	}
-	return inquiry.refusal(outcome)
+	return acquisition.refusalError(outcome)
 }
 
-// book takes a request that will be free soon, so that one of a program under way need not
-// fail for a moment in which its tenant's limit is reached. It reports how long that takes,
-// or notes in the outcome what the owner says who has none any more.
-func (i *inquiry) book(ctx context.Context, outcome *refused) (wait time.Duration, booked bool) {
-	patience := patienceOf(ctx)
-	if outcome.soon == 0 || outcome.soon > patience {
+// book reserves a permit that becomes valid soon, so that a running program does not fail on
+// a brief excess over its tenant's limit. It returns the time until the permit is valid, and
+// whether there is one. If the owner refuses after all, book updates the retry delay in outcome.
+func (a *acquisition) book(ctx context.Context, outcome *refusals) (wait time.Duration, booked bool) {
+	hold := maxHold(ctx)
+	if outcome.bookableIn == 0 || outcome.bookableIn > hold {
 		return 0, false
 	}
-	answer, reached := i.borrower.askOwner(ctx, Request{
-		Tenant: i.ask.Tenant, Share: outcome.soonShare, Program: i.ask.Program, UnderWay: true, Patience: patience,
+	answer, reached := a.borrower.askOwner(ctx, Request{
+		Tenant: a.ask.Tenant, Share: outcome.bookableShare, Program: a.ask.Program, UnderWay: true, Patience: hold,
 	})
 	switch {
 	case answer.Lent:
-		i.borrower.noteHome(i.ask, outcome.soonShare)
+		a.borrower.rememberShare(a.ask, outcome.bookableShare)
 	case reached:
 		outcome.wait = answer.Wait
 	}
 	return answer.Wait, answer.Lent
 }
 
-// patienceOf is how long a request may be held; not at all if its time is not bounded.
-func patienceOf(ctx context.Context) time.Duration {
+// maxHold returns how long a request may be held; zero if its context has no deadline.
+func maxHold(ctx context.Context) time.Duration {
 	deadline, bounded := ctx.Deadline()
 	if !bounded {
 		return 0
 	}
-	return time.Duration(patienceShare * float64(time.Until(deadline)))
+	return time.Duration(maxHoldPart * float64(time.Until(deadline)))
 }
 
-// pause waits; its error is the context's.
-func pause(ctx context.Context, wait time.Duration) error {
+// sleep blocks for a duration, or until the context is done, in which case it returns the
+// context's error.
+func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -172,119 +178,120 @@
 	}
 }
 
-// firstShare is the share to ask first, one of this node's region: all its nodes ask the
-// same one for a program, unless they know that another one let it begin.
+// firstShare returns the share to ask first, one of this node's region. All nodes of a region
+// pick the same share for a program, unless they know that another share admitted it.
 func (b *Borrower) firstShare(ask forward.LimitRequest) int {
 	if ask.Program == "" {
-		near := sharesIn(b.options.Layout, b.options.Region, ask.Tenant)
-		return near[rand.IntN(len(near))]
+		local := sharesInRegion(b.options.Layout, b.options.Region, ask.Tenant)
+		return local[rand.IntN(len(local))]
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if known, ok := b.homes[homeName(ask)]; ok {
+	if known, ok := b.programShares[programKey(ask)]; ok {
 		return known.share
 	}
-	return b.usualShare(ask)
+	return b.defaultShare(ask)
 }
 
-func (b *Borrower) usualShare(ask forward.LimitRequest) int {
-	near := sharesIn(b.options.Layout, b.options.Region, ask.Tenant)
-	return near[xxhash.Sum64String(ask.Program)%uint64(len(near))]
+func (b *Borrower) defaultShare(ask forward.LimitRequest) int {
+	local := sharesInRegion(b.options.Layout, b.options.Region, ask.Tenant)
+	return local[xxhash.Sum64String(ask.Program)%uint64(len(local))]
 }
 
-func homeName(ask forward.LimitRequest) string { return ask.Tenant + "/" + ask.Program }
+func programKey(ask forward.LimitRequest) string { return ask.Tenant + "/" + ask.Program }
 
-// noteHome remembers the share that lent to a program, if it is another than usual.
-func (b *Borrower) noteHome(ask forward.LimitRequest, share int) {
+// rememberShare records the share that admitted a program, if it is not the default one.
+func (b *Borrower) rememberShare(ask forward.LimitRequest, share int) {
 	if ask.Program == "" {
 		return
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := time.Now()
-	if now.Sub(b.swept) > underWayFor {
-		b.swept = now
-		maps.DeleteFunc(b.homes, func(_ string, known home) bool { return now.Sub(known.used) > underWayFor })
+	if now.Sub(b.lastSweep) > programTTL {
+		b.lastSweep = now
+		maps.DeleteFunc(b.programShares, func(_ string, known programShare) bool { return now.Sub(known.lastUsed) > programTTL })
 	}
-	if share == b.usualShare(ask) {
-		delete(b.homes, homeName(ask))
+	if share == b.defaultShare(ask) {
+		delete(b.programShares, programKey(ask))
 		return
 	}
-	b.homes[homeName(ask)] = home{share: share, used: now}
+	b.programShares[programKey(ask)] = programShare{share: share, lastUsed: now}
 }
 
-// Return implements forward.Limits.
+// Return implements forward.Limits. The permit stays usable for unusedPermitTTL.
 func (b *Borrower) Return(tenant string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.spare[tenant] = append(b.spare[tenant], time.Now().Add(spareFor))
+	b.unused[tenant] = append(b.unused[tenant], time.Now().Add(unusedPermitTTL))
 }
 
-// takeSpare takes a request that was lent and not used.
-func (b *Borrower) takeSpare(tenant string) bool {
+// takeUnused takes a returned permit of a tenant and reports whether there was one.
+func (b *Borrower) takeUnused(tenant string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	spare := b.spare[tenant]
+	unused := b.unused[tenant]
 	now := time.Now()
-	for len(spare) > 0 && !now.Before(spare[0]) {
-		spare = spare[1:]
+	for len(unused) > 0 && !now.Before(unused[0]) {
+		unused = unused[1:]
 	}
-	if len(spare) == 0 {
-		delete(b.spare, tenant)
+	if len(unused) == 0 {
+		delete(b.unused, tenant)
 		return false
 	}
-	b.spare[tenant] = spare[1:]
+	b.unused[tenant] = unused[1:]
 	return true
 }
 
-// inquiry asks for one request, share after share.
-type inquiry struct {
+// acquisition asks for one permit, share by share.
+type acquisition struct {
 	borrower *Borrower
 	ask      forward.LimitRequest
 	first    int // share that is asked first
-	asked    int
+	asked    int // number of shares asked so far
 	answers  chan shareAnswer
 	underWay bool
 }
 
-// shareAnswer is what came of asking one share's owner.
+// shareAnswer is the result of asking one share's owner.
 type shareAnswer struct {
 	Answer
 	share   int
-	reached bool
+	reached bool // the owner answered and may issue permits
 }
 
-// run asks until something is lent or all shares' owners were asked.
-func (i *inquiry) run(ctx context.Context) (outcome refused, err error) {
+// run asks one share after another until a permit is issued or every share was asked. It
+// returns the context's error if that is done first.
+func (a *acquisition) run(ctx context.Context) (outcome refusals, err error) {
 	running := 0
 	next := func() {
-		if i.asked < shares {
-			share := (i.first + i.asked) % shares
-			i.asked++
+		if a.asked < shares {
+			share := (a.first + a.asked) % shares
+			a.asked++
 			running++
-			go i.askShare(ctx, share, i.underWay)
+			go a.askShare(ctx, share, a.underWay)
 		}
 	}
 	next()
-	patience := time.NewTimer(i.patience())
-	defer patience.Stop()
+	hedge := time.NewTimer(a.hedgeDelay())
+	defer hedge.Stop()
 	for running > 0 {
 		select {
 		case <-ctx.Done():
 			return outcome, ctx.Err()
-		case <-patience.C:
+		case <-hedge.C:
 			next()
-			patience.Reset(i.patience())
-		case answer := <-i.answers:
+			hedge.Reset(a.hedgeDelay())
+		case answer := <-a.answers:
 			running--
-			i.borrower.options.Count(answer.outcome())
-			i.underWay = i.underWay || answer.UnderWay
+			a.borrower.options.Count(answer.outcome())
+			a.underWay = a.underWay || answer.UnderWay
 			switch {
 			case answer.Lent:
-				i.borrower.noteHome(i.ask, answer.share)
-				return refused{lent: true}, nil
+				a.borrower.rememberShare(a.ask, answer.share)
+				return refusals{lent: true}, nil
 			case !answer.reached:
-				outcome.silent++
+				outcome.unanswered++
 			default:
 				outcome.add(answer)
 			}
@@ -294,55 +301,55 @@
 	return outcome, nil
 }
 
-// patience is how long the owner asked last may take to answer and still be usual.
-func (i *inquiry) patience() time.Duration {
-	share := (i.first + i.asked - 1) % shares
-	owner, _ := i.borrower.options.Owners.Owner(slotOf(i.borrower.options.Layout, i.ask.Tenant, share))
-	return i.borrower.options.Patience.Of(owner.Process, askPatience, longestAskWait)
+// hedgeDelay returns how long to wait for the owner asked last before the next one is asked.
+func (a *acquisition) hedgeDelay() time.Duration {
+	share := (a.first + a.asked - 1) % shares
+	owner, _ := a.borrower.options.Owners.Owner(slotOf(a.borrower.options.Layout, a.ask.Tenant, share))
+	return a.borrower.options.Patience.Of(owner.Process, minHedgeDelay, maxOwnerTimeout)
 }
 
-// refused is what owners said who lent nothing.
-type refused struct {
-	lent       bool // one of them lent after all
-	silent     int  // owners that said nothing
-	wait       time.Duration
-	used, most int           // of all shares whose owners answered
-	soon       time.Duration // until a request could be used that is booked; zero: none
-	soonShare  int
+// refusals collects the answers of owners that issued no permit.
+type refusals struct {
+	lent           bool          // a later owner issued a permit
+	unanswered     int           // owners that did not answer
+	wait           time.Duration // shortest retry delay
+	used, capacity int           // permits in the current window, and their maximum, over all answers
+	bookableIn     time.Duration // until a permit that is booked now would be valid; zero: none can be booked
+	bookableShare  int           // share of that permit
 }
 
-func (r *refused) add(answer shareAnswer) {
-	if answer.Soon > 0 && (r.soon == 0 || answer.Soon < r.soon) {
-		r.soon, r.soonShare = answer.Soon, answer.share
+func (r *refusals) add(answer shareAnswer) {
+	if answer.Soon > 0 && (r.bookableIn == 0 || answer.Soon < r.bookableIn) {
+		r.bookableIn, r.bookableShare = answer.Soon, answer.share
 	}
 	if r.wait == 0 || answer.Wait < r.wait {
 		r.wait = answer.Wait
 	}
 	r.used += answer.Used
-	r.most += answer.Most
+	r.capacity += answer.Most
 }
 
-// refusal is why nothing was lent.
-func (i *inquiry) refusal(outcome refused) error {
-	if outcome.silent == shares {
-		return fault.Newf(fault.Unavailable, "come back after the time given",
-			"no node that lends of tenant %q's limit answers", i.ask.Tenant).WithRetryAfter(silentRetryAfter + rand.N(silentRetryAfter/2))
+// refusalError returns the error for a request that got no permit.
+func (a *acquisition) refusalError(outcome refusals) error {
+	if outcome.unanswered == shares {
+		return fault.Newf(fault.Unavailable, "retry after the delay in Retry-After",
+			"none of the nodes that enforce the rate limit of tenant %q responded", a.ask.Tenant).WithRetryAfter(unavailableRetryAfter + rand.N(unavailableRetryAfter/2))
 	}
-	return fault.Newf(fault.RateLimited, "come back after the time given, or ask the operator for a higher limit",
-		"tenant %q has sent as much as its limit allows: %d requests in the last window, of %d that %d of %d lenders may lend",
-		i.ask.Tenant, outcome.used, outcome.most, shares-outcome.silent, shares).WithRetryAfter(outcome.wait)
+	return fault.Newf(fault.RateLimited, "retry after the delay in Retry-After, or ask the operator for a higher limit",
+		"tenant %q has reached its rate limit: %d requests in the last window, of %d allowed by the %d of %d limit shares that responded",
+		a.ask.Tenant, outcome.used, outcome.capacity, shares-outcome.unanswered, shares).WithRetryAfter(outcome.wait)
 }
 
-// askShare asks the owner of a share.
-func (i *inquiry) askShare(ctx context.Context, share int, underWay bool) {
-	answer, reached := i.borrower.askOwner(ctx, Request{
-		Tenant: i.ask.Tenant, Share: share, Program: i.ask.Program, UnderWay: underWay,
+// askShare asks the owner of a share and sends its answer to the answers channel.
+func (a *acquisition) askShare(ctx context.Context, share int, underWay bool) {
+	answer, reached := a.borrower.askOwner(ctx, Request{
+		Tenant: a.ask.Tenant, Share: share, Program: a.ask.Program, UnderWay: underWay,
 	})
-	i.answers <- shareAnswer{Answer: answer, share: share, reached: reached}
+	a.answers <- shareAnswer{Answer: answer, share: share, reached: reached}
 }
 
-// askOwner asks the owner of the share that a request names. reached is false if nobody
-// answers as such.
+// askOwner asks the owner of the share that a request names. reached is false if no process
+// answers that owns the share and may issue permits.
 func (b *Borrower) askOwner(ctx context.Context, request Request) (answer Answer, reached bool) {
 	slot := slotOf(b.options.Layout, request.Tenant, request.Share)
 	owner, ok := b.options.Owners.Owner(slot)
@@ -353,7 +360,7 @@
 		answer := b.options.Lender.Answer(request)
 		return answer, answer.Able
 	}
-	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(owner.Process, askWait, longestAskWait))
+	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(owner.Process, minOwnerTimeout, maxOwnerTimeout))
 	defer cancel()
 	sent := time.Now()
 	answer, err := b.options.Peers.Lend(limited, owner, request)
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,11 +1,14 @@
-// Package quota keeps what each tenant sends within its limit, counted over all nodes
-// together in any window of time, whatever processes die, pause or are cut off.
+// Package quota enforces each tenant's rate limit over all nodes together: no sliding window
+// of time holds more requests than the limit allows, even when processes crash, pause or are
+// partitioned.
 //
 // A tenant's limit is divided into a few shares. Each share belongs to a slot of the
-// directory, and the owner of that slot lends it: before a request is sent to a worker, its
-// node asks the owners for one, and an owner lends no more in any window than its share.
-// An owner remembers what it has lent in memory only. One that takes a slot over assumes
-// that those before it have lent as much as they may without a word in the table, the
-// ordinary part; an owner that is to lend more writes that there first. So a loss of all
-// nodes leaves most of each limit usable at once, and calm days cost no writes.
+// directory, and the owner of that slot issues permits for it: before a node sends a request
+// to a worker, it asks an owner for a permit, and an owner issues no more in any window than
+// its share. Issuing a permit is called lending, because an unused permit is returned.
+//
+// An owner counts issued permits in memory only. The next owner of the slot assumes that its
+// predecessors used up the base part of the share. An owner that needs more than the base
+// part first raises the tenant in the store. So most of each limit stays usable after a loss
+// of all nodes, and normal operation needs no writes.
 package quota
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -13,117 +13,125 @@
 )
 
 const (
-	// raiseAt is the part of what is ordinarily lent at which an owner writes that it
-	// will lend more, so that the table has it before it is needed.
-	raiseAt = 0.95
-	// lowerAt is the part of it below which an owner writes that it will not any more:
-	// what was raised is lost to the successor of an owner that dies.
-	lowerAt = 0.6
-	// writeTimeout bounds such a write, and writePause is the pause before the next one.
-	writeTimeout = time.Second
-	writePause   = 500 * time.Millisecond
-	// underWayFor is how long after its last request a program may go on as one under way.
-	underWayFor = 4 * time.Second
+	// raiseThreshold is the part of the base allowance at which an owner raises a tenant in
+	// the store, so that the row is written before the rest of the share is needed.
+	raiseThreshold = 0.95
+	// lowerThreshold is the part of the base allowance below which an owner lowers the tenant
+	// again: after a crash the successor assumes that all of a raised share was used.
+	lowerThreshold = 0.6
+	// writeTimeout bounds a write that raises or lowers a tenant, and writeInterval is the
+	// shortest time between two such writes.
+	writeTimeout  = time.Second
+	writeInterval = 500 * time.Millisecond
+	// programTTL is how long a program counts as running after its last request.
+	programTTL = 4 * time.Second
 )
 
-// Request asks the owner of a share for one request of a tenant.
+// Request asks the owner of a share for a permit for one request of a tenant.
 type Request struct {
 	Tenant   string
 	Share    int
-	Program  string // that the request belongs to; empty: none
-	UnderWay bool   // the program has had a request before
-	// Patience is how long the request may be held for one that is booked for it.
+	Program  string // program that the request belongs to; empty: none
+	UnderWay bool   // the program is running: it was granted a request before
+	// Patience is how long the request may be held until a booked permit becomes valid.
 	Patience time.Duration
 }
 
-// Answer is the owner's word.
+// Answer is an owner's answer to a Request.
 type Answer struct {
-	Owner    bool // the process asked owns the share's slot, whoever owned it when it was named
-	Able     bool // and may lend now
-	Lent     bool
-	UnderWay bool // the program was known to the owner
-	// Wait is, if nothing was lent, until something may be; else until the request that was
-	// lent may be used.
+	Owner    bool // the process owns the share's slot
+	Able     bool // the process also may issue permits now
+	Lent     bool // a permit was issued
+	UnderWay bool // the owner counts the program as running
+	// Wait is the time until the permit is valid, or the retry delay if none was issued.
 	Wait time.Duration
-	// Soon is, if nothing was lent, until a request could be used that is booked now; zero:
-	// none can be.
+	// Soon is, if no permit was issued, the time until one that is booked now would be valid;
+	// zero: none can be booked.
 	Soon  time.Duration
-	Used  int // requests that were lent of the share in the last window
-	Most  int // that may be, by the owner's lease
+	Used  int // permits issued for the share in the last window
+	Most  int // how many may be issued under the owner's lease
 	Proof freshness.Proof
 }
 
-// Leases tell which slots this process owns.
+// Leases looks up the slots that this process owns, and records raised tenants.
 type Leases interface {
+	// Lease returns this process's lease of a slot; ok is false if another process owns it.
 	Lease(slot int) (directory.Lease, bool)
+	// Raise records in the store that all of a tenant's share may be lent, and reports
+	// whether that was confirmed.
 	Raise(ctx context.Context, slot int, tenant string) bool
+	// Lower removes that record.
 	Lower(ctx context.Context, slot int, tenant string)
 }
 
-// Lender lends the shares of limits whose slots this process owns.
+// Lender issues permits for the shares whose slots this process owns. It is safe for
+// concurrent use.
 type Lender struct {
 	leases    Leases
 	layout    directory.Layout
 	tolerance Tolerance
-	origin    time.Time
-	// limitOf tells a tenant's limit by the configuration in force, if that is known to be
-	// new enough to lend by.
+	origin    time.Time // start of step 0 of all windows
+	// limitOf returns a tenant's limit in the current configuration. ok is false if that is
+	// not known to be fresh enough.
 	limitOf func(tenant string) (tenant.Limit, bool)
 	proof   func() freshness.Proof
 
-	mutex    sync.Mutex
-	accounts map[shareName]*lent
-	pace     pace
-	swept    time.Time
+	mutex       sync.Mutex
+	accounts    map[shareKey]*shareAccount
+	programRate rateEstimate
+	lastSweep   time.Time
 }
 
-// shareName names a share of a tenant's limit.
-type shareName struct {
+// shareKey identifies a share of a tenant's limit.
+type shareKey struct {
 	tenant string
 	share  int
 }
 
-// lent is what this process has lent of a share.
-type lent struct {
+// shareAccount counts what this process has lent of a share.
+type shareAccount struct {
 	lease    uint64 // number of the lease under which it was lent
-	window   window
-	programs programs // those under way
-	// promises are the times at which refused requests were told to come back, and
-	// beginnings those of refused programs.
-	promises   promises
-	beginnings promises
-	writing    bool      // the table is being asked to note whether more may be lent
-	lowered    bool      // no more is lent, whatever the table may have
-	written    time.Time // when the table was last asked
-	used       time.Time
+	window   windowCounter
+	programs programs // running programs
+	// requestRetries and programRetries are the times at which refused requests and refused new
+	// programs were told to retry.
+	requestRetries retryTimes
+	programRetries retryTimes
+	writePending   bool      // a write that raises or lowers the tenant is in progress
+	lowered        bool      // only the base allowance may be lent, even if the tenant is still raised
+	lastWrite      time.Time // start of the last write
+	lastUsed       time.Time
 }
 
-// LenderOptions of a Lender.
+// LenderOptions configures a Lender.
 type LenderOptions struct {
 	Leases    Leases
 	Layout    directory.Layout
 	Tolerance Tolerance
-	LimitOf   func(tenant string) (tenant.Limit, bool)
-	Proof     func() freshness.Proof
+	// LimitOf returns a tenant's limit; ok is false if it is not known to be fresh enough.
+	LimitOf func(tenant string) (tenant.Limit, bool)
+	// Proof returns the proof of freshness that is sent with each answer.
+	Proof func() freshness.Proof
 }
 
-// NewLender returns a lender that has lent nothing.
+// NewLender returns a lender that has issued no permits.
 func NewLender(options LenderOptions) *Lender {
 	now := time.Now()
 	return &Lender{
-		leases:    options.Leases,
-		layout:    options.Layout,
-		tolerance: options.Tolerance.withDefaults(),
-		limitOf:   options.LimitOf,
-		proof:     options.Proof,
-		origin:    now,
-		accounts:  map[shareName]*lent{},
-		pace:      newPace(now),
-		swept:     now,
+		leases:      options.Leases,
+		layout:      options.Layout,
+		tolerance:   options.Tolerance.withDefaults(),
+		limitOf:     options.LimitOf,
+		proof:       options.Proof,
+		origin:      now,
+		accounts:    map[shareKey]*shareAccount{},
+		programRate: newRateEstimate(now),
+		lastSweep:   now,
 	}
 }
 
-// Answer lends a request, or says when it may.
+// Answer issues a permit, or returns when to retry. A request for a share that does not exist
+// or is owned by another process gets an answer in which Owner is false.
 func (l *Lender) Answer(request Request) Answer {
 	answer := Answer{Proof: l.proof()}
 	if request.Share < 0 || request.Share >= shares {
@@ -141,22 +149,22 @@
 		return answer
 	}
 	allowed := allowancesOf(limit, l.tolerance)
-	account := l.account(shareName{request.Tenant, request.Share}, lease, now)
+	account := l.accountFor(shareKey{request.Tenant, request.Share}, lease, now)
 	most := allowed.lendable(lease, request.Tenant, now, l.tolerance.Window)
 	if account.lowered {
-		most = min(most, allowed.ordinary)
+		most = min(most, allowed.base)
 	}
-	l.adjust(account, slot, request.Tenant, lease, allowed, now)
+	l.updateRaised(account, slot, request.Tenant, lease, allowed, now)
 	answer.Used, answer.Most = account.window.total, int(most)
 	answer.UnderWay = request.UnderWay || account.programs.underWay(request.Program, now)
-	begins := request.Program != "" && !answer.UnderWay
+	newProgram := request.Program != "" && !answer.UnderWay
 	ahead, fits := account.window.earliest(most)
 	wait := startOf(l.origin, account.window.step+ahead, l.tolerance.Window).Sub(now)
 	bookable := fits && answer.UnderWay && !now.Add(wait).After(lease.Until) &&
 		allowed.mayBook(lease, account.window.booked, now, l.tolerance.Window)
 	switch {
-	case ahead == 0 && begins && !l.hasRoom(account, allowed, now):
-		answer.Wait = l.waitForProgram(account, now)
+	case ahead == 0 && newProgram && !l.hasRoom(account, allowed, now):
+		answer.Wait = l.programRetryAfter(account, now)
 	case ahead == 0:
 		answer.Lent = true
 		l.lend(account, request.Program, 0, now)
@@ -167,82 +175,82 @@
 		answer.Soon = wait
 		answer.Wait = wait
 	default:
-		answer.Wait = l.waitForRequest(account, most, now)
+		answer.Wait = l.requestRetryAfter(account, most, now)
 	}
 	return answer
 }
 
-// lend counts a request that may be used so many steps ahead. The caller holds the mutex.
-func (l *Lender) lend(account *lent, program string, ahead int64, now time.Time) {
+// lend counts a permit that becomes valid so many steps ahead. The caller holds the mutex.
+func (l *Lender) lend(account *shareAccount, program string, ahead int64, now time.Time) {
 	account.window.add(ahead)
-	account.programs.note(program, now)
-	l.pace.lent(program)
+	account.programs.record(program, now)
+	l.programRate.count(program)
 }
 
-// waitForRequest is how long it takes until one more request may be lent of a share that may
-// lend so many in a window, after those that were told before to come back.
-func (l *Lender) waitForRequest(account *lent, most float64, now time.Time) time.Duration {
-	return account.promises.add(now, func(queue int) time.Duration {
+// requestRetryAfter returns how long it takes until a share that may lend so many permits in a
+// window has a free one beyond those that earlier refused callers will take.
+func (l *Lender) requestRetryAfter(account *shareAccount, most float64, now time.Time) time.Duration {
+	return account.requestRetries.add(now, func(queue int) time.Duration {
 		surplus := account.window.total + 1 - int(most) + queue
 		return time.Duration(account.window.untilFree(surplus)) * l.tolerance.Window / steps
 	})
 }
 
-// waitForProgram is how long it takes until one more program may begin: about one of those
-// that are active ends in each of as many parts of a window.
-func (l *Lender) waitForProgram(account *lent, now time.Time) time.Duration {
-	return account.beginnings.add(now, func(queue int) time.Duration {
+// programRetryAfter returns how long a new program should wait. It assumes that the active
+// programs end evenly spread over a window.
+func (l *Lender) programRetryAfter(account *shareAccount, now time.Time) time.Duration {
+	return account.programRetries.add(now, func(queue int) time.Duration {
 		return time.Duration(queue+1) * l.tolerance.Window / time.Duration(account.programs.active(now)+1)
 	})
 }
 
-// hasRoom reports whether one more program can begin without those under way being cut off:
-// whether what a share will have lent in the window that ends after programAhead, if each
-// program goes on at its pace, stays within the share.
-func (l *Lender) hasRoom(account *lent, allowed allowances, now time.Time) bool {
-	ahead := time.Duration(programAhead * float64(l.tolerance.Window))
-	kept := account.window.since(l.tolerance.Window-ahead, l.tolerance.Window) + account.window.booked
-	perSecond := account.programs.perSecond(l.pace.perSecond, now) + l.pace.perSecond
-	coming := perSecond * ahead.Seconds()
-	return float64(kept)+coming <= roomSlack*allowed.whole
+// hasRoom reports whether the share can take one more program without cutting off running
+// ones. It forecasts the permits of the window that ends after forecastPart of its length, if
+// each program keeps its rate.
+func (l *Lender) hasRoom(account *shareAccount, allowed allowances, now time.Time) bool {
+	ahead := time.Duration(forecastPart * float64(l.tolerance.Window))
+	counted := account.window.recent(l.tolerance.Window-ahead, l.tolerance.Window) + account.window.booked
+	perSecond := account.programs.perSecond(l.programRate.perSecond, now) + l.programRate.perSecond
+	expected := perSecond * ahead.Seconds()
+	return float64(counted)+expected <= forecastSlack*allowed.full
 }
 
-// account returns what was lent of a share under a lease, as of now. What was lent under an
-// earlier lease is among what its successor assumes.
-func (l *Lender) account(name shareName, lease directory.Lease, now time.Time) *lent {
+// accountFor returns the account of a share under a lease, advanced to now. A new lease starts
+// a new account: the allowance already deducts what was lent under earlier ones.
+func (l *Lender) accountFor(name shareKey, lease directory.Lease, now time.Time) *shareAccount {
 	l.sweep(now)
 	known, ok := l.accounts[name]
 	if !ok || known.lease != lease.Number {
-		known = &lent{lease: lease.Number, programs: programs{}}
+		known = &shareAccount{lease: lease.Number, programs: programs{}}
 		l.accounts[name] = known
 	}
-	known.used = now
+	known.lastUsed = now
 	known.window.advance(stepOf(l.origin, now, l.tolerance.Window))
-	l.pace.learn(l.accounts, now)
+	l.programRate.update(l.accounts, now)
 	return known
 }
 
-// sweep forgets shares of which nothing was lent for long.
+// sweep drops the accounts of shares that were not used lately.
 func (l *Lender) sweep(now time.Time) {
-	if now.Sub(l.swept) < 2*l.tolerance.Window {
+	if now.Sub(l.lastSweep) < 2*l.tolerance.Window {
 		return
 	}
-	l.swept = now
-	maps.DeleteFunc(l.accounts, func(_ shareName, known *lent) bool { return now.Sub(known.used) > 2*l.tolerance.Window })
+	l.lastSweep = now
+	maps.DeleteFunc(l.accounts, func(_ shareKey, known *shareAccount) bool { return now.Sub(known.lastUsed) > 2*l.tolerance.Window })
 }
 
-// adjust has the table note that more than the ordinary part may be lent, before that is
-// needed, or that no more will be. The caller holds the mutex.
-func (l *Lender) adjust(account *lent, slot int, tenant string, lease directory.Lease, allowed allowances, now time.Time) {
-	if account.writing || now.Sub(account.written) < writePause {
+// updateRaised raises the tenant in the store shortly before more than the base allowance is
+// needed, and lowers it when that is no longer so. The caller holds the mutex.
+func (l *Lender) updateRaised(account *shareAccount, slot int, tenant string, lease directory.Lease, allowed allowances, now time.Time) {
+	if account.writePending || now.Sub(account.lastWrite) < writeInterval {
 		return
 	}
 	raised, total := slices.Contains(lease.Raised, tenant), float64(account.window.total+account.window.booked)
 	switch {
-	case allowed.nearlyOrdinary(total) && (!raised || account.lowered):
+	case allowed.nearBase(total) && (!raised || account.lowered):
 		l.write(account, now, func(ctx context.Context) (lowered bool) { return !l.leases.Raise(ctx, slot, tenant) })
-	case total < lowerAt*allowed.ordinary && raised:
-		account.lowered = true // before the table may say so
+	case total < lowerThreshold*allowed.base && raised:
+		account.lowered = true // before the store is written
 		l.write(account, now, func(ctx context.Context) (lowered bool) {
 			l.leases.Lower(ctx, slot, tenant)
 			return true
@@ -250,16 +258,16 @@
 	}
 }
 
-// write lets a write to the table run on its own, one at a time. do reports whether no more
-// than the ordinary part may be lent after it.
-func (l *Lender) write(account *lent, now time.Time, do func(context.Context) (lowered bool)) {
-	account.writing, account.written = true, now
+// write runs a write to the store in the background, one at a time for each share. do reports
+// whether only the base allowance may be lent after it.
+func (l *Lender) write(account *shareAccount, now time.Time, do func(context.Context) (lowered bool)) {
+	account.writePending, account.lastWrite = true, now
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 		defer cancel()
 		lowered := do(ctx)
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		account.writing, account.lowered = false, lowered
+		account.writePending, account.lowered = false, lowered
 	}()
 }
--- a/internal/quota/lender_test.go
+++ b/internal/quota/lender_test.go
@@ -14,11 +14,11 @@
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
-// fakeLeases are leases of all slots, whose rows a test writes.
+// fakeLeases owns all slots under one lease, which a test may edit.
 type fakeLeases struct {
 	lease  directory.Lease
-	raises bool // Raise is confirmed
-	lowers int  // calls of Lower, none of which has its effect
+	raises bool // Raise succeeds
+	lowers int  // calls of Lower, which never take effect
 }
 
 func (f *fakeLeases) Lease(int) (directory.Lease, bool) { return f.lease, true }
@@ -32,13 +32,13 @@
 
 func (f *fakeLeases) Lower(context.Context, int, string) {
 	f.lowers++
-	time.Sleep(slowTable)
+	time.Sleep(storeLatency)
 }
 
-// slowTable is how long a write takes.
-const slowTable = 300 * time.Millisecond
+// storeLatency is the duration of a write.
+const storeLatency = 300 * time.Millisecond
 
-// newFakeLender is a lender that has owned its slots for long.
+// newFakeLender is a lender whose lease is older than the window.
 func newFakeLender(leases *fakeLeases, limit tenant.Limit) *Lender {
 	now := time.Now()
 	leases.lease = directory.Lease{Number: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Hour)}
@@ -49,64 +49,64 @@
 	})
 }
 
-// lend asks until nothing is lent and returns how much was.
-func lend(l *Lender) (count int) {
+// lendAll asks until no permit is issued and returns how many were.
+func lendAll(l *Lender) (count int) {
 	for l.Answer(Request{Tenant: "t"}).Lent {
 		count++
-		synctest.Wait() // writes of rows end meanwhile
+		synctest.Wait() // background writes finish
 	}
 	return count
 }
 
-// askForMore lets a lender ask the table for the word that it may lend more.
-func askForMore(l *Lender) {
-	time.Sleep(writePause)
+// triggerRaise sends a request after which the lender may raise the tenant again.
+func triggerRaise(l *Lender) {
+	time.Sleep(writeInterval)
 	l.Answer(Request{Tenant: "t"})
 	synctest.Wait()
 }
 
-// TestNoMoreThanTheTableKnowsIsLent: beyond the ordinary part only once the table has the
-// word, and not any more from when it is asked to take that back.
-func TestNoMoreThanTheTableKnowsIsLent(t *testing.T) {
+// Guards against lending more than the base allowance without a confirmed write to the store,
+// or after the tenant was lowered.
+func TestBaseAllowanceUntilRaised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// A share of 100 a second and a burst of 100, and of the lent part of the tolerance.
-		const whole, ordinary = 200 + 4, 120
+		// The share of 100 per second, a burst of 100 and the lent part of the slack.
+		const whole, base = 200 + 4, 120
 		leases := &fakeLeases{}
 		l := newFakeLender(leases, tenant.Limit{PerSecond: 100, Burst: 100})
-		require.Equal(t, ordinary, lend(l), "the table does not have the word")
+		require.Equal(t, base, lendAll(l), "the tenant is not raised")
 		leases.raises = true
-		askForMore(l)
-		require.Equal(t, whole-ordinary, lend(l), "it has")
+		triggerRaise(l)
+		require.Equal(t, whole-base, lendAll(l), "the tenant is raised")
 		time.Sleep(2 * testTolerance.Window)
 		require.True(t, l.Answer(Request{Tenant: "t"}).Lent)
 		synctest.Wait()
-		require.Equal(t, 1, leases.lowers, "so little is lent that the word is taken back")
-		require.Contains(t, leases.lease.Raised, "t", "but the table may still have it")
+		require.Equal(t, 1, leases.lowers, "the tenant is lowered after little use")
+		require.Contains(t, leases.lease.Raised, "t", "the row may still be raised")
 		leases.raises = false
-		require.Equal(t, ordinary-1, lend(l))
+		require.Equal(t, base-1, lendAll(l))
 		leases.raises = true
-		askForMore(l)
-		require.Equal(t, whole-ordinary, lend(l), "the table has a new word")
+		triggerRaise(l)
+		require.Equal(t, whole-base, lendAll(l), "the tenant is raised again")
 	})
 }
 
-func TestAnswersCarryTheProof(t *testing.T) {
+func TestAnswerIncludesProof(t *testing.T) {
 	l := newFakeLender(&fakeLeases{}, tenant.Limit{PerSecond: 1})
 	require.Equal(t, freshness.Proof{Revision: 3, Age: time.Second}, l.Answer(Request{Tenant: "t"}).Proof)
-	require.False(t, l.Answer(Request{Tenant: "t", Share: shares}).Owner, "there is no such share")
+	require.False(t, l.Answer(Request{Tenant: "t", Share: shares}).Owner, "a share that does not exist has no owner")
 }
 
-// TestThoseWhoAreRefusedLaterComeBackLater: not all at once, to find as little as now.
-func TestThoseWhoAreRefusedLaterComeBackLater(t *testing.T) {
+// Guards against telling all refused callers to retry at the same time.
+func TestRetryDelaysIncrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFakeLender(&fakeLeases{}, tenant.Limit{PerSecond: 20, Burst: 20})
-		for range 8 { // some in each of several moments
+		for range 8 { // spread over several steps
 			for range 3 {
 				l.Answer(Request{Tenant: "t"})
 			}
 			time.Sleep(200 * time.Millisecond)
 		}
-		lend(l)
+		lendAll(l)
 		var waits []time.Duration
 		for range 9 {
 			answer := l.Answer(Request{Tenant: "t"})
@@ -116,6 +116,6 @@
 		require.True(t, slices.IsSorted(waits), waits)
 		require.Greater(t, waits[8], waits[0])
 		time.Sleep(waits[0])
-		require.True(t, l.Answer(Request{Tenant: "t"}).Lent, "the first finds what it was told")
+		require.True(t, l.Answer(Request{Tenant: "t"}).Lent, "a permit is free after the first retry delay")
 	})
 }
--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -6,58 +6,57 @@
 )
 
 const (
-	// activeFor is how long after its last request a program counts as one that will
-	// send more: tools and model calls usually take less.
-	activeFor = 2 * time.Second
-	// programAhead is how far ahead an owner looks before it lets a program begin, as a
-	// part of the window: about as long as programs usually go on.
-	programAhead = 0.7
-	// roomSlack is by how much what is expected may pass the share. Programs fall to
-	// shares unevenly, and one that waits a moment for its next request is not lost.
-	roomSlack = 1.4
-	// learnFor is how long a program is watched before its own pace counts: it sends one to
-	// three requests in that time.
-	learnFor = time.Second
-	// maxPrograms bounds the programs of a tenant that an owner remembers.
+	// activeTimeout is how long after its last request a program is expected to send more. It
+	// covers usual tool and model calls.
+	activeTimeout = 2 * time.Second
+	// forecastPart is how far ahead hasRoom looks, as a part of the window. It is about the
+	// usual duration of a program.
+	forecastPart = 0.7
+	// forecastSlack is the factor by which the forecast may exceed the share. Programs are
+	// spread unevenly over shares, and a short wait does not fail one.
+	forecastSlack = 1.4
+	// minRateSample is how long a program is observed before its own rate is used.
+	minRateSample = time.Second
+	// maxPrograms bounds the programs that are tracked for a share.
 	maxPrograms = 4096
-	// firstPace is what a program is taken to send in a second before any was seen, and
-	// paceWeight of what was seen in the last paceEvery goes into the estimate.
-	firstPace  = 1.5
-	paceEvery  = 500 * time.Millisecond
-	paceWeight = 0.2
+	// initialRate is the estimate of a program's requests per second before any was observed.
+	// Every rateInterval, the observed rate enters the estimate with weight rateWeight.
+	initialRate  = 1.5
+	rateInterval = 500 * time.Millisecond
+	rateWeight   = 0.2
 )
 
-// programs are those that got a request of a share lately, by name.
-type programs map[string]*progress
+// programs are the programs that were recently granted requests of a share, by name.
+type programs map[string]*programUsage
 
-// progress is what a share lent to a program.
-type progress struct {
+// programUsage counts a program's requests of one share.
+type programUsage struct {
 	first, last time.Time
 	requests    int
 }
 
-// perSecond is how many requests the program takes of this share, once it has had its first
-// one for learnFor; before, what programs usually take. A program that goes on at several
-// shares takes a part of each: counted at its whole pace everywhere it kept others from
-// beginning while a share was lost (a request refused in 6 of 600 plays of usual traffic, in 0 since).
-func (p *progress) perSecond(usual float64, now time.Time) float64 {
+// perSecond returns the program's request rate at this share: usual until it was observed for
+// minRateSample. A program that uses several shares counts at each with only the requests
+// granted there. Counting its full rate everywhere would keep new programs out while a share
+// is unavailable.
+func (p *programUsage) perSecond(usual float64, now time.Time) float64 {
 	age := now.Sub(p.first)
-	if age < learnFor {
+	if age < minRateSample {
 		return usual
 	}
 	return float64(p.requests) / age.Seconds()
 }
 
 // active reports whether the program is likely to send more.
-func (p *progress) active(now time.Time) bool { return now.Sub(p.last) < activeFor }
+func (p *programUsage) active(now time.Time) bool { return now.Sub(p.last) < activeTimeout }
 
-// underWay reports whether a program may go on.
+// underWay reports whether a program is running: its last request is newer than programTTL.
 func (p programs) underWay(program string, now time.Time) bool {
 	known, ok := p[program]
-	return ok && now.Sub(known.last) < underWayFor
+	return ok && now.Sub(known.last) < programTTL
 }
 
-// active counts the programs that are likely to send more.
+// active counts the programs that are likely to send more requests.
 func (p programs) active(now time.Time) (count int) {
 	for _, known := range p {
 		if known.active(now) {
@@ -67,7 +66,7 @@
 	return count
 }
 
-// perSecond is how many requests the active programs take in a second.
+// perSecond returns the request rate of all active programs together.
 func (p programs) perSecond(usual float64, now time.Time) (sum float64) {
 	for _, known := range p {
 		if known.active(now) {
@@ -77,8 +76,8 @@
 	return sum
 }
 
-// note remembers a program's request.
-func (p programs) note(program string, now time.Time) {
+// record counts a program's request. Beyond maxPrograms, new programs are not tracked.
+func (p programs) record(program string, now time.Time) {
 	if program == "" {
 		return
 	}
@@ -87,49 +86,50 @@
 		if len(p) >= maxPrograms {
 			return
 		}
-		known = &progress{first: now}
+		known = &programUsage{first: now}
 		p[program] = known
 	}
 	known.last = now
 	known.requests++
 }
 
-// forget drops programs that have ended.
-func (p programs) forget(now time.Time) {
-	maps.DeleteFunc(p, func(_ string, known *progress) bool { return now.Sub(known.last) >= underWayFor })
+// prune removes programs that are no longer running.
+func (p programs) prune(now time.Time) {
+	maps.DeleteFunc(p, func(_ string, known *programUsage) bool { return now.Sub(known.last) >= programTTL })
 }
 
-// pace estimates how many requests a program sends in a second.
-type pace struct {
+// rateEstimate estimates how many requests a program sends per second.
+type rateEstimate struct {
 	perSecond float64
-	learnt    time.Time
-	requests  int // of programs, since then
+	updated   time.Time
+	requests  int // of all programs, since updated
 }
 
-func newPace(now time.Time) pace { return pace{perSecond: firstPace, learnt: now} }
+func newRateEstimate(now time.Time) rateEstimate {
+	return rateEstimate{perSecond: initialRate, updated: now}
+}
 
-// lent notes a request.
-func (p *pace) lent(program string) {
+// count counts a request of a program.
+func (p *rateEstimate) count(program string) {
 	if program != "" {
 		p.requests++
 	}
 }
 
-// learn takes over what the last moment showed, once in a while, and forgets programs that
-// have ended.
-func (p *pace) learn(accounts map[shareName]*lent, now time.Time) {
-	passed := now.Sub(p.learnt)
-	if passed < paceEvery {
+// update adjusts the estimate once in each rateInterval, and prunes programs that have ended.
+func (p *rateEstimate) update(accounts map[shareKey]*shareAccount, now time.Time) {
+	elapsed := now.Sub(p.updated)
+	if elapsed < rateInterval {
 		return
 	}
 	active := 0
 	for _, known := range accounts {
-		known.programs.forget(now)
+		known.programs.prune(now)
 		active += known.programs.active(now)
 	}
-	if active > 0 && passed < 2*paceEvery {
-		seen := float64(p.requests) / float64(active) / passed.Seconds()
-		p.perSecond += paceWeight * (seen - p.perSecond)
+	if active > 0 && elapsed < 2*rateInterval {
+		observed := float64(p.requests) / float64(active) / elapsed.Seconds()
+		p.perSecond += rateWeight * (observed - p.perSecond)
 	}
-	p.learnt, p.requests = now, 0
+	p.updated, p.requests = now, 0
 }
--- a/internal/quota/promises.go
+++ b/internal/quota/promises.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// promises are the times at which callers were told to come back. Who is refused later is
-// told a later time: all at once would find as little as now.
-type promises []time.Time
+// retryTimes are the times at which refused callers were told to retry. Each further caller is
+// given a later time, so that they don't all retry at once.
+type retryTimes []time.Time
 
-// maxPromises bounds those that are remembered of a share: with more, what is told them is
-// beyond any caller's patience.
-const maxPromises = 512
+// maxRetryTimes bounds the remembered times of a share. With more, the delays would exceed
+// clients' timeouts.
+const maxRetryTimes = 512
 
-// add refuses a caller. waitAfter is how long it takes until something is free for one who
-// comes after so many others.
-func (p *promises) add(now time.Time, waitAfter func(queue int) time.Duration) time.Duration {
+// add returns the retry delay for one more refused caller and records it. waitAfter returns the
+// time until a permit is free for a caller behind queue others.
+func (p *retryTimes) add(now time.Time, waitAfter func(queue int) time.Duration) time.Duration {
 	*p = slices.DeleteFunc(*p, func(promised time.Time) bool { return !promised.After(now) })
 	wait := waitAfter(len(*p))
-	if len(*p) < maxPromises {
+	if len(*p) < maxRetryTimes {
 		*p = append(*p, now.Add(wait))
 	}
 	return wait
--- a/internal/quota/sliding.go
+++ b/internal/quota/sliding.go
@@ -2,35 +2,34 @@
 
 import "time"
 
-// Window counts what was lent in the last window of time, for other lenders. It is not
-// safe for concurrent use.
-type Window struct {
-	counted window
+// SlidingWindow counts events in the last window of time. It is not safe for concurrent use.
+type SlidingWindow struct {
+	counter windowCounter
 	origin  time.Time
-	whole   time.Duration
+	length  time.Duration
 }
 
-// NewWindow returns an empty window of a length, as of a moment.
-func NewWindow(whole time.Duration, now time.Time) *Window {
-	return &Window{origin: now, whole: whole}
+// NewSlidingWindow returns an empty window of the given length that starts now.
+func NewSlidingWindow(length time.Duration, now time.Time) *SlidingWindow {
+	return &SlidingWindow{origin: now, length: length}
 }
 
-// Add counts so much as lent now.
-func (w *Window) Add(count int, now time.Time) {
-	w.counted.advance(stepOf(w.origin, now, w.whole))
+// Add counts so many events now.
+func (w *SlidingWindow) Add(count int, now time.Time) {
+	w.counter.advance(stepOf(w.origin, now, w.length))
 	for range count {
-		w.counted.add(0)
+		w.counter.add(0)
 	}
 }
 
-// Total is what counts now.
-func (w *Window) Total(now time.Time) int {
-	w.counted.advance(stepOf(w.origin, now, w.whole))
-	return w.counted.total
+// Total returns the count of the window that ends now.
+func (w *SlidingWindow) Total(now time.Time) int {
+	w.counter.advance(stepOf(w.origin, now, w.length))
+	return w.counter.total
 }
 
-// UntilFree is in how long so much of what counts now will not count any more.
-func (w *Window) UntilFree(count int, now time.Time) time.Duration {
-	w.counted.advance(stepOf(w.origin, now, w.whole))
-	return time.Duration(w.counted.untilFree(count)) * w.whole / steps
+// UntilFree returns how long it takes until count of the counted events have left the window.
+func (w *SlidingWindow) UntilFree(count int, now time.Time) time.Duration {
+	w.counter.advance(stepOf(w.origin, now, w.length))
+	return time.Duration(w.counter.untilFree(count)) * w.length / steps
 }
--- a/internal/quota/succession_test.go
+++ b/internal/quota/succession_test.go
@@ -11,23 +11,23 @@
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
-// TestWhatAnOwnerBookedCountsForItsSuccessor: an owner that leaves is followed at once, and
-// requests that it booked are used after that.
-func TestWhatAnOwnerBookedCountsForItsSuccessor(t *testing.T) {
+// Guards against exceeding a limit when an owner leaves and its booked permits are used under
+// its successor.
+func TestLimitHoldsWithPermitsBookedByPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := tenant.Limit{PerSecond: 20, Burst: 20}
 		leases := &fakeLeases{raises: true}
 		leaving := newFakeLender(leases, limit)
 		leases.lease.Raised = []string{"t"}
 		var used []time.Time
-		for range lend(leaving) {
+		for range lendAll(leaving) {
 			used = append(used, time.Now())
 		}
 		time.Sleep(testTolerance.Window - 500*time.Millisecond)
-		for answer := leaving.Answer(patient); answer.Lent; answer = leaving.Answer(patient) {
+		for answer := leaving.Answer(holdable); answer.Lent; answer = leaving.Answer(holdable) {
 			used = append(used, time.Now().Add(answer.Wait))
 		}
-		require.NotEmpty(t, used, "requests are booked")
+		require.NotEmpty(t, used, "no request was booked")
 
 		next := &fakeLeases{raises: true}
 		successor := newFakeLender(next, limit)
@@ -35,26 +35,26 @@
 		next.lease.Raised = []string{"t"}
 		next.lease.Before = directory.Bequest{Raised: []string{"t"}}
 		for end := time.Now().Add(2 * testTolerance.Window); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			for range lend(successor) {
+			for range lendAll(successor) {
 				used = append(used, time.Now())
 			}
 		}
 		allowed := allowancesOf(limit, testTolerance)
-		require.LessOrEqual(t, float64(mostInAWindow(used, testTolerance.Window)), allowed.whole+allowed.reserve)
+		require.LessOrEqual(t, float64(maxInWindow(used, testTolerance.Window)), allowed.full+allowed.reserve)
 	})
 }
 
-// TestSuccessorsBookNothingBeforeTheirTime: requests that the owner before has booked may be
-// used yet, and the reserve pays for those of one owner.
-func TestSuccessorsBookNothingBeforeTheirTime(t *testing.T) {
+// Guards against bookings by a new owner while permits booked by its predecessor may still be
+// used: the reserve covers those of one owner.
+func TestSuccessorCannotBookForOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leases := &fakeLeases{}
 		successor := newFakeLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 		leases.lease.Since = time.Now()
-		lend(successor)
+		lendAll(successor)
 		time.Sleep(testTolerance.Window - 500*time.Millisecond)
-		require.False(t, successor.Answer(patient).Lent)
+		require.False(t, successor.Answer(holdable).Lent)
 		leases.lease.Since = time.Now().Add(-testTolerance.Window)
-		require.True(t, successor.Answer(patient).Lent, "later it does")
+		require.True(t, successor.Answer(holdable).Lent, "a window later it may book")
 	})
 }
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -3,48 +3,47 @@
 import "time"
 
 const (
-	// steps is into how many parts a window is divided that is counted. A request counts
-	// until the part in which it was lent has left the window whole: up to a fiftieth too
-	// long.
+	// steps is the number of parts of a window. A permit counts until the whole step in which
+	// it was lent has left the window, so up to a fiftieth of the window too long.
 	steps = 50
-	// stepsAhead is for how many steps to come requests may be booked.
+	// stepsAhead is how many steps ahead permits may be booked.
 	stepsAhead = 10
-	// ringSteps are all that are counted.
-	ringSteps = steps + 1 + stepsAhead
+	// ringSize is the number of steps that are stored.
+	ringSize = steps + 1 + stepsAhead
 )
 
-// window counts what was lent in the last window of time, and what is booked to come.
-type window struct {
-	counts [ringSteps]uint32 // by step, in a ring
-	step   int64             // the present one
-	total  int               // in the window that ends now
-	booked int               // after it
+// windowCounter counts the permits of the last window, and those booked for later steps.
+type windowCounter struct {
+	counts [ringSize]uint32 // by step, as a ring buffer
+	step   int64            // the current step
+	total  int              // permits in the window that ends now
+	booked int              // permits of later steps
 }
 
-// at is the count of a step of the window, or of one ahead of it.
-func (w *window) at(step int64) *uint32 {
-	return &w.counts[((step%ringSteps)+ringSteps)%ringSteps]
+// at returns the counter of a step of the window, or of one ahead of it.
+func (w *windowCounter) at(step int64) *uint32 {
+	return &w.counts[((step%ringSize)+ringSize)%ringSize]
 }
 
-// advance drops what has left the window. step numbers the present one; it never falls.
-func (w *window) advance(step int64) {
-	if step-w.step >= ringSteps {
-		*w = window{step: step}
+// advance moves to a step and drops what has left the window. step must not decrease.
+func (w *windowCounter) advance(step int64) {
+	if step-w.step >= ringSize {
+		*w = windowCounter{step: step}
 		return
 	}
 	for w.step < step {
 		w.step++
-		left := w.at(w.step - steps - 1)
-		w.total -= int(*left)
-		*left = 0 // it is the last step ahead from now on
-		come := int(*w.at(w.step))
-		w.total += come
-		w.booked -= come
+		leaving := w.at(w.step - steps - 1)
+		w.total -= int(*leaving)
+		*leaving = 0 // the ring entry now holds the last step ahead
+		entering := int(*w.at(w.step))
+		w.total += entering
+		w.booked -= entering
 	}
 }
 
-// add counts a request so many steps ahead; 0: in the present one.
-func (w *window) add(ahead int64) {
+// add counts a permit so many steps ahead; 0 is the current step.
+func (w *windowCounter) add(ahead int64) {
 	*w.at(w.step + ahead)++
 	if ahead == 0 {
 		w.total++
@@ -53,9 +52,9 @@
 	w.booked++
 }
 
-// earliest is in how many steps one more request fits into each window from then on, with
-// what is booked, if each holds so many at most. ok is false if that is too far ahead.
-func (w *window) earliest(most float64) (ahead int64, ok bool) {
+// earliest returns how many steps ahead one more permit fits, so that no later window,
+// bookings included, holds more than most. ok is false if that is beyond stepsAhead.
+func (w *windowCounter) earliest(most float64) (ahead int64, ok bool) {
 	held := w.total
 	for step := int64(0); step <= stepsAhead; step++ {
 		if step > 0 {
@@ -68,26 +67,27 @@
 	return ahead, ahead <= stepsAhead
 }
 
-// change is by how much the window that ends so many steps ahead holds more than the one a
-// step before.
-func (w *window) change(ahead int64) int {
-	come := 0
+// change returns by how much the window that ends so many steps ahead holds more than the one
+// that ends a step earlier.
+func (w *windowCounter) change(ahead int64) int {
+	entering := 0
 	if ahead <= stepsAhead {
-		come = int(*w.at(w.step + ahead))
+		entering = int(*w.at(w.step + ahead))
 	}
-	return come - int(*w.at(w.step + ahead - steps - 1))
+	return entering - int(*w.at(w.step + ahead - steps - 1))
 }
 
-// since counts what was lent in the newest part of the window, which is whole long.
-func (w *window) since(part, whole time.Duration) (count int) {
+// recent counts the permits of the newest part of the window, whose length is whole.
+func (w *windowCounter) recent(part, whole time.Duration) (count int) {
 	for back := range int64(part * steps / whole) {
 		count += int(*w.at(w.step - back))
 	}
 	return count
 }
 
-// untilFree is in how many steps the window will hold so many requests less.
-func (w *window) untilFree(count int) int64 {
+// untilFree returns the number of steps until the window holds count permits less; at most
+// steps.
+func (w *windowCounter) untilFree(count int) int64 {
 	for ahead := int64(1); ahead <= steps; ahead++ {
 		count += w.change(ahead)
 		if count <= 0 {
@@ -97,12 +97,12 @@
 	return steps
 }
 
-// stepOf numbers the step of a moment, counted from an origin.
+// stepOf returns the number of the step that contains a time, counted from origin.
 func stepOf(origin, now time.Time, whole time.Duration) int64 {
 	return int64(now.Sub(origin) / (whole / steps))
 }
 
-// startOf is when a step begins.
+// startOf returns the time at which a step begins.
 func startOf(origin time.Time, step int64, whole time.Duration) time.Time {
 	return origin.Add(time.Duration(step) * (whole / steps))
 }
--- a/internal/warmup/lender.go
+++ b/internal/warmup/lender.go
@@ -50,7 +50,7 @@
 // account is what this process has lent of a worker's allowance.
 type account struct {
 	lease  uint64 // number of the lease under which it was lent
-	window *quota.Window
+	window *quota.SlidingWindow
 	used   time.Time
 }
 
@@ -117,7 +117,7 @@
 	l.sweep(now)
 	known, ok := l.accounts[worker]
 	if !ok || known.lease != lease.Number {
-		known = &account{lease: lease.Number, window: quota.NewWindow(Window, now)}
+		known = &account{lease: lease.Number, window: quota.NewSlidingWindow(Window, now)}
 		known.window.Add(bearing.unheard(), now)
 		l.accounts[worker] = known
 	}
