--- a/internal/warmup/borrower.go
+++ b/internal/warmup/borrower.go
@@ -12,80 +12,85 @@
 )
 
 const (
-	// An owner is waited for as long as answers from its place are seen to take, from askWait
-	// to longestAskWait. It usually answers in 1 to 10 ms.
-	askWait        = 30 * time.Millisecond
-	longestAskWait = 80 * time.Millisecond
-	// longestDenial bounds how long an owner that lent nothing is not asked again for the
-	// same worker: others may leave something before it said.
-	longestDenial = 100 * time.Millisecond
-	// silentWait is when something may be had if nobody may lend: owners come back in 1 to
-	// 2 s, or others take their slots in 5.
-	silentWait = 700 * time.Millisecond
+	// The timeout of a call to an owner follows the observed response times of its node,
+	// within these bounds.
+	minOwnerTimeout = 30 * time.Millisecond
+	maxOwnerTimeout = 80 * time.Millisecond
+	// maxDenialTTL bounds how long a refusal is cached for a worker: permits may become free
+	// earlier than the owner estimated.
+	maxDenialTTL = 100 * time.Millisecond
+	// unavailableWait is the retry delay if no owner may issue permits. A restarted owner is
+	// back within 2 s, and a failed one is replaced within 5 s.
+	unavailableWait = 700 * time.Millisecond
 )
 
-// Owners tell which process owns a slot.
+// Owners looks up which process owns a slot.
 type Owners interface {
-	// Owner is the owner of a slot, unless it is unknown or has just not answered.
+	// Owner returns the owner of a slot. ok is false if the owner is unknown or has just
+	// failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// Heard and Missed are told whether an owner answered.
+	// Heard records that the owner of a slot answered, and Missed that the process that was
+	// asked did not answer as the owner.
 	Heard(slot int)
 	Missed(slot int, asked budget.Holder)
 }
 
-// Peers asks other nodes.
+// Peers sends calls to other nodes.
 type Peers interface {
+	// LendCold asks the owner of a worker's slot for a permit.
 	LendCold(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
-// Outcome is what came of a question for a request to a cold worker.
+// Outcome is the result of asking an owner for a permit for a cold worker.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a call to an owner.
 const (
-	OutcomeLent   Outcome = "lent"
-	OutcomeEmpty  Outcome = "empty"  // nothing may be lent now
-	OutcomeSilent Outcome = "silent" // nobody answered who may lend
+	OutcomeLent   Outcome = "lent"   // a permit was issued
+	OutcomeEmpty  Outcome = "empty"  // the owner may issue none now
+	OutcomeSilent Outcome = "silent" // no process answered that may issue permits
 )
 
-// BorrowerOptions of a Borrower.
+// BorrowerOptions configures a Borrower.
 type BorrowerOptions struct {
 	Self   budget.Holder
 	Slots  Slots
 	Owners Owners
 	Peers  Peers
-	// Patience is how long other nodes' answers are seen to take; nil: not known.
+	// Patience estimates the response times of other nodes. With nil, the shortest timeouts
+	// are used.
 	Patience wait.Patience
-	Lender   *Lender // of this process
-	// Count is told what came of each question.
+	Lender   *Lender // of this process; used for slots that it owns
+	// Count receives the outcome of each call, for metrics.
 	Count func(Outcome)
 }
 
-// Borrower gets requests to cold workers. It implements forward.Allowance.
+// Borrower obtains permits for requests to cold workers. It implements forward.Allowance.
 type Borrower struct {
 	options BorrowerOptions
 
 	mutex  sync.Mutex
-	denied map[denial]time.Time // until when nothing is to be had
+	denied map[denialKey]time.Time // expiry times of cached refusals
 }
 
-// denial is what an owner lent nothing for.
-type denial struct {
+// denialKey identifies the kind of request that an owner refused.
+type denialKey struct {
 	worker string
 	begins bool
 }
 
 var _ forward.Allowance = (*Borrower)(nil)
 
-// NewBorrower returns a borrower that knows of no denial.
+// NewBorrower returns a borrower without cached refusals.
 func NewBorrower(options BorrowerOptions) *Borrower {
-	return &Borrower{options: options, denied: map[denial]time.Time{}}
+	return &Borrower{options: options, denied: map[denialKey]time.Time{}}
 }
 
-// Borrow implements forward.Allowance.
+// Borrow implements forward.Allowance. While a refusal is cached for the worker, it returns the
+// remaining delay without a call.
 func (b *Borrower) Borrow(ctx context.Context, ask forward.ColdRequest) forward.Loan {
 	asked := time.Now()
-	kind := denial{worker: ask.Worker, begins: ask.Begins}
+	kind := denialKey{worker: ask.Worker, begins: ask.Begins}
 	if wait := b.deniedFor(kind, asked); wait > 0 {
 		return forward.Loan{Wait: wait}
 	}
@@ -93,20 +98,21 @@
 	switch {
 	case !reached:
 		b.options.Count(OutcomeSilent)
-		return forward.Loan{Wait: silentWait}
+		return forward.Loan{Wait: unavailableWait}
 	case !answer.Lent:
 		b.options.Count(OutcomeEmpty)
-		b.noteDenied(kind, answer.Wait)
+		b.cacheDenial(kind, answer.Wait)
 		return forward.Loan{Wait: answer.Wait}
 	default:
 		b.options.Count(OutcomeLent)
-		return forward.Loan{Until: asked.Add(UseWithin)}
+		return forward.Loan{Until: asked.Add(PermitTTL)}
 	}
 }
 
-// ask asks the owner of a worker's slot. reached is false if nobody answers who may lend.
+// ask asks the owner of a worker's slot for a permit. reached is false if no process answers
+// that owns the slot and may issue permits.
 func (b *Borrower) ask(ctx context.Context, request Request) (answer Answer, reached bool) {
-	slot := b.options.Slots.of(request.Worker, request.Zone)
+	slot := b.options.Slots.slotOf(request.Worker, request.Zone)
 	owner, ok := b.options.Owners.Owner(slot)
 	if !ok {
 		return Answer{}, false
@@ -115,7 +121,7 @@
 		answer := b.options.Lender.Answer(request)
 		return answer, answer.Able
 	}
-	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(owner.Process, askWait, longestAskWait))
+	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(owner.Process, minOwnerTimeout, maxOwnerTimeout))
 	defer cancel()
 	answer, err := b.options.Peers.LendCold(limited, owner, request)
 	if err != nil && ctx.Err() != nil {
@@ -129,18 +135,18 @@
 	return answer, answer.Able
 }
 
-// deniedFor is how much longer nothing is to be had; 0: it may be asked for.
-func (b *Borrower) deniedFor(kind denial, now time.Time) time.Duration {
+// deniedFor returns how long a refusal is still cached; 0 or less if none is.
+func (b *Borrower) deniedFor(kind denialKey, now time.Time) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.denied[kind].Sub(now)
 }
 
-// noteDenied remembers that nothing is to be had for a while, and forgets what is over.
-func (b *Borrower) noteDenied(kind denial, wait time.Duration) {
+// cacheDenial caches a refusal for at most maxDenialTTL, and drops expired ones.
+func (b *Borrower) cacheDenial(kind denialKey, wait time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(b.denied, func(_ denial, until time.Time) bool { return !until.After(now) })
-	b.denied[kind] = now.Add(min(wait, longestDenial))
+	maps.DeleteFunc(b.denied, func(_ denialKey, until time.Time) bool { return !until.After(now) })
+	b.denied[kind] = now.Add(min(wait, maxDenialTTL))
 }
--- a/internal/warmup/cluster_test.go
+++ b/internal/warmup/cluster_test.go
@@ -14,124 +14,124 @@
 	"github.com/cloverwheel/cloverwheel/internal/forward"
 )
 
-var errCut = errors.New("no answer")
+var errUnreachable = errors.New("node is not reachable")
 
-// world is nodes that lend and borrow requests to one cold worker.
-type world struct {
+// cluster is a set of nodes that lend and borrow permits for one cold worker.
+type cluster struct {
 	bearing Bearing
 
 	mutex   sync.Mutex
-	owner   *node // of the worker's slot, by the table
+	owner   *node // of the worker's slot, in the store
 	claims  uint64
 	nodes   []*node
 	arrived []time.Time
 	refused int
 }
 
-// node is one process, in the place of one machine.
+// node is one process. A process that is started in its place replaces it.
 type node struct {
-	world    *world
+	cluster  *cluster
 	process  string
 	borrower *Borrower
 	lender   *Lender
 
-	dead   bool
-	cut    bool      // from other nodes
-	apart  bool      // from the table
-	paused time.Time // until when it stands still
+	dead      bool
+	isolated  bool      // partitioned from other nodes
+	storeDown bool      // partitioned from the store
+	paused    time.Time // end of the pause
 
-	number uint64 // of its time with the slot
-	since  time.Time
-	// unsettled: the owner before may have followed one that could still lend.
-	unsettled bool
-	proven    time.Time
-	view      *node // who owns the slot, as it last heard
+	leaseNumber uint64 // of its lease
+	since       time.Time
+	// unsettled: the predecessor may have followed an owner that could still lend.
+	unsettled  bool
+	renewed    time.Time
+	knownOwner *node // owner of the slot in the last state that the node read
 }
 
-func newTestWorld(nodes int, bearing Bearing) *world {
-	w := &world{bearing: bearing, nodes: make([]*node, nodes)}
+func newTestCluster(nodes int, bearing Bearing) *cluster {
+	c := &cluster{bearing: bearing, nodes: make([]*node, nodes)}
 	for index := range nodes {
-		w.start(index)
+		c.start(index)
 	}
-	w.claim(w.nodes[0], time.Now())
-	return w
+	c.claim(c.nodes[0], time.Now())
+	return c
 }
 
-func (w *world) start(index int) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.claims++
-	n := &node{world: w, process: fmt.Sprint("p", w.claims)}
-	n.lender = NewLender(n, Slots{}, func(string) Bearing { return w.bearing })
+func (c *cluster) start(index int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.claims++
+	n := &node{cluster: c, process: fmt.Sprint("p", c.claims)}
+	n.lender = NewLender(n, Slots{}, func(string) Bearing { return c.bearing })
 	n.borrower = NewBorrower(BorrowerOptions{
 		Self: budget.Holder{Process: n.process, Address: n.process}, Owners: n, Peers: n, Lender: n.lender, Count: func(Outcome) {},
 	})
-	if before := w.nodes[index]; before != nil {
+	if before := c.nodes[index]; before != nil {
 		before.dead = true
 	}
-	w.nodes[index] = n
+	c.nodes[index] = n
 	go n.renew()
 }
 
-// claim lets a node own the slot; nobody before lends after a moment.
-func (w *world) claim(n *node, since time.Time) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.claims++
-	before := w.owner
+// claim makes a node the owner of the slot. since is when earlier owners' leases have ended.
+func (c *cluster) claim(n *node, since time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.claims++
+	before := c.owner
 	n.unsettled = before != nil && time.Since(before.since) <= LentFor
-	w.owner, n.view = n, n
-	n.number, n.since, n.proven = w.claims, since, time.Now()
+	c.owner, n.knownOwner = n, n
+	n.leaseNumber, n.since, n.renewed = c.claims, since, time.Now()
 }
 
-// renew proves the node's lease, and hears who owns the slot.
+// renew renews the node's lease, and reads which node owns the slot.
 func (n *node) renew() {
 	for !n.isDead() {
-		n.standStill()
+		n.waitWhilePaused()
 		sent := time.Now()
 		time.Sleep(4 * time.Millisecond)
-		n.world.mutex.Lock()
-		if !n.apart {
-			n.view = n.world.owner
+		n.cluster.mutex.Lock()
+		if !n.storeDown {
+			n.knownOwner = n.cluster.owner
 		}
-		if n.view == n && !n.apart {
-			n.proven = sent
+		if n.knownOwner == n && !n.storeDown {
+			n.renewed = sent
 		}
-		n.world.mutex.Unlock()
+		n.cluster.mutex.Unlock()
 		time.Sleep(time.Second)
 	}
 }
 
 func (n *node) isDead() bool {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
 	return n.dead
 }
 
-func (n *node) standStill() {
-	n.world.mutex.Lock()
+func (n *node) waitWhilePaused() {
+	n.cluster.mutex.Lock()
 	until := n.paused
-	n.world.mutex.Unlock()
+	n.cluster.mutex.Unlock()
 	time.Sleep(time.Until(until))
 }
 
 // Lease implements Leases.
 func (n *node) Lease(int) (directory.Lease, bool) {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
-	lease := directory.Lease{Number: n.number, Since: n.since, Until: n.proven.Add(directory.LongestLease)}
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
+	lease := directory.Lease{Number: n.leaseNumber, Since: n.since, Until: n.renewed.Add(directory.LongestLease)}
 	lease.Before.All = n.unsettled
-	return lease, n.view == n
+	return lease, n.knownOwner == n
 }
 
 // Owner implements Owners.
 func (n *node) Owner(int) (budget.Holder, bool) {
-	n.world.mutex.Lock()
-	defer n.world.mutex.Unlock()
-	if n.view == nil {
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
+	if n.knownOwner == nil {
 		return budget.Holder{}, false
 	}
-	return budget.Holder{Process: n.view.process, Address: n.view.process}, true
+	return budget.Holder{Process: n.knownOwner.process, Address: n.knownOwner.process}, true
 }
 
 // Heard implements Owners.
@@ -143,121 +143,121 @@
 // LendCold implements Peers.
 func (n *node) LendCold(_ context.Context, owner budget.Holder, request Request) (Answer, error) {
 	time.Sleep(2 * time.Millisecond)
-	n.world.mutex.Lock()
-	index := slices.IndexFunc(n.world.nodes, func(other *node) bool { return other.process == owner.Address })
-	if index < 0 || n.cut || n.world.nodes[index].cut {
-		n.world.mutex.Unlock()
-		return Answer{}, errCut
+	n.cluster.mutex.Lock()
+	index := slices.IndexFunc(n.cluster.nodes, func(other *node) bool { return other.process == owner.Address })
+	if index < 0 || n.isolated || n.cluster.nodes[index].isolated {
+		n.cluster.mutex.Unlock()
+		return Answer{}, errUnreachable
 	}
-	asked := n.world.nodes[index]
-	n.world.mutex.Unlock()
-	asked.standStill()
+	asked := n.cluster.nodes[index]
+	n.cluster.mutex.Unlock()
+	asked.waitWhilePaused()
 	if asked.isDead() {
-		return Answer{}, errCut
+		return Answer{}, errUnreachable
 	}
 	answer := asked.lender.Answer(request)
-	asked.standStill()
+	asked.waitWhilePaused()
 	time.Sleep(2 * time.Millisecond)
 	return answer, nil
 }
 
-// send lets a node send one request to the worker if it is lent one. It arrives after a
-// drawn part of the longest way.
-func (w *world) send(index int, delay time.Duration) forward.Loan {
-	w.mutex.Lock()
-	n := w.nodes[index]
-	w.mutex.Unlock()
-	n.standStill()
+// send has a node send one request to the worker if it gets a permit. The request arrives
+// after delay.
+func (c *cluster) send(index int, delay time.Duration) forward.Loan {
+	c.mutex.Lock()
+	n := c.nodes[index]
+	c.mutex.Unlock()
+	n.waitWhilePaused()
 	loan := n.borrower.Borrow(context.Background(), forward.ColdRequest{Worker: "w", Service: "s"})
-	n.standStill()
+	n.waitWhilePaused()
 	if n.isDead() {
 		return forward.Loan{}
 	}
 	if !time.Now().Before(loan.Until) {
-		w.set(func() { w.refused++ })
+		c.set(func() { c.refused++ })
 		return loan
 	}
 	time.Sleep(delay)
-	w.arrive()
+	c.recordArrival()
 	return loan
 }
 
-func (w *world) arrive() { w.set(func() { w.arrived = append(w.arrived, time.Now()) }) }
+func (c *cluster) recordArrival() { c.set(func() { c.arrived = append(c.arrived, time.Now()) }) }
 
-func (w *world) set(change func()) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (c *cluster) set(change func()) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	change()
 }
 
-// load lets nodes ask for requests at a rate, far more than may be lent.
-func (w *world) load(random *rand.Rand, perSecond float64, duration time.Duration) {
+// load requests permits through random nodes at a rate far above the limit.
+func (c *cluster) load(random *rand.Rand, perSecond float64, duration time.Duration) {
 	var sends sync.WaitGroup
 	for end := time.Now().Add(duration); time.Now().Before(end); {
-		index, delay := random.IntN(len(w.nodes)), rand.N(way)
-		sends.Go(func() { w.send(index, delay) })
+		index, delay := random.IntN(len(c.nodes)), rand.N(maxSendDelay)
+		sends.Go(func() { c.send(index, delay) })
 		time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 	}
 	sends.Wait()
 }
 
-// unaware lets nodes that do not know that the worker is cold send to it.
-func (w *world) unaware(perSecond float64, duration time.Duration) {
+// sendUnpermitted sends requests to the worker without permits, as nodes do that treat it as warm.
+func (c *cluster) sendUnpermitted(perSecond float64, duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); {
-		w.arrive()
+		c.recordArrival()
 		time.Sleep(time.Duration(float64(time.Second) / perSecond))
 	}
 }
 
-// strike lets drawn faults strike.
-func (w *world) strike(random *rand.Rand, duration time.Duration) {
+// injectFaults injects random faults.
+func (c *cluster) injectFaults(random *rand.Rand, duration time.Duration) {
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond) {
-		index := random.IntN(len(w.nodes))
-		n := w.nodes[index]
+		index := random.IntN(len(c.nodes))
+		n := c.nodes[index]
 		switch random.IntN(8) {
-		case 0: // a process ends, and another one at its address takes its slot again
-			owned := w.isOwner(n)
-			w.start(index)
+		case 0: // a process restarts at the same address and claims its slot again
+			owned := c.isOwner(n)
+			c.start(index)
 			if owned {
-				w.claim(w.nodes[index], time.Now())
+				c.claim(c.nodes[index], time.Now())
 			}
-		case 1, 2: // another node takes the slot of one that may live
-			w.claim(n, time.Now().Add(directory.LongestLease))
+		case 1, 2: // another node claims the slot while its owner may be alive
+			c.claim(n, time.Now().Add(directory.LongestLease))
 		case 3:
-			w.set(func() { w.owner.paused = time.Now().Add(time.Duration(random.IntN(7000)) * time.Millisecond) })
+			c.set(func() { c.owner.paused = time.Now().Add(time.Duration(random.IntN(7000)) * time.Millisecond) })
 		case 4:
-			w.set(func() { n.paused = time.Now().Add(time.Duration(random.IntN(7000)) * time.Millisecond) })
+			c.set(func() { n.paused = time.Now().Add(time.Duration(random.IntN(7000)) * time.Millisecond) })
 		case 5:
-			w.set(func() { n.cut = !n.cut })
+			c.set(func() { n.isolated = !n.isolated })
 		case 6:
-			w.set(func() { n.apart = !n.apart })
+			c.set(func() { n.storeDown = !n.storeDown })
 		default:
-			w.set(func() {
-				for _, other := range w.nodes {
-					other.cut, other.apart = false, false
+			c.set(func() {
+				for _, other := range c.nodes {
+					other.isolated, other.storeDown = false, false
 				}
 			})
 		}
 	}
 }
 
-func (w *world) isOwner(n *node) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.owner == n
+func (c *cluster) isOwner(n *node) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.owner == n
 }
 
-func (w *world) stop() {
-	w.set(func() {
-		for _, n := range w.nodes {
+func (c *cluster) stop() {
+	c.set(func() {
+		for _, n := range c.nodes {
 			n.dead = true
 		}
 	})
 	time.Sleep(time.Minute)
 }
 
-// mostInASecond is how many requests arrived in the second in which most did.
-func mostInASecond(times []time.Time) int {
+// maxInSecond returns the largest number of times in any second. It sorts times.
+func maxInSecond(times []time.Time) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most, first := 0, 0
 	for last := range times {
--- a/internal/warmup/doc.go
+++ b/internal/warmup/doc.go
@@ -1,10 +1,11 @@
-// Package warmup keeps what a cold worker gets within what it bears, counted over all nodes
-// together in any second, whatever processes die, pause or are cut off.
+// Package warmup limits the request rate of cold workers over all nodes together: no worker
+// receives more in any second than it can handle while it warms up, even when processes crash,
+// pause or are partitioned.
 //
-// Each cold worker belongs to a slot of the directory. The owner of that slot lends single
-// requests: a node asks it just before it sends one to the worker, and uses what it is lent
-// at once or not at all. An owner remembers what it has lent in memory only; one that takes
-// a slot over lends nothing until what was lent before it does not count any more.
+// Each cold worker belongs to a slot of the directory. The owner of that slot issues a permit
+// for each request: a node asks for one just before it sends the request, and uses it at once
+// or drops it. An owner counts issued permits in memory only, so the next owner of the slot
+// issues none until those of its predecessors no longer count.
 package warmup
 
 import (
@@ -14,50 +15,51 @@
 )
 
 const (
-	// counted is the second in which a worker's requests are counted.
-	counted = time.Second
-	// UseWithin is how long after it was asked for a lent request may be sent. A question
-	// takes 1 to 10 ms.
-	UseWithin = 100 * time.Millisecond
-	// way is how long after it was cleared a request may arrive at the worker: opening a
-	// connection takes up to 150 ms.
-	way = 150 * time.Millisecond
-	// Window is for how long what was lent counts: two requests that arrive in the same
-	// second were lent at most so long one after the other.
-	Window = counted + UseWithin + way
-	// LentFor is for how long a new owner's slot is not settled: those that owned it before
-	// may lend for so long, and what they lent counts.
+	// countingPeriod is the period in which a worker's requests are counted.
+	countingPeriod = time.Second
+	// PermitTTL is how long after it was asked for a permit may be used. A call for one takes
+	// 1 to 10 ms.
+	PermitTTL = 100 * time.Millisecond
+	// maxSendDelay is the longest time from using a permit to the arrival of the request at the
+	// worker, with the time to open a connection.
+	maxSendDelay = 150 * time.Millisecond
+	// Window is how long a permit counts. Two requests that arrive within countingPeriod were
+	// issued permits at most this far apart.
+	Window = countingPeriod + PermitTTL + maxSendDelay
+	// LentFor is how long a slot with a new owner is unsettled: earlier owners may still issue
+	// permits until their leases end, and those count for Window.
 	LentFor = directory.LongestLease + Window
 )
 
 const (
-	// lentPart of what a cold worker may get in a second is lent at most. The rest is for
-	// nodes that have not heard yet that it is cold, or cannot hear it.
-	lentPart = 0.75
-	// unheard is how long a worker goes on getting what a warm one bears after it turned
-	// cold, until nodes hear of it: the list of workers comes within 0.3 to 0.4 s.
-	unheard = 400 * time.Millisecond
-	// beginPart of what may be lent is for programs that begin. What is left is kept for those
-	// under way: their context would have to be read anew elsewhere.
-	beginPart = 0.75
+	// lendablePart of a cold worker's maximum is lent at most. The rest covers requests from
+	// nodes that do not yet know, or cannot learn, that the worker is cold.
+	lendablePart = 0.75
+	// propagationDelay is how long nodes may still treat a worker as warm after it turned cold:
+	// updates of the worker list take 0.3 to 0.4 s.
+	propagationDelay = 400 * time.Millisecond
+	// newProgramPart of the permits is available to programs that begin. The rest is kept for
+	// running programs, whose context would have to be processed again on another worker.
+	newProgramPart = 0.75
 )
 
-// Bearing is what a cold worker of a service bears, and by how much that may be passed.
+// Bearing is the request rate that a cold worker of a service can handle, and the tolerated
+// excess over it.
 type Bearing struct {
-	PerSecond float64 // requests; 0: cold workers bear as much as others
-	Overage   float64 // factor of what may arrive in a second; 0: not said
-	Slack     float64 // requests beyond that
+	PerSecond float64 // requests; 0: cold workers are not limited
+	Overage   float64 // bound on arrivals in a second, as a multiple of PerSecond; 0: no bound unless Slack is set
+	Slack     float64 // requests added to that bound
 }
 
-// most is how many requests may count as lent at any moment.
-func (b Bearing) most() int {
-	usual := b.PerSecond * Window.Seconds()
+// maxLent returns how many permits may count at any time; at least 1.
+func (b Bearing) maxLent() int {
+	limit := b.PerSecond * Window.Seconds()
 	if bound := b.PerSecond*b.Overage + b.Slack; bound > 0 {
-		usual = min(usual, lentPart*bound)
+		limit = min(limit, lendablePart*bound)
 	}
-	return max(1, int(usual))
+	return max(1, int(limit))
 }
 
-// unheard is how many requests are taken to be on their way to a worker that has just
-// turned cold, from nodes that have not heard of it.
-func (b Bearing) unheard() int { return int(b.PerSecond * unheard.Seconds()) }
+// unpermitted returns the assumed number of requests without a permit in flight to a worker
+// that has just turned cold, from nodes that still treat it as warm.
+func (b Bearing) unpermitted() int { return int(b.PerSecond * propagationDelay.Seconds()) }
--- a/internal/warmup/lender.go
+++ b/internal/warmup/lender.go
@@ -12,98 +12,101 @@
 	"github.com/cloverwheel/cloverwheel/internal/quota"
 )
 
-// Request asks the owner of a worker's slot for one request to it.
+// Request asks the owner of a worker's slot for a permit for one request to the worker.
 type Request struct {
 	Worker  string
-	Zone    string // where the worker stands
-	Service string // that it belongs to
+	Zone    string // of the worker
+	Service string // of the worker
 	Begins  bool   // the request begins a program, or belongs to none
 }
 
-// Answer is the owner's word.
+// Answer is an owner's answer to a Request.
 type Answer struct {
-	Owner bool // the process asked owns the worker's slot
-	Able  bool // and may lend now
-	Lent  bool
-	Wait  time.Duration // if nothing was lent: until something may be
-	Used  int           // requests that count now
-	Most  int           // that may
+	Owner bool          // the process owns the worker's slot
+	Able  bool          // the process also may issue permits now
+	Lent  bool          // a permit was issued
+	Wait  time.Duration // retry delay if no permit was issued
+	Used  int           // permits that count now
+	Most  int           // how many may count
 }
 
-// Leases tell which slots this process owns.
+// Leases looks up the slots that this process owns.
 type Leases interface {
+	// Lease returns this process's lease of a slot; ok is false if another process owns it.
 	Lease(slot int) (directory.Lease, bool)
 }
 
-// Lender lends requests to the cold workers whose slots this process owns.
+// Lender issues permits for cold workers whose slots this process owns. It is safe for
+// concurrent use.
 type Lender struct {
 	leases Leases
 	slots  Slots
-	// bearing tells what a cold worker of a service bears, by the configuration in force.
+	// bearing returns the capacity of a cold worker of a service in the current configuration.
 	bearing func(service string) Bearing
 
-	mutex    sync.Mutex
-	accounts map[string]*account // by worker
-	swept    time.Time
+	mutex     sync.Mutex
+	accounts  map[string]*account // by worker
+	lastSweep time.Time
 }
 
-// account is what this process has lent of a worker's allowance.
+// account counts what this process has lent for a worker.
 type account struct {
-	lease  uint64 // number of the lease under which it was lent
-	window *quota.SlidingWindow
-	used   time.Time
+	lease    uint64 // number of the lease under which it was lent
+	window   *quota.SlidingWindow
+	lastUsed time.Time
 }
 
-// NewLender returns a lender that has lent nothing.
+// NewLender returns a lender that has issued no permits.
 func NewLender(leases Leases, slots Slots, bearing func(service string) Bearing) *Lender {
-	return &Lender{leases: leases, slots: slots, bearing: bearing, accounts: map[string]*account{}, swept: time.Now()}
+	return &Lender{leases: leases, slots: slots, bearing: bearing, accounts: map[string]*account{}, lastSweep: time.Now()}
 }
 
-// Slots tells to which slot each worker belongs: one of its own region, whose owner is near
-// those who send to it. All nodes agree on it.
+// Slots assigns each worker to a slot of its own region, so that the owner is close to the
+// nodes that send to the worker. All nodes compute the same slot.
 type Slots struct {
 	Layout directory.Layout
 	Places *locality.Map
 }
 
-// of is the slot of a worker that stands in a zone.
-func (s Slots) of(worker, zone string) int {
+// slotOf returns the slot of a worker in a zone.
+func (s Slots) slotOf(worker, zone string) int {
 	return s.Layout.SlotIn(s.Places.Region(zone), xxhash.Sum64String(worker))
 }
 
-// Answer lends a request, or says when it may.
+// Answer issues a permit, or returns when to retry.
 func (l *Lender) Answer(request Request) Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
-	lease, owned := l.leases.Lease(l.slots.of(request.Worker, request.Zone))
+	lease, owned := l.leases.Lease(l.slots.slotOf(request.Worker, request.Zone))
 	bearing := l.bearing(request.Service)
 	answer := Answer{Owner: owned, Able: owned && bearing.PerSecond > 0 && lease.Valid(now)}
 	if !answer.Able {
 		return answer
 	}
-	if begins := beginOf(lease); now.Before(begins) {
-		answer.Wait = begins.Sub(now)
+	if start := lendingStart(lease); now.Before(start) {
+		answer.Wait = start.Sub(now)
 		return answer
 	}
-	lent := l.account(request.Worker, lease, bearing, now)
-	answer.Used, answer.Most = lent.window.Total(now), bearing.most()
+	account := l.accountFor(request.Worker, lease, bearing, now)
+	answer.Used, answer.Most = account.window.Total(now), bearing.maxLent()
 	most := answer.Most
 	if request.Begins {
-		most = max(1, int(beginPart*float64(most)))
+		most = max(1, int(newProgramPart*float64(most)))
 	}
 	if answer.Used >= most {
-		answer.Wait = lent.window.UntilFree(answer.Used+1-most, now)
+		answer.Wait = account.window.UntilFree(answer.Used+1-most, now)
 		return answer
 	}
-	lent.window.Add(1, now)
+	account.window.Add(1, now)
 	answer.Lent = true
 	return answer
 }
 
-// beginOf is when an owner begins to lend: nothing lent before counts then. The owner before
-// it may have ended while one before that could still lend; its slot is not settled then.
-func beginOf(lease directory.Lease) time.Time {
+// lendingStart returns when a new owner may start to issue permits: nothing lent earlier counts
+// from then on. If its predecessor's slot was unsettled, an owner before that may still have
+// lent until its lease ended.
+func lendingStart(lease directory.Lease) time.Time {
 	begin := lease.Since.Add(Window)
 	if lease.Before.All {
 		begin = begin.Add(directory.LongestLease)
@@ -111,25 +114,25 @@
 	return begin
 }
 
-// account returns what was lent to a worker under a lease. It begins with what comes from
-// nodes that have not heard yet that the worker is cold.
-func (l *Lender) account(worker string, lease directory.Lease, bearing Bearing, now time.Time) *account {
+// accountFor returns the account of a worker under a lease. A new account starts with the
+// requests in flight from nodes that still treat the worker as warm.
+func (l *Lender) accountFor(worker string, lease directory.Lease, bearing Bearing, now time.Time) *account {
 	l.sweep(now)
 	known, ok := l.accounts[worker]
 	if !ok || known.lease != lease.Number {
 		known = &account{lease: lease.Number, window: quota.NewSlidingWindow(Window, now)}
-		known.window.Add(bearing.unheard(), now)
+		known.window.Add(bearing.unpermitted(), now)
 		l.accounts[worker] = known
 	}
-	known.used = now
+	known.lastUsed = now
 	return known
 }
 
-// sweep forgets workers that nobody asked for lately: they are warm or gone.
+// sweep drops the accounts of workers that were not asked for lately, as they are warm or gone.
 func (l *Lender) sweep(now time.Time) {
-	if now.Sub(l.swept) < 2*Window {
+	if now.Sub(l.lastSweep) < 2*Window {
 		return
 	}
-	l.swept = now
-	maps.DeleteFunc(l.accounts, func(_ string, known *account) bool { return now.Sub(known.used) > 2*Window })
+	l.lastSweep = now
+	maps.DeleteFunc(l.accounts, func(_ string, known *account) bool { return now.Sub(known.lastUsed) > 2*Window })
 }
--- a/internal/warmup/slots_test.go
+++ b/internal/warmup/slots_test.go
@@ -9,11 +9,11 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 )
 
-// TestWorkersBelongToSlotsOfTheirRegion: one slot each, whichever node asks.
-func TestWorkersBelongToSlotsOfTheirRegion(t *testing.T) {
+// Guards against nodes that disagree on a worker's slot, and slots in another region than the worker.
+func TestSlotIsInRegionOfWorker(t *testing.T) {
 	places := locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	slots := Slots{Layout: directory.NewLayout(places), Places: places}
-	require.Equal(t, "a", slots.Layout.RegionOf(slots.of("w", "a2")))
-	require.Equal(t, "b", slots.Layout.RegionOf(slots.of("w", "b1")))
-	require.Equal(t, Slots{}.of("w", "a1"), Slots{}.of("w", "b1"), "no regions known")
+	require.Equal(t, "a", slots.Layout.RegionOf(slots.slotOf("w", "a2")))
+	require.Equal(t, "b", slots.Layout.RegionOf(slots.slotOf("w", "b1")))
+	require.Equal(t, Slots{}.slotOf("w", "a1"), Slots{}.slotOf("w", "b1"), "without regions, the zone must not matter")
 }
