--- a/internal/tenant/seed_test.go
+++ b/internal/tenant/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The fuzz draws the same in every build; -rapid.seed overrides it.
+// The property tests draw the same values in every run; -rapid.seed overrides the seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,6 +1,6 @@
-// Package tenant says who sends a request: it holds the tenants of a configuration,
-// the digests of their keys, and how much each may ask for. Nothing in it is
-// changed once made.
+// Package tenant maps API keys to the tenants of a configuration. A Registry holds the
+// tenants, the digests of their keys and their rate limits. It is immutable once it is in
+// use.
 package tenant
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 )
 
-// Key is the digest of a caller's key. Keys themselves are not kept: a digest can be
-// looked up, but opens no door. The zero Key stands for no key.
+// Key is the digest of an API key. Only digests are kept: they suffice to look up a key, but
+// not to authenticate. The zero Key means no key.
 type Key [keyBytes]byte
 
-// keyBytes of a SHA-256 tell keys apart: nobody finds two texts of one digest.
+// keyBytes is the length of the truncated SHA-256 digest; collisions are infeasible.
 const keyBytes = 16
 
-// KeyOf is the digest of a key as a caller sends it; the zero Key if there is none.
+// KeyOf returns the digest of an API key as a caller sends it; the zero Key if secret is empty.
 func KeyOf(secret string) Key {
 	if secret == "" {
 		return Key{}
@@ -25,140 +25,140 @@
 	return Key(sum[:keyBytes])
 }
 
-// IsZero reports whether there is no key.
+// IsZero reports whether k means no key.
 func (k Key) IsZero() bool { return k == Key{} }
 
-// Limit is how much a tenant may ask for, over all nodes together. In any window of
-// time it may send the window times PerSecond, and Burst besides.
+// Limit is a tenant's rate limit over all nodes together. In any window of time the tenant may
+// send PerSecond times the length of the window, plus Burst.
 type Limit struct {
-	PerSecond float64 // requests; 0: no limit
+	PerSecond float64 // requests per second; 0: no limit
 	Burst     float64 // requests
 }
 
 // Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool { return l.PerSecond <= 0 }
 
-// Tenant is a customer of the operators.
+// Tenant is a customer with its own keys, limit and regions.
 type Tenant struct {
 	Name     string
-	Priority int // 0 is the highest; it comes before a route's
+	Priority int // 0 is the highest; takes precedence over a route's priority
 	Limit    Limit
-	Regions  locality.Regions // where its requests may be served, passed through and kept
+	Regions  locality.Regions // where its requests may be served, relayed and stored
 }
 
-// scopeMark divides a tenant's name from a name of its own. Names that callers send in
-// headers never hold it, so two scoped names are equal only if both parts are.
-const scopeMark = "\x1f"
+// scopeSeparator separates the tenant's name from the scoped name. Header values cannot
+// contain it, so two scoped names are equal only if both parts are.
+const scopeSeparator = "\x1f"
 
-// Scope is the name under which something that a tenant calls name is kept. A nil
-// tenant keeps the name as it is: without tenants, rows read as they always did.
+// Scope returns the name qualified with the tenant's name. An empty name stays empty, and a
+// nil tenant returns name unchanged, so that rows without tenants keep their keys.
 func (t *Tenant) Scope(name string) string {
 	if t == nil || name == "" {
 		return name
 	}
-	return t.Name + scopeMark + name
+	return t.Name + scopeSeparator + name
 }
 
-// Registry finds tenants by their keys. A nil Registry stands for a configuration
-// without tenants, where nobody needs a key.
+// Registry looks up tenants by key and by name. A nil Registry is that of a configuration
+// without tenants, where requests need no key.
 type Registry struct {
-	tenants []Tenant
-	byKey   map[Key]int32 // index of the tenant
-	byName  map[string]int32
-	doubled int
-	former  map[Key]Former // keys that earlier configurations held
+	tenants     []Tenant
+	byKey       map[Key]int32 // index of the tenant, or sharedKey
+	byName      map[string]int32
+	sharedKeys  int
+	removedKeys map[Key]RemovedKey // keys removed since earlier configurations
 }
 
-// Former is what is known of a key that was taken away.
-type Former struct {
-	Tenant  string
-	Version int64 // of the first configuration without it
+// RemovedKey describes a key that is no longer in the configuration.
+type RemovedKey struct {
+	Tenant  string // that held it
+	Version int64  // of the first configuration without it
 }
 
-// maxFormer bounds the keys that were taken away and are remembered, for messages only.
-const maxFormer = 10_000
+// maxRemovedKeys bounds the removed keys that are kept for error messages.
+const maxRemovedKeys = 10_000
 
-// Entry is a tenant with its keys.
+// Entry is a tenant and its keys.
 type Entry struct {
 	Tenant
 	Keys []Key
 }
 
-// NewRegistry indexes tenants by their keys. A key that several tenants hold is
-// nobody's, so that no request runs for the wrong one; Doubled counts such keys.
+// NewRegistry indexes tenants by their keys. A key that several tenants list matches none of
+// them, so that no request is attributed to the wrong tenant; Doubled counts such keys.
 func NewRegistry(entries []Entry) *Registry {
 	registry := &Registry{
 		tenants: make([]Tenant, 0, len(entries)),
 		byKey:   make(map[Key]int32, len(entries)),
 		byName:  make(map[string]int32, len(entries)),
 	}
-	const nobody = -1
+	const sharedKey = -1
 	for index, entry := range entries {
 		registry.tenants = append(registry.tenants, entry.Tenant)
 		registry.byName[entry.Name] = int32(index)
 		for _, key := range entry.Keys {
-			holder, taken := registry.byKey[key]
+			owner, exists := registry.byKey[key]
 			switch {
 			case key.IsZero():
-			case !taken:
+			case !exists:
 				registry.byKey[key] = int32(index)
-			case holder != nobody && holder != int32(index):
-				registry.byKey[key] = nobody
-				registry.doubled++
+			case owner != sharedKey && owner != int32(index):
+				registry.byKey[key] = sharedKey
+				registry.sharedKeys++
 			}
 		}
 	}
 	return registry
 }
 
-// Follow notes which keys of an earlier registry this one, of a version, does not hold. It
-// returns their number, and that of the keys that are new. It must be called before the
-// registry is used.
+// Follow records the keys of an earlier registry that this one lacks, with the version of this
+// one. It returns how many keys were removed and how many were added. It must be called before
+// the registry is used concurrently.
 func (r *Registry) Follow(earlier *Registry, version int64) (removed, added int) {
 	if r == nil || earlier == nil {
 		return 0, 0
 	}
-	r.former = make(map[Key]Former, len(earlier.former))
-	for key, known := range earlier.former {
-		if _, held := r.byKey[key]; !held {
-			r.former[key] = known
+	r.removedKeys = make(map[Key]RemovedKey, len(earlier.removedKeys))
+	for key, known := range earlier.removedKeys {
+		if _, present := r.byKey[key]; !present {
+			r.removedKeys[key] = known
 		}
 	}
 	for key, index := range earlier.byKey {
-		if _, held := r.byKey[key]; held {
+		if _, present := r.byKey[key]; present {
 			continue
 		}
 		removed++
-		if index >= 0 && len(r.former) < maxFormer {
-			r.former[key] = Former{Tenant: earlier.tenants[index].Name, Version: version}
+		if index >= 0 && len(r.removedKeys) < maxRemovedKeys {
+			r.removedKeys[key] = RemovedKey{Tenant: earlier.tenants[index].Name, Version: version}
 		}
 	}
 	for key := range r.byKey {
-		if _, held := earlier.byKey[key]; !held {
+		if _, present := earlier.byKey[key]; !present {
 			added++
 		}
 	}
 	return removed, added
 }
 
-// Former returns whose a key was, and since which version it is nobody's.
-func (r *Registry) Former(key Key) (Former, bool) {
+// Former returns which tenant held a removed key, and since which version the key is gone.
+func (r *Registry) Former(key Key) (RemovedKey, bool) {
 	if r == nil {
-		return Former{}, false
+		return RemovedKey{}, false
 	}
-	known, ok := r.former[key]
+	known, ok := r.removedKeys[key]
 	return known, ok
 }
 
-// Doubled is the number of keys that several tenants hold.
+// Doubled returns the number of keys that several tenants list.
 func (r *Registry) Doubled() int {
 	if r == nil {
 		return 0
 	}
-	return r.doubled
+	return r.sharedKeys
 }
 
-// ByKey returns the tenant that holds a key; nil if none does.
+// ByKey returns the tenant with a key; nil if no tenant, or more than one, lists it.
 func (r *Registry) ByKey(key Key) *Tenant {
 	index, ok := r.byKey[key]
 	if !ok || index < 0 {
@@ -167,7 +167,7 @@
 	return &r.tenants[index]
 }
 
-// ByName returns the tenant of a name; nil if there is none.
+// ByName returns the tenant with a name; nil if there is none.
 func (r *Registry) ByName(name string) *Tenant {
 	if r == nil {
 		return nil
@@ -179,7 +179,7 @@
 	return &r.tenants[index]
 }
 
-// Len is the number of tenants.
+// Len returns the number of tenants.
 func (r *Registry) Len() int {
 	if r == nil {
 		return 0
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestKeysFindTheirTenant(t *testing.T) {
+func TestLookupByKeyAndName(t *testing.T) {
 	registry := NewRegistry([]Entry{
 		{Tenant: Tenant{Name: "stalls"}, Keys: []Key{KeyOf("a"), KeyOf("b")}},
 		{Tenant: Tenant{Name: "cellars"}, Keys: []Key{KeyOf("c")}},
@@ -20,12 +20,13 @@
 	require.Equal(t, "cellars", registry.ByKey(KeyOf("c")).Name)
 	require.Equal(t, "keyless", registry.ByName("keyless").Name)
 	require.Nil(t, registry.ByKey(KeyOf("d")))
-	require.Nil(t, registry.ByKey(KeyOf("")), "no key is nobody's")
+	require.Nil(t, registry.ByKey(KeyOf("")), "an empty key matches no tenant")
 	require.Nil(t, registry.ByName("none"))
 	require.Equal(t, 3, registry.Len())
 }
 
-func TestKeyOfTwoTenantsIsNobodys(t *testing.T) {
+// Guards against attributing a request to the wrong tenant when several list its key.
+func TestSharedKeyMatchesNoTenant(t *testing.T) {
 	registry := NewRegistry([]Entry{
 		{Tenant: Tenant{Name: "one"}, Keys: []Key{KeyOf("shared"), KeyOf("own"), KeyOf("own")}},
 		{Tenant: Tenant{Name: "two"}, Keys: []Key{KeyOf("shared")}},
@@ -36,7 +37,7 @@
 	require.Equal(t, 1, registry.Doubled())
 }
 
-func TestFormerKeysAreRemembered(t *testing.T) {
+func TestFollowRecordsRemovedKeys(t *testing.T) {
 	entry := func(name string, keys ...string) Entry {
 		e := Entry{Tenant: Tenant{Name: name}}
 		for _, key := range keys {
@@ -53,34 +54,34 @@
 	for key, version := range map[string]int64{"a": 2, "b": 5} {
 		former, ok := third.Former(KeyOf(key))
 		require.True(t, ok)
-		require.Equal(t, Former{Tenant: "stalls", Version: version}, former)
+		require.Equal(t, RemovedKey{Tenant: "stalls", Version: version}, former)
 	}
 	fourth := NewRegistry([]Entry{entry("stalls", "a", "c")})
 	fourth.Follow(third, 6)
 	_, ok := fourth.Former(KeyOf("a"))
-	require.False(t, ok, "it is held again")
+	require.False(t, ok, "the key was added again")
 }
 
-func TestEmptyKeyInAListOpensNothing(t *testing.T) {
+// Guards against admitting a request without a key because a tenant lists an empty one.
+func TestEmptyKeyMatchesNoTenant(t *testing.T) {
 	registry := NewRegistry([]Entry{{Tenant: Tenant{Name: "one"}, Keys: []Key{KeyOf("")}}})
 	require.Nil(t, registry.ByKey(Key{}))
 }
 
-// TestScopedNamesNeverMeet: two tenants' names for things are equal only if tenant and
-// name are, whatever headers may hold.
-func TestScopedNamesNeverMeet(t *testing.T) {
+// Guards against equal scoped names of different tenants, for any header value.
+func TestScopedNamesAreUnique(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		inHeader := rapid.StringMatching(`[ -~]{1,6}`)
+		headerValue := rapid.StringMatching(`[ -~]{1,6}`)
 		tenants := rapid.SampledFrom([]*Tenant{nil, {Name: "a"}, {Name: "a/b"}, {Name: "b"}, {Name: "a\x1fb"}})
 		first, second := tenants.Draw(t, "first"), tenants.Draw(t, "second")
-		one, other := inHeader.Draw(t, "one"), inHeader.Draw(t, "other")
+		one, other := headerValue.Draw(t, "one"), headerValue.Draw(t, "other")
 		same := first == second && one == other
 		require.Equal(t, same, first.Scope(one) == second.Scope(other))
 	})
-	require.Empty(t, (&Tenant{Name: "a"}).Scope(""), "nothing stays nothing")
+	require.Empty(t, (&Tenant{Name: "a"}).Scope(""), "an empty name stays empty")
 }
 
-// manyEntries are 10,000 tenants of 3 keys each.
+// manyEntries returns 10,000 tenants with 3 keys each.
 func manyEntries() []Entry {
 	const tenants, keys = 10_000, 3
 	entries := make([]Entry, tenants)
@@ -93,7 +94,8 @@
 	return entries
 }
 
-func TestManyTenantsTakeAFewMegabytes(t *testing.T) {
+// Guards against a registry of 10,000 tenants that needs more than 6 MiB.
+func TestRegistryMemoryOfManyTenants(t *testing.T) {
 	const most = 6 << 20
 	entries := manyEntries()
 	var before, after runtime.MemStats
@@ -107,8 +109,8 @@
 	runtime.KeepAlive(entries)
 }
 
-// BenchmarkManyTenants is the time to index a configuration of 10,000 tenants.
-func BenchmarkManyTenants(b *testing.B) {
+// BenchmarkNewRegistryManyTenants indexes a configuration of 10,000 tenants.
+func BenchmarkNewRegistryManyTenants(b *testing.B) {
 	entries := manyEntries()
 	for b.Loop() {
 		NewRegistry(entries)
