--- a/internal/evacuation/board.go
+++ b/internal/evacuation/board.go
@@ -1,6 +1,6 @@
-// Package evacuation keeps which zones' workers must get no new work, by the operator's
-// word. A word is obeyed until a newer one takes it back, whoever tells it and however old
-// it is.
+// Package evacuation tracks the zones that the operator has evacuated, whose workers must get
+// no new requests. The state of a zone changes only by an update with a newer revision, whether
+// that comes from the store or from another node.
 package evacuation
 
 import (
@@ -13,95 +13,96 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Source is where a word was heard.
+// Source is the origin of an update.
 type Source string
 
-// The sources.
+// Sources of updates.
 const (
-	FromTable Source = "table"
-	FromNode  Source = "node"
+	FromTable Source = "table" // the store
+	FromNode  Source = "node"  // another node
 )
 
-// Word is the newest that is known of a zone.
+// Word is the state of a zone as of a revision of its row.
 type Word struct {
 	Zone      string
-	Evacuated bool // false: it was taken back
+	Evacuated bool // false: the evacuation was ended
 	Revision  store.Version
 }
 
-// Snapshot is all that a node knows: at Revision, the zones among Words that are evacuated
-// were, and no others; words beyond Revision came later. The zero value says nothing.
+// Snapshot is the state that a node has cached. At Revision, exactly the zones evacuated among
+// Words were evacuated; Words newer than Revision were changed later. The zero value is empty.
 type Snapshot struct {
 	Revision store.Version
-	Words    []Word // ascending by zone
+	Words    []Word // sorted by zone
 }
 
-// Change is a zone that was evacuated or taken back.
+// Change is the start or the end of the evacuation of a zone.
 type Change struct {
 	Word
 	Source Source
 }
 
-// state is never changed once it is published.
+// state is immutable once it is published.
 type state struct {
-	known    bool          // the rows were read as a whole
-	revision store.Version // of the last whole read; every word up to it is in
+	known    bool          // a full read of the rows was applied
+	revision store.Version // of the last full read, which covers all words up to it
 	words    map[string]Word
 }
 
-// Board holds the newest word of each zone. It is safe for concurrent use. Its zero value
-// knows nothing, and takes no zone for evacuated.
+// Board holds the latest state of each zone. It is safe for concurrent use. The zero value
+// holds no state, and reports no zone as evacuated.
 type Board struct {
-	mutex   sync.Mutex // held by writers
-	present atomic.Pointer[state]
+	mutex   sync.Mutex // serializes updates
+	current atomic.Pointer[state]
 	changed func(Change)
 }
 
-// New returns a board that calls changed, which may be nil, for each zone that is
-// evacuated or taken back, one call after the other, before the board shows the change.
-// changed must not call the board's Hear, Whole or Learn.
+// New returns a board that calls changed, if it is not nil, for each zone whose evacuation
+// starts or ends. The calls are serialized, and made before the board shows the change. changed
+// must not call Hear, Whole or Learn.
 func New(changed func(Change)) *Board { return &Board{changed: changed} }
 
 func (b *Board) load() *state {
-	if present := b.present.Load(); present != nil {
-		return present
+	if current := b.current.Load(); current != nil {
+		return current
 	}
 	return &state{}
 }
 
-// Known reports whether all that stood at some revision is known; that may be none.
+// Known reports whether the board has applied a full read of the rows, its own or that of
+// another node's snapshot. The read may have been empty.
 func (b *Board) Known() bool { return b.load().known }
 
-// Evacuated reports whether a zone's workers must get no new work.
+// Evacuated reports whether a zone's workers must get no new requests.
 func (b *Board) Evacuated(zone string) bool { return b.load().words[zone].Evacuated }
 
-// Hear takes over one word. One that is not newer than what is known changes nothing, so
-// that an old row cannot bring back what was taken back.
+// Hear applies the state of one zone. It is ignored unless it is newer than the cached one, so
+// that a stale row cannot restart an evacuation that was ended.
 func (b *Board) Hear(word Word, source Source) {
-	b.update(source, func(next *state) { next.hear(word) })
+	b.update(source, func(next *state) { next.apply(word) })
 }
 
-// Whole takes over all rows as they were at a revision: a zone without a row there was
-// taken back, unless a newer word is known of it.
+// Whole applies a full read of the rows at a revision. It ends the evacuation of each zone
+// without a row, unless a newer state of the zone is cached.
 func (b *Board) Whole(revision store.Version, rows []Word) {
 	b.update(FromTable, func(next *state) {
 		next.known = true
-		next.whole(Snapshot{Revision: revision, Words: rows})
+		next.merge(Snapshot{Revision: revision, Words: rows})
 	})
 }
 
-// Learn takes over what another node knows.
+// Learn merges the snapshot of another node.
 func (b *Board) Learn(snapshot Snapshot) {
-	b.update(FromNode, func(next *state) { next.whole(snapshot) })
+	b.update(FromNode, func(next *state) { next.merge(snapshot) })
 }
 
-// Snapshot is what the board knows.
+// Snapshot returns the state of the board, to be sent to other nodes.
 func (b *Board) Snapshot() Snapshot {
-	present := b.load()
-	words := slices.SortedFunc(maps.Values(present.words), func(one, other Word) int {
+	current := b.load()
+	words := slices.SortedFunc(maps.Values(current.words), func(one, other Word) int {
 		return cmp.Compare(one.Zone, other.Zone)
 	})
-	return Snapshot{Revision: present.revision, Words: words}
+	return Snapshot{Revision: current.revision, Words: words}
 }
 
 func (b *Board) update(source Source, change func(*state)) {
@@ -113,12 +114,12 @@
 		next.words = map[string]Word{}
 	}
 	change(next)
-	b.tell(before, next, source) // first: a zone opens once its workers are taken to be cold
-	b.present.Store(next)
+	b.notify(before, next, source) // before publishing: a zone reopens only after its workers are marked cold
+	b.current.Store(next)
 }
 
-// tell names the zones whose state differs.
-func (b *Board) tell(before, next *state, source Source) {
+// notify calls changed for each zone whose evacuation differs.
+func (b *Board) notify(before, next *state, source Source) {
 	if b.changed == nil {
 		return
 	}
@@ -128,24 +129,24 @@
 		}
 	}
 	for zone, word := range before.words {
-		if _, kept := next.words[zone]; !kept && word.Evacuated {
+		if _, exists := next.words[zone]; !exists && word.Evacuated {
 			b.changed(Change{Word: Word{Zone: zone, Revision: next.revision}, Source: source})
 		}
 	}
 }
 
-func (s *state) hear(word Word) {
+func (s *state) apply(word Word) {
 	if word.Revision > s.revision && word.Revision > s.words[word.Zone].Revision {
 		s.words[word.Zone] = word
 	}
 }
 
-// whole takes over a snapshot. One that is newer than the last whole read replaces all that
-// is known up to its revision; that revision is mark enough of what was taken back before.
-func (s *state) whole(snapshot Snapshot) {
+// merge applies a snapshot. One that is newer than the last full read replaces all states up to
+// its revision, so evacuations that ended earlier need no entry.
+func (s *state) merge(snapshot Snapshot) {
 	if snapshot.Revision <= s.revision {
 		for _, word := range snapshot.Words {
-			s.hear(word)
+			s.apply(word)
 		}
 		return
 	}
@@ -158,6 +159,6 @@
 		}
 	}
 	for _, word := range known {
-		s.hear(word)
+		s.apply(word)
 	}
 }
--- a/internal/evacuation/board_test.go
+++ b/internal/evacuation/board_test.go
@@ -9,95 +9,94 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-func given(zone string, revision store.Version) Word {
+func evacuated(zone string, revision store.Version) Word {
 	return Word{Zone: zone, Evacuated: true, Revision: revision}
 }
 
-func takenBack(zone string, revision store.Version) Word {
+func ended(zone string, revision store.Version) Word {
 	return Word{Zone: zone, Revision: revision}
 }
 
-func TestOlderWordChangesNothing(t *testing.T) {
+func TestOlderStateIsIgnored(t *testing.T) {
 	board := New(nil)
-	board.Hear(given("a", 5), FromTable)
-	board.Hear(takenBack("a", 7), FromTable)
-	board.Hear(given("a", 5), FromNode)
-	require.False(t, board.Evacuated("a"), "taken back after that")
-	board.Hear(given("a", 9), FromTable)
-	board.Hear(takenBack("a", 7), FromNode)
-	require.True(t, board.Evacuated("a"), "given again after that")
+	board.Hear(evacuated("a", 5), FromTable)
+	board.Hear(ended("a", 7), FromTable)
+	board.Hear(evacuated("a", 5), FromNode)
+	require.False(t, board.Evacuated("a"), "the evacuation ended at a newer revision")
+	board.Hear(evacuated("a", 9), FromTable)
+	board.Hear(ended("a", 7), FromNode)
+	require.True(t, board.Evacuated("a"), "the zone was evacuated again at a newer revision")
 }
 
-func TestWholeReadTakesBackWhatIsMissing(t *testing.T) {
+func TestFullReadEndsMissingEvacuations(t *testing.T) {
 	board := New(nil)
-	board.Hear(given("a", 5), FromTable)
-	board.Hear(given("b", 12), FromNode)
-	board.Whole(10, []Word{given("c", 8)})
-	require.False(t, board.Evacuated("a"), "its row was removed while the history was lost")
-	require.True(t, board.Evacuated("b"), "a newer word stands")
+	board.Hear(evacuated("a", 5), FromTable)
+	board.Hear(evacuated("b", 12), FromNode)
+	board.Whole(10, []Word{evacuated("c", 8)})
+	require.False(t, board.Evacuated("a"), "its row is missing from a newer full read")
+	require.True(t, board.Evacuated("b"), "a newer state must be kept")
 	require.True(t, board.Evacuated("c"))
-	board.Hear(given("a", 5), FromNode)
-	require.False(t, board.Evacuated("a"), "the whole read is newer")
-	require.Len(t, board.Snapshot().Words, 2, "no mark is needed of what a whole read covers")
+	board.Hear(evacuated("a", 5), FromNode)
+	require.False(t, board.Evacuated("a"), "the full read is newer")
+	require.Len(t, board.Snapshot().Words, 2, "no entry is needed for what a full read covers")
 }
 
-func TestOlderWholeReadTakesNothingBack(t *testing.T) {
+func TestOlderFullReadIsIgnored(t *testing.T) {
 	board := New(nil)
-	board.Whole(10, []Word{given("a", 8)})
+	board.Whole(10, []Word{evacuated("a", 8)})
 	board.Whole(6, nil)
 	require.True(t, board.Evacuated("a"))
 }
 
-func TestZonesAreApart(t *testing.T) {
+func TestZonesAreIndependent(t *testing.T) {
 	board := New(nil)
-	board.Whole(10, []Word{given("a", 8), given("b", 9)})
-	board.Hear(takenBack("a", 11), FromTable)
+	board.Whole(10, []Word{evacuated("a", 8), evacuated("b", 9)})
+	board.Hear(ended("a", 11), FromTable)
 	require.False(t, board.Evacuated("a"))
 	require.True(t, board.Evacuated("b"))
-	require.False(t, board.Evacuated("nobody has heard of it"))
+	require.False(t, board.Evacuated("unknown"))
 }
 
-// TestEmptyTableIsKnown: its first whole read comes before the operator's first row.
-func TestEmptyTableIsKnown(t *testing.T) {
+// Guards against an empty store that is never known, and against taking a single row for a full read.
+func TestKnownAfterEmptyFullRead(t *testing.T) {
 	board := New(nil)
 	board.Learn(Snapshot{})
-	require.False(t, board.Known(), "nobody knows anything")
-	board.Hear(given("a", 3), FromTable)
-	require.False(t, board.Known(), "one word is not all")
+	require.False(t, board.Known(), "the other node has no state")
+	board.Hear(evacuated("a", 3), FromTable)
+	require.False(t, board.Known(), "one row is not a full read")
 	board.Whole(0, nil)
 	require.True(t, board.Known())
 	require.True(t, board.Evacuated("a"))
 }
 
-func TestEveryChangeIsToldOnce(t *testing.T) {
-	var told []Change
-	board := New(func(change Change) { told = append(told, change) })
-	board.Hear(given("a", 5), FromTable)
-	board.Hear(given("a", 6), FromTable) // the row was written again
+func TestEachChangeIsNotifiedOnce(t *testing.T) {
+	var notified []Change
+	board := New(func(change Change) { notified = append(notified, change) })
+	board.Hear(evacuated("a", 5), FromTable)
+	board.Hear(evacuated("a", 6), FromTable) // the row was written again
 	board.Learn(Snapshot{Revision: 9})
-	require.Equal(t, []Change{{given("a", 5), FromTable}, {takenBack("a", 9), FromNode}}, told)
+	require.Equal(t, []Change{{evacuated("a", 5), FromTable}, {ended("a", 9), FromNode}}, notified)
 }
 
-// TestZoneOpensOnlyAfterThatWasTold: whoever is told takes its workers to be cold, and until
-// then nothing may be sent to them.
-func TestZoneOpensOnlyAfterThatWasTold(t *testing.T) {
+// Guards against reopening a zone before its workers are marked cold, which the callback does.
+func TestNotificationPrecedesChange(t *testing.T) {
 	var board *Board
-	told := 0
+	notified := 0
 	board = New(func(change Change) {
-		told++
+		notified++
 		require.Equal(t, !change.Evacuated, board.Evacuated(change.Zone))
 	})
-	board.Hear(given("a", 5), FromTable)
-	board.Hear(takenBack("a", 7), FromTable)
-	require.Equal(t, 2, told)
+	board.Hear(evacuated("a", 5), FromTable)
+	board.Hear(ended("a", 7), FromTable)
+	require.Equal(t, 2, notified)
 	require.False(t, board.Evacuated("a"))
 }
 
-// truth is the operator's table: the words of each revision, the first at 1.
-type truth []Word
+// operatorTable is the reference model: the operator's change at each revision, from 1.
+type operatorTable []Word
 
-// at is the state of a zone at a revision.
-func (t truth) at(zone string, revision store.Version) bool {
+// at reports whether a zone is evacuated at a revision.
+func (t operatorTable) at(zone string, revision store.Version) bool {
 	evacuated := false
 	for _, word := range t[:revision] {
 		if word.Zone == zone {
@@ -109,8 +108,8 @@
 
 var zones = []string{"a", "b", "c"}
 
-// rows are those of a whole read at a revision.
-func (t truth) rows(revision store.Version) (rows []Word) {
+// rows returns the rows of a full read at a revision.
+func (t operatorTable) rows(revision store.Version) (rows []Word) {
 	for _, zone := range zones {
 		if t.at(zone, revision) {
 			last := Word{}
@@ -125,18 +124,18 @@
 	return rows
 }
 
-// TestNobodyGoesBack: whatever boards hear, in whatever order and from whom, each holds of
-// every zone what was true at the newest revision that it has heard something of the zone.
-func TestNobodyGoesBack(t *testing.T) {
+// Guards against a board that returns to an older state: whatever updates boards receive, in
+// whatever order, each shows every zone as of the newest revision received for it.
+func TestBoardsNeverRegress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		table := truth{}
+		table := operatorTable{}
 		boards := []*Board{New(nil), New(nil), New(nil)}
-		heard := make([]map[string]store.Version, len(boards))
-		for index := range heard {
-			heard[index] = map[string]store.Version{}
+		seen := make([]map[string]store.Version, len(boards))
+		for index := range seen {
+			seen[index] = map[string]store.Version{}
 		}
-		raise := func(board int, zone string, revision store.Version) {
-			heard[board][zone] = max(heard[board][zone], revision)
+		markSeen := func(board int, zone string, revision store.Version) {
+			seen[board][zone] = max(seen[board][zone], revision)
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			board := rapid.IntRange(0, len(boards)-1).Draw(t, "board")
@@ -148,23 +147,23 @@
 			case 1:
 				if revision > 0 {
 					boards[board].Hear(table[revision-1], FromTable)
-					raise(board, table[revision-1].Zone, revision)
+					markSeen(board, table[revision-1].Zone, revision)
 				}
 			case 2:
 				boards[board].Whole(revision, table.rows(revision))
 				for _, zone := range zones {
-					raise(board, zone, revision)
+					markSeen(board, zone, revision)
 				}
 			default:
 				other := rapid.IntRange(0, len(boards)-1).Draw(t, "other")
 				boards[board].Learn(boards[other].Snapshot())
-				for zone, revision := range heard[other] {
-					raise(board, zone, revision)
+				for zone, revision := range seen[other] {
+					markSeen(board, zone, revision)
 				}
 			}
 			for index, board := range boards {
 				for _, zone := range zones {
-					require.Equal(t, table.at(zone, heard[index][zone]), board.Evacuated(zone), "board %d, zone %s", index, zone)
+					require.Equal(t, table.at(zone, seen[index][zone]), board.Evacuated(zone), "board %d, zone %s", index, zone)
 				}
 			}
 		}
