--- a/internal/quota/booking_test.go
+++ b/internal/quota/booking_test.go
@@ -12,7 +12,7 @@
 
 // exhaustedLender is a lender without a free permit, whose first one was issued longAgo.
 func exhaustedLender(leases *fakeLeases, longAgo time.Duration) *Lender {
-	l := newFakeLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
+	l := newTestLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 	l.Answer(Request{Tenant: "t", Program: "p"})
 	time.Sleep(longAgo)
 	lendAll(l)
@@ -65,7 +65,7 @@
 func TestBookedPermitsPreventLower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leases := &fakeLeases{raises: true} // full share 44, base 24, reserve 6
-		l := newFakeLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
+		l := newTestLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 		for range 32 {
 			require.True(t, l.Answer(Request{Tenant: "t"}).Lent)
 			synctest.Wait() // the tenant is raised
@@ -110,7 +110,7 @@
 func TestSmallShareIsRaised(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leases := &fakeLeases{raises: true} // full share 9 and 4 of the slack, base 5.4
-		l := newFakeLender(leases, tenant.Limit{PerSecond: 4.5, Burst: 4.5})
+		l := newTestLender(leases, tenant.Limit{PerSecond: 4.5, Burst: 4.5})
 		lent := lendAll(l)
 		triggerRaise(l)
 		require.Equal(t, 13, lent+lendAll(l)+1) // triggerRaise took one
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -26,7 +26,7 @@
 	// asked in parallel. The delay is longer if the node asked last is known to be slower.
 	minHedgeDelay = 20 * time.Millisecond
 	// unusedPermitTTL is how long a returned permit may be used by another request of the
-	// same tenant. The permit was counted in the window in which it was issued.
+	// same tenant. It is short because the permit counts from its issue, not from its use.
 	unusedPermitTTL = 50 * time.Millisecond
 	// unavailableRetryAfter is the retry delay if no owner responds; up to half as much jitter
 	// is added. A restarted owner is back within 2 s, and a failed one is replaced within 5 s.
@@ -243,14 +243,14 @@
 	return true
 }
 
-// acquisition asks for one permit, share by share.
+// acquisition obtains one permit from the owners of a tenant's shares.
 type acquisition struct {
 	borrower *Borrower
 	ask      forward.LimitRequest
 	first    int // share that is asked first
 	asked    int // number of shares asked so far
 	answers  chan shareAnswer
-	underWay bool
+	underWay bool // an owner reported that the program is running
 }
 
 // shareAnswer is the result of asking one share's owner.
@@ -260,8 +260,9 @@
 	reached bool // the owner answered and may issue permits
 }
 
-// run asks one share after another until a permit is issued or every share was asked. It
-// returns the context's error if that is done first.
+// run asks the owners of the shares in turn, the next one as soon as one refuses or is slow to
+// answer, until a permit is issued or all were asked. If the context is done first, it returns
+// the context's error.
 func (a *acquisition) run(ctx context.Context) (outcome refusals, err error) {
 	running := 0
 	next := func() {
@@ -291,7 +292,7 @@
 				a.borrower.rememberShare(a.ask, answer.share)
 				return refusals{lent: true}, nil
 			case !answer.reached:
-				outcome.unanswered++
+				outcome.unavailable++
 			default:
 				outcome.add(answer)
 			}
@@ -310,10 +311,10 @@
 
 // refusals collects the answers of owners that issued no permit.
 type refusals struct {
-	lent           bool          // a later owner issued a permit
-	unanswered     int           // owners that did not answer
+	lent           bool          // an owner issued a permit; the other fields are then zero
+	unavailable    int           // shares whose owner did not answer or may not issue permits
 	wait           time.Duration // shortest retry delay
-	used, capacity int           // permits in the current window, and their maximum, over all answers
+	used, capacity int           // sums over the answers: permits in the last window, and their maximum
 	bookableIn     time.Duration // until a permit that is booked now would be valid; zero: none can be booked
 	bookableShare  int           // share of that permit
 }
@@ -331,13 +332,13 @@
 
 // refusalError returns the error for a request that got no permit.
 func (a *acquisition) refusalError(outcome refusals) error {
-	if outcome.unanswered == shares {
+	if outcome.unavailable == shares {
 		return fault.Newf(fault.Unavailable, "retry after the delay in Retry-After",
-			"none of the nodes that enforce the rate limit of tenant %q responded", a.ask.Tenant).WithRetryAfter(unavailableRetryAfter + rand.N(unavailableRetryAfter/2))
+			"no node that can currently enforce the rate limit of tenant %q responded", a.ask.Tenant).WithRetryAfter(unavailableRetryAfter + rand.N(unavailableRetryAfter/2))
 	}
 	return fault.Newf(fault.RateLimited, "retry after the delay in Retry-After, or ask the operator for a higher limit",
-		"tenant %q has reached its rate limit: %d requests in the last window, of %d allowed by the %d of %d limit shares that responded",
-		a.ask.Tenant, outcome.used, outcome.capacity, shares-outcome.unanswered, shares).WithRetryAfter(outcome.wait)
+		"tenant %q has reached its rate limit: %d of %d allowed requests were counted in the last window (%d of %d shares of the limit responded)",
+		a.ask.Tenant, outcome.used, outcome.capacity, shares-outcome.unavailable, shares).WithRetryAfter(outcome.wait)
 }
 
 // askShare asks the owner of a share and sends its answer to the answers channel.
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -30,7 +30,7 @@
 	testTolerance  = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 )
 
-// cluster is a set of nodes that lend and borrow permits, over one store.
+// cluster is a set of nodes that issue and request permits, over one store.
 type cluster struct {
 	table *storetest.Table
 
@@ -49,13 +49,13 @@
 
 // node is one process.
 type node struct {
-	cluster  *cluster
-	self     budget.Holder
-	programs *directory.Directory
-	borrower *Borrower
-	lender   *Lender
-	cancel   context.CancelFunc
-	paused   time.Time // end of the pause of the process
+	cluster   *cluster
+	self      budget.Holder
+	directory *directory.Directory
+	borrower  *Borrower
+	lender    *Lender
+	cancel    context.CancelFunc
+	paused    time.Time // end of the pause of the process
 }
 
 func newTestCluster(nodes int, limit tenant.Limit) *cluster {
@@ -136,12 +136,12 @@
 	peers := clusterPeers{c, n}
 	vantage := c.vantageOf(address)
 	layout := directory.NewLayout(c.places)
-	n.programs = directory.New(directory.Options{
+	n.directory = directory.New(directory.Options{
 		Store: faultyStore{c.table, n}, Self: n.self, Peers: peers, LentFor: testTolerance.Window, Logger: &log.Logger{Handler: discard.New()},
 		Vantage: vantage,
 	})
 	n.lender = NewLender(LenderOptions{
-		Leases: n.programs, Tolerance: testTolerance, Layout: layout,
+		Leases: n.directory, Tolerance: testTolerance, Layout: layout,
 		LimitOf: func(string) (tenant.Limit, bool) {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
@@ -150,29 +150,29 @@
 		Proof: func() freshness.Proof { return freshness.Proof{} },
 	})
 	n.borrower = NewBorrower(BorrowerOptions{
-		Self: n.self, Layout: layout, Region: vantage.Region(), Owners: n.programs, Peers: peers, Lender: n.lender, Learn: func(freshness.Proof, time.Time) {}, Count: func(Outcome) {},
+		Self: n.self, Layout: layout, Region: vantage.Region(), Owners: n.directory, Peers: peers, Lender: n.lender, Learn: func(freshness.Proof, time.Time) {}, Count: func(Outcome) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	c.nodes[address] = n
-	go n.programs.Run(ctx)
+	go n.directory.Run(ctx)
 	go n.renew(ctx)
 }
 
 // renew keeps the leases, as a server does.
 func (n *node) renew(ctx context.Context) {
 	for ctx.Err() == nil {
-		claims := n.programs.Claims()
+		claims := n.directory.Claims()
 		sent := time.Now()
 		_, err := (faultyStore{n.cluster.table, n}).Commit(ctx, store.Transaction{Conditions: claims})
 		var conflict *store.Conflict
 		switch {
 		case err == nil:
-			n.programs.Proven(claims, sent)
+			n.directory.Proven(claims, sent)
 		case errors.As(err, &conflict):
-			n.programs.Disproven(claims, conflict, sent)
+			n.directory.Disproven(claims, conflict, sent)
 		}
-		n.programs.Settle(ctx)
+		n.directory.Settle(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Second):
@@ -226,7 +226,7 @@
 	if err != nil {
 		return directory.Answer{}, err
 	}
-	return n.programs.Answer(request), nil
+	return n.directory.Answer(request), nil
 }
 
 // Lend implements Peers.
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -20,7 +20,7 @@
 	// again: after a crash the successor assumes that all of a raised share was used.
 	lowerThreshold = 0.6
 	// writeTimeout bounds a write that raises or lowers a tenant, and writeInterval is the
-	// shortest time between two such writes.
+	// shortest time between the starts of two such writes for a share.
 	writeTimeout  = time.Second
 	writeInterval = 500 * time.Millisecond
 	// programTTL is how long a program counts as running after its last request.
@@ -42,14 +42,14 @@
 	Owner    bool // the process owns the share's slot
 	Able     bool // the process also may issue permits now
 	Lent     bool // a permit was issued
-	UnderWay bool // the owner counts the program as running
+	UnderWay bool // the program is running, according to the request or the owner
 	// Wait is the time until the permit is valid, or the retry delay if none was issued.
 	Wait time.Duration
 	// Soon is, if no permit was issued, the time until one that is booked now would be valid;
 	// zero: none can be booked.
 	Soon  time.Duration
 	Used  int // permits issued for the share in the last window
-	Most  int // how many may be issued under the owner's lease
+	Most  int // how many may be issued in a window under the owner's lease
 	Proof freshness.Proof
 }
 
@@ -187,8 +187,9 @@
 	l.programRate.count(program)
 }
 
-// requestRetryAfter returns how long it takes until a share that may lend so many permits in a
-// window has a free one beyond those that earlier refused callers will take.
+// requestRetryAfter returns the retry delay of a refused request: the time until the share,
+// which may lend most permits in a window, has one more than the callers refused earlier will
+// take.
 func (l *Lender) requestRetryAfter(account *shareAccount, most float64, now time.Time) time.Duration {
 	return account.requestRetries.add(now, func(queue int) time.Duration {
 		surplus := account.window.total + 1 - int(most) + queue
@@ -205,7 +206,7 @@
 }
 
 // hasRoom reports whether the share can take one more program without cutting off running
-// ones. It forecasts the permits of the window that ends after forecastPart of its length, if
+// ones. It forecasts the permits in the window that ends forecastPart of a window from now, if
 // each program keeps its rate.
 func (l *Lender) hasRoom(account *shareAccount, allowed allowances, now time.Time) bool {
 	ahead := time.Duration(forecastPart * float64(l.tolerance.Window))
@@ -217,12 +218,12 @@
 
 // accountFor returns the account of a share under a lease, advanced to now. A new lease starts
 // a new account: the allowance already deducts what was lent under earlier ones.
-func (l *Lender) accountFor(name shareKey, lease directory.Lease, now time.Time) *shareAccount {
+func (l *Lender) accountFor(key shareKey, lease directory.Lease, now time.Time) *shareAccount {
 	l.sweep(now)
-	known, ok := l.accounts[name]
+	known, ok := l.accounts[key]
 	if !ok || known.lease != lease.Number {
 		known = &shareAccount{lease: lease.Number, programs: programs{}}
-		l.accounts[name] = known
+		l.accounts[key] = known
 	}
 	known.lastUsed = now
 	known.window.advance(stepOf(l.origin, now, l.tolerance.Window))
@@ -240,7 +241,7 @@
 }
 
 // updateRaised raises the tenant in the store shortly before more than the base allowance is
-// needed, and lowers it when that is no longer so. The caller holds the mutex.
+// needed, and lowers it when usage falls below lowerThreshold. The caller holds the mutex.
 func (l *Lender) updateRaised(account *shareAccount, slot int, tenant string, lease directory.Lease, allowed allowances, now time.Time) {
 	if account.writePending || now.Sub(account.lastWrite) < writeInterval {
 		return
--- a/internal/quota/lender_test.go
+++ b/internal/quota/lender_test.go
@@ -38,8 +38,8 @@
 // storeLatency is the duration of a write.
 const storeLatency = 300 * time.Millisecond
 
-// newFakeLender is a lender whose lease is older than the window.
-func newFakeLender(leases *fakeLeases, limit tenant.Limit) *Lender {
+// newTestLender returns a lender with fake leases that are older than the window.
+func newTestLender(leases *fakeLeases, limit tenant.Limit) *Lender {
 	now := time.Now()
 	leases.lease = directory.Lease{Number: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Hour)}
 	return NewLender(LenderOptions{
@@ -72,7 +72,7 @@
 		// The share of 100 per second, a burst of 100 and the lent part of the slack.
 		const whole, base = 200 + 4, 120
 		leases := &fakeLeases{}
-		l := newFakeLender(leases, tenant.Limit{PerSecond: 100, Burst: 100})
+		l := newTestLender(leases, tenant.Limit{PerSecond: 100, Burst: 100})
 		require.Equal(t, base, lendAll(l), "the tenant is not raised")
 		leases.raises = true
 		triggerRaise(l)
@@ -91,7 +91,7 @@
 }
 
 func TestAnswerIncludesProof(t *testing.T) {
-	l := newFakeLender(&fakeLeases{}, tenant.Limit{PerSecond: 1})
+	l := newTestLender(&fakeLeases{}, tenant.Limit{PerSecond: 1})
 	require.Equal(t, freshness.Proof{Revision: 3, Age: time.Second}, l.Answer(Request{Tenant: "t"}).Proof)
 	require.False(t, l.Answer(Request{Tenant: "t", Share: shares}).Owner, "a share that does not exist has no owner")
 }
@@ -99,7 +99,7 @@
 // Guards against telling all refused callers to retry at the same time.
 func TestRetryDelaysIncrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newFakeLender(&fakeLeases{}, tenant.Limit{PerSecond: 20, Burst: 20})
+		l := newTestLender(&fakeLeases{}, tenant.Limit{PerSecond: 20, Burst: 20})
 		for range 8 { // spread over several steps
 			for range 3 {
 				l.Answer(Request{Tenant: "t"})
--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -98,7 +98,7 @@
 	maps.DeleteFunc(p, func(_ string, known *programUsage) bool { return now.Sub(known.last) >= programTTL })
 }
 
-// rateEstimate estimates how many requests a program sends per second.
+// rateEstimate estimates how many requests an active program sends per second.
 type rateEstimate struct {
 	perSecond float64
 	updated   time.Time
@@ -116,7 +116,8 @@
 	}
 }
 
-// update adjusts the estimate once in each rateInterval, and prunes programs that have ended.
+// update adjusts the estimate at most once in each rateInterval, and prunes programs that have
+// ended. After a gap of two intervals the estimate is kept.
 func (p *rateEstimate) update(accounts map[shareKey]*shareAccount, now time.Time) {
 	elapsed := now.Sub(p.updated)
 	if elapsed < rateInterval {
--- a/internal/quota/promises.go
+++ b/internal/quota/promises.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// retryTimes are the times at which refused callers were told to retry. Each further caller is
+// retryTimes are the times at which refused callers may retry. Each further caller is
 // given a later time, so that they don't all retry at once.
 type retryTimes []time.Time
 
@@ -16,7 +16,7 @@
 // add returns the retry delay for one more refused caller and records it. waitAfter returns the
 // time until a permit is free for a caller behind queue others.
 func (p *retryTimes) add(now time.Time, waitAfter func(queue int) time.Duration) time.Duration {
-	*p = slices.DeleteFunc(*p, func(promised time.Time) bool { return !promised.After(now) })
+	*p = slices.DeleteFunc(*p, func(retry time.Time) bool { return !retry.After(now) })
 	wait := waitAfter(len(*p))
 	if len(*p) < maxRetryTimes {
 		*p = append(*p, now.Add(wait))
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -44,7 +44,7 @@
 	cluster func(nodes int, limit tenant.Limit) *cluster
 }
 
-// holds runs it in parallel with others and checks that the limit was kept.
+// holds runs load and faults, in parallel with other runs, and checks that the limit was kept.
 func (f faultRun) holds(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -180,7 +180,7 @@
 		name = fmt.Sprint("calm", index)
 		owned := map[string]int{}
 		for share := range shares {
-			owner, ok := c.nodes[addressOf(0)].programs.Owner(slotOf(directory.Layout{}, name, share))
+			owner, ok := c.nodes[addressOf(0)].directory.Owner(slotOf(directory.Layout{}, name, share))
 			require.True(t, ok)
 			owned[owner.Address]++
 		}
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -14,7 +14,8 @@
 	// shares is the number of parts of a limit. With one owner lost, two thirds remain, which
 	// covers usual traffic.
 	shares = 3
-	// shareStride puts the shares of a tenant into different slots, of different owners.
+	// shareStride puts the shares of a tenant into different slots, which usually have
+	// different owners.
 	shareStride = 21
 	// regionBits is the number of low bits of a tenant's hash that select its slots. The bits
 	// above select its first region.
@@ -72,10 +73,10 @@
 	return t
 }
 
-// allowances are the permits of one share in any window.
+// allowances are the numbers of permits that one share may issue in any window.
 type allowances struct {
 	full    float64 // the full share
-	base    float64 // part that may be lent without a write to the store
+	base    float64 // part that may be lent without raising the tenant in the store
 	reserve float64 // excess over the share that covers permits of failed owners
 }
 
@@ -98,7 +99,8 @@
 }
 
 // lendable returns how many permits a share may issue in the window that ends now under its
-// owner's lease. While permits of earlier owners may still count, they are deducted.
+// owner's lease. While permits of earlier owners may still count, they are deducted. It is 0
+// then if lease.Before.All is set.
 func (a allowances) lendable(lease directory.Lease, tenant string, now time.Time, window time.Duration) float64 {
 	most := a.base
 	if slices.Contains(lease.Raised, tenant) {
@@ -118,8 +120,8 @@
 }
 
 // mayBook reports whether one more permit may be booked. Booked permits may be used after the
-// lease has passed on, in addition to all that the successor lends one window later. The
-// reserve covers them, once the bookings of earlier owners are over.
+// lease has passed to a successor, in addition to all that the successor lends one window
+// later. The reserve covers them, once the bookings of earlier owners are over.
 func (a allowances) mayBook(lease directory.Lease, booked int, now time.Time, window time.Duration) bool {
 	return now.Sub(lease.Since) >= window && float64(booked+1) <= a.reserve
 }
--- a/internal/quota/sliding.go
+++ b/internal/quota/sliding.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// SlidingWindow counts events in the last window of time. It is not safe for concurrent use.
+// SlidingWindow counts events in the last window of time. The times passed to its methods must
+// not decrease. It is not safe for concurrent use.
 type SlidingWindow struct {
 	counter windowCounter
 	origin  time.Time
@@ -14,7 +15,7 @@
 	return &SlidingWindow{origin: now, length: length}
 }
 
-// Add counts so many events now.
+// Add records count events at the time now.
 func (w *SlidingWindow) Add(count int, now time.Time) {
 	w.counter.advance(stepOf(w.origin, now, w.length))
 	for range count {
--- a/internal/quota/succession_test.go
+++ b/internal/quota/succession_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		limit := tenant.Limit{PerSecond: 20, Burst: 20}
 		leases := &fakeLeases{raises: true}
-		leaving := newFakeLender(leases, limit)
+		leaving := newTestLender(leases, limit)
 		leases.lease.Raised = []string{"t"}
 		var used []time.Time
 		for range lendAll(leaving) {
@@ -30,7 +30,7 @@
 		require.NotEmpty(t, used, "no request was booked")
 
 		next := &fakeLeases{raises: true}
-		successor := newFakeLender(next, limit)
+		successor := newTestLender(next, limit)
 		next.lease.Since = time.Now()
 		next.lease.Raised = []string{"t"}
 		next.lease.Before = directory.Bequest{Raised: []string{"t"}}
@@ -49,7 +49,7 @@
 func TestSuccessorCannotBookForOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leases := &fakeLeases{}
-		successor := newFakeLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
+		successor := newTestLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 		leases.lease.Since = time.Now()
 		lendAll(successor)
 		time.Sleep(testTolerance.Window - 500*time.Millisecond)
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// add counts a permit so many steps ahead; 0 is the current step.
+// add counts a permit that is used the given number of steps ahead; 0 is the current step.
 func (w *windowCounter) add(ahead int64) {
 	*w.at(w.step + ahead)++
 	if ahead == 0 {
@@ -52,8 +52,9 @@
 	w.booked++
 }
 
-// earliest returns how many steps ahead one more permit fits, so that no later window,
-// bookings included, holds more than most. ok is false if that is beyond stepsAhead.
+// earliest returns the smallest number of steps ahead at which one more permit may be added
+// without any window, bookings included, holding more than most. ok is false if that is beyond
+// stepsAhead.
 func (w *windowCounter) earliest(most float64) (ahead int64, ok bool) {
 	held := w.total
 	for step := int64(0); step <= stepsAhead; step++ {
@@ -67,8 +68,8 @@
 	return ahead, ahead <= stepsAhead
 }
 
-// change returns by how much the window that ends so many steps ahead holds more than the one
-// that ends a step earlier.
+// change returns by how much the window that ends the given number of steps ahead holds more
+// than the one that ends a step earlier.
 func (w *windowCounter) change(ahead int64) int {
 	entering := 0
 	if ahead <= stepsAhead {
@@ -77,7 +78,7 @@
 	return entering - int(*w.at(w.step + ahead - steps - 1))
 }
 
-// recent counts the permits of the newest part of the window, whose length is whole.
+// recent counts the permits of the newest part of a window whose full length is whole.
 func (w *windowCounter) recent(part, whole time.Duration) (count int) {
 	for back := range int64(part * steps / whole) {
 		count += int(*w.at(w.step - back))
@@ -85,7 +86,7 @@
 	return count
 }
 
-// untilFree returns the number of steps until the window holds count permits less; at most
+// untilFree returns the number of steps until the window holds count fewer permits; at most
 // steps.
 func (w *windowCounter) untilFree(count int) int64 {
 	for ahead := int64(1); ahead <= steps; ahead++ {
