--- a/internal/warmup/cluster_test.go
+++ b/internal/warmup/cluster_test.go
@@ -16,7 +16,7 @@
 
 var errUnreachable = errors.New("node is not reachable")
 
-// cluster is a set of nodes that lend and borrow permits for one cold worker.
+// cluster is a set of nodes that issue and request permits for one cold worker.
 type cluster struct {
 	bearing Bearing
 
@@ -42,7 +42,7 @@
 
 	leaseNumber uint64 // of its lease
 	since       time.Time
-	// unsettled: the predecessor may have followed an owner that could still lend.
+	// unsettled is set if an owner before the predecessor may still have lent.
 	unsettled  bool
 	renewed    time.Time
 	knownOwner *node // owner of the slot in the last state that the node read
--- a/internal/warmup/doc.go
+++ b/internal/warmup/doc.go
@@ -1,6 +1,6 @@
-// Package warmup limits the request rate of cold workers over all nodes together: no worker
-// receives more in any second than it can handle while it warms up, even when processes crash,
-// pause or are partitioned.
+// Package warmup limits the request rate of cold workers over all nodes together: while it warms
+// up, no worker receives more requests in any second than it can handle and its tolerance
+// allows, even when processes crash, pause or are partitioned.
 //
 // Each cold worker belongs to a slot of the directory. The owner of that slot issues a permit
 // for each request: a node asks for one just before it sends the request, and uses it at once
@@ -17,11 +17,11 @@
 const (
 	// countingPeriod is the period in which a worker's requests are counted.
 	countingPeriod = time.Second
-	// PermitTTL is how long after it was asked for a permit may be used. A call for one takes
-	// 1 to 10 ms.
+	// PermitTTL is how long a permit may be used, from the time when the node asked for it. A
+	// call for one takes 1 to 10 ms.
 	PermitTTL = 100 * time.Millisecond
 	// maxSendDelay is the longest time from using a permit to the arrival of the request at the
-	// worker, with the time to open a connection.
+	// worker, including the time to open a connection.
 	maxSendDelay = 150 * time.Millisecond
 	// Window is how long a permit counts. Two requests that arrive within countingPeriod were
 	// issued permits at most this far apart.
@@ -32,8 +32,8 @@
 )
 
 const (
-	// lendablePart of a cold worker's maximum is lent at most. The rest covers requests from
-	// nodes that do not yet know, or cannot learn, that the worker is cold.
+	// lendablePart is the part of a cold worker's bound that may be lent. The rest covers
+	// requests from nodes that do not yet know, or cannot learn, that the worker is cold.
 	lendablePart = 0.75
 	// propagationDelay is how long nodes may still treat a worker as warm after it turned cold:
 	// updates of the worker list take 0.3 to 0.4 s.
--- a/internal/warmup/lender.go
+++ b/internal/warmup/lender.go
@@ -27,7 +27,7 @@
 	Lent  bool          // a permit was issued
 	Wait  time.Duration // retry delay if no permit was issued
 	Used  int           // permits that count now
-	Most  int           // how many may count
+	Most  int           // how many may count; a new program gets only a part
 }
 
 // Leases looks up the slots that this process owns.
