--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -65,7 +65,7 @@
 	tenants     []Tenant
 	byKey       map[Key]int32 // index of the tenant, or sharedKey
 	byName      map[string]int32
-	sharedKeys  int
+	sharedKeys  int                // keys that several tenants list
 	removedKeys map[Key]RemovedKey // keys removed since earlier configurations
 }
 
