--- a/internal/evacuation/board.go
+++ b/internal/evacuation/board.go
@@ -29,8 +29,9 @@
 	Revision  store.Version
 }
 
-// Snapshot is the state that a node has cached. At Revision, exactly the zones evacuated among
-// Words were evacuated; Words newer than Revision were changed later. The zero value is empty.
+// Snapshot is the state that a node has cached. It is complete up to Revision: a zone without a
+// Word was not evacuated then. Words newer than Revision are later changes. The zero value is
+// empty.
 type Snapshot struct {
 	Revision store.Version
 	Words    []Word // sorted by zone
@@ -76,14 +77,15 @@
 // Evacuated reports whether a zone's workers must get no new requests.
 func (b *Board) Evacuated(zone string) bool { return b.load().words[zone].Evacuated }
 
-// Hear applies the state of one zone. It is ignored unless it is newer than the cached one, so
-// that a stale row cannot restart an evacuation that was ended.
+// Hear applies the state of one zone. It is ignored unless it is newer than the cached one and
+// the last full read, so that a stale row cannot restart an evacuation that was ended.
 func (b *Board) Hear(word Word, source Source) {
 	b.update(source, func(next *state) { next.apply(word) })
 }
 
 // Whole applies a full read of the rows at a revision. It ends the evacuation of each zone
-// without a row, unless a newer state of the zone is cached.
+// without a row, unless a newer state of the zone is cached. A read older than the last one
+// changes no zone.
 func (b *Board) Whole(revision store.Version, rows []Word) {
 	b.update(FromTable, func(next *state) {
 		next.known = true
@@ -135,6 +137,7 @@
 	}
 }
 
+// apply stores the state of a zone if it is newer than the cached one and the last full read.
 func (s *state) apply(word Word) {
 	if word.Revision > s.revision && word.Revision > s.words[word.Zone].Revision {
 		s.words[word.Zone] = word
@@ -142,7 +145,8 @@
 }
 
 // merge applies a snapshot. One that is newer than the last full read replaces all states up to
-// its revision, so evacuations that ended earlier need no entry.
+// its revision, so evacuations that ended earlier need no entry. Of an older one, only newer
+// words are applied.
 func (s *state) merge(snapshot Snapshot) {
 	if snapshot.Revision <= s.revision {
 		for _, word := range snapshot.Words {
