--- a/internal/directory/atonce_test.go
+++ b/internal/directory/commit_limit_test.go
@@ -16,24 +16,24 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// smallTable takes no more than 100 entries at once, as the platform's does.
-type smallTable struct{ store.Store }
+// limitedStore rejects commits with more than 100 entries, as the real store does.
+type limitedStore struct{ store.Store }
 
 // Commit implements store.Store.
-func (s smallTable) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+func (s limitedStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	if len(transaction.Conditions)+len(transaction.Put)+len(transaction.Remove) > 100 {
 		return 0, errors.New("too many entries")
 	}
 	return s.Store.Commit(ctx, transaction)
 }
 
-// TestNodeThatOwnsAllSlotsOfItsRegionTakesAndLeavesThem in as many calls as the table needs.
-func TestNodeThatOwnsAllSlotsOfItsRegionTakesAndLeavesThem(t *testing.T) {
+// Claiming or releasing all slots of a region must not exceed the store's limit per commit.
+func TestReclaimAndLeaveRespectTheCommitLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := smallTable{storetest.New()}
+		table := limitedStore{storetest.New()}
 		options := Options{Store: table, Self: budget.Holder{Process: "before", Address: address(0)}, Logger: &log.Logger{Handler: discard.New()}}
 		before := New(options)
-		for slot := range slots {
+		for slot := range slotsPerRegion {
 			_, err := before.put(t.Context(), slot, before.successor(slot), "taken")
 			require.NoError(t, err)
 		}
@@ -43,17 +43,17 @@
 		defer cancel()
 		go after.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
-		require.Len(t, after.Claims(), slots, "taken again at once")
+		require.Len(t, after.Claims(), slotsPerRegion, "reclaimed at startup")
 		cancel()
 		synctest.Wait()
 		after.Leave(t.Context())
 		page, err := table.Range(t.Context(), Table, slotsPart, "", "", 0)
 		require.NoError(t, err)
 		for _, stored := range page.Rows {
-			after.learnRow(stored)
+			after.applyRow(stored)
 		}
-		for slot := range slots {
-			require.Empty(t, after.slotOwner(slot).Process, "slot %d is left", slot)
+		for slot := range slotsPerRegion {
+			require.Empty(t, after.slotOwner(slot).Process, "slot %d is released", slot)
 		}
 	})
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,12 +1,12 @@
-// Package directory tells a node which other processes have had turns of a program
-// lately, by one message and without the table. Programs fall into slots by a hash
-// of their name; each slot is owned by one process, which remembers who asked for
-// the slot's programs. The table says which process owns which slot. Each region has slots
-// of its own, owned by its processes: a program's turns enter through one region.
+// Package directory locates the processes that recently handled turns of a program, with one
+// message and without reading the store. Programs are hashed into slots. Each slot is owned by
+// one process, which keeps its entries in memory; the store records which process owns which
+// slot. Each region has its own set of slots, owned by processes of that region. A program uses
+// the slots of the region through which its turns enter.
 //
-// What a directory says of programs is a hint. A wrong or missing one costs a call to the
-// table and breaks no promise, so entries are in memory only. What an owner lends out of
-// tenants' limits is no hint: for that, owners have leases (see Lease).
+// Lookups return hints. A wrong or missing hint costs an extra call to the store and breaks no
+// guarantee, so entries are not persisted. Lending out of tenants' limits needs exclusive
+// ownership; for that, owners hold leases (see Lease).
 package directory
 
 import (
@@ -25,112 +25,112 @@
 )
 
 const (
-	// slots is the number of slots of a region. At the size to build towards (420 nodes in 3
-	// regions, 150,000 programs) an owner has one or two, and a slot 780 programs.
-	slots = 64
-	// An owner is waited for as long as answers from its place are seen to take, from
-	// locateWait to longestLocateWait. A message within a region takes 1 to 3 ms, a call
-	// to the table about 12 ms.
-	locateWait        = 30 * time.Millisecond
-	longestLocateWait = 200 * time.Millisecond
-	// forgetAfter is how long a program may rest before its entry is dropped; the
-	// same as for an account of the budget.
-	forgetAfter = 3 * time.Minute
-	// maxEntries bounds the programs that a process remembers: 10 MB at most.
+	// slotsPerRegion is the number of slots per region. With 420 nodes in 3 regions and 150,000
+	// programs, an owner has one or two slots of about 780 programs each.
+	slotsPerRegion = 64
+	// minLocateTimeout and maxLocateTimeout bound the timeout of a request to an owner; within them,
+	// the timeout follows the response times observed from that process.
+	minLocateTimeout = 30 * time.Millisecond
+	maxLocateTimeout = 200 * time.Millisecond
+	// entryTTL is how long an entry may stay unused before it is dropped. It equals the
+	// lifetime of an idle budget account.
+	entryTTL = 3 * time.Minute
+	// maxEntries limits the programs that a process has entries for, about 10 MB of memory.
 	maxEntries = 50_000
-	// maxHolders is how many processes an entry remembers; no turn asks more.
+	// maxHolders limits the processes recorded per entry; no turn contacts more.
 	maxHolders = 4
 )
 
-// Request tells the owner of a slot of a turn of a program, and asks what it knows.
+// Request reports a turn of a program to the owner of its slot and asks for the owner's entry.
 type Request struct {
-	Process string // that is asked; another one at its address is not the owner
+	Process string // process that the request is meant for; any other process answers with Owner false
 	Program string
-	From    budget.Holder // the asker, who has a turn of the program now
-	Spent   int           // size of the turn that the table has just refused to it; 0: none
-	// Returned says that the asker has just given tokens back to the table.
+	From    budget.Holder // the sender, which is handling a turn of the program
+	Spent   int           // tokens of a turn that the store has just refused for lack of budget; 0 if none
+	// Returned reports that the sender has just returned its tokens to the store.
 	Returned bool
-	// Probe only asks whether the process owns Slot; nothing is noted.
+	// Probe asks only whether the process owns Slot; nothing is recorded.
 	Probe bool
 	Slot  int
-	// Ran is a turn of the program that the asker has run; After is one that it goes on from, and of
-	// which it asks who ran it. Empty: neither.
+	// Ran names a turn of the program that the sender has run. After names a turn that the sender
+	// continues from; the answer says which process ran it. Both may be empty.
 	Ran, After string
 }
 
-// Answer is what the owner knows.
+// Answer is the owner's reply to a Request.
 type Answer struct {
-	Owner   bool // the process asked owns the program's slot
+	Owner   bool // whether the receiver owns the slot; if false, the other fields are empty
 	Located budget.Located
-	RanBy   budget.Holder // who ran the turn asked for; without a process it is not known
+	RanBy   budget.Holder // process that ran the turn Request.After; empty Process if unknown
 }
 
-// Peers asks other nodes.
+// Peers sends requests to other nodes.
 type Peers interface {
 	Locate(ctx context.Context, address string, request Request) (Answer, error)
 }
 
-// Options of a Directory.
+// Options configures a Directory.
 type Options struct {
 	Store store.Store
 	Self  budget.Holder
 	Peers Peers
-	// Patience is how long other nodes' answers are seen to take; nil: not known.
+	// Patience gives the response times observed per process; nil if not measured.
 	Patience wait.Patience
-	// Vantage is where this node stands: it owns slots of its region alone.
+	// Vantage is the location of this node, which owns slots of its own region only.
 	Vantage locality.Vantage
-	// LentFor is how long what an owner has lent counts; after that, what its
-	// predecessors have lent does not.
+	// LentFor is how long a loan stays in effect. Once a process has owned a slot for longer,
+	// loans made by its predecessors have expired.
 	LentFor time.Duration
-	// Grants asks other nodes for grants, and CountGrant counts this node's answers; nil: it does not.
+	// Grants sends grant requests to other nodes. CountGrant, if not nil, is called with the
+	// outcome of each grant request that this node answers.
 	Grants     GrantPeers
 	CountGrant func(GrantOutcome)
 	Logger     log.Interface
 }
 
-// Directory is this process's view of the slots, and the entries of those it owns.
+// Directory holds this process's view of slot ownership, and the entries of the slots it owns.
 type Directory struct {
-	options Options
-	layout  Layout
-	region  int           // the place of this node's region in the layout
-	wake    chan struct{} // the view of the slots is in doubt
+	options    Options
+	layout     Layout
+	region     int           // index of this node's region in the layout
+	refreshNow chan struct{} // requests an early refresh of the slots
 
-	mutex      sync.Mutex
-	owners     []owner           // by slot
-	revision   store.Version     // of the newest change of a slot that was taken over
-	whole      bool              // all slots were read
-	suspicions map[int]suspicion // slots whose owner did not answer
-	heard      time.Time         // when another owner last answered
-	entries    map[string]*entry // by program
-	swept      time.Time
-	tenures    map[int]*tenure // of the slots that this process owns or has owned
-	claims     uint64          // slots that it has taken in its life
-	leaving    bool            // it takes none any more
-	started    time.Time
-	looked     time.Time      // when the last look at the slots that succeeded was begun
-	unused     map[int]grants // slots of which it has granted nothing, since it leaves
+	mutex        sync.Mutex
+	owners       []owner           // by slot
+	revision     store.Version     // newest version applied
+	loaded       bool              // all slots have been read
+	suspicions   map[int]suspicion // slots whose owner did not answer
+	lastAnswer   time.Time         // when an owner last answered
+	entries      map[string]*entry // by program
+	lastSweep    time.Time
+	ownerships   map[int]*ownership // slots that this process owns
+	acquisitions uint64             // number of slots acquired since the process started
+	leaving      bool               // shutting down; acquires no more slots
+	started      time.Time
+	lastRead     time.Time      // start of the last successful read of the slots
+	ungranted    map[int]grants // slots in which nothing was granted, as of shutdown
 
-	rewriting chan struct{} // holds one entry while this process writes a slot that it owns
+	rewriteLock chan struct{} // semaphore that serializes rewrites of owned slots
 }
 
-// owner is who owns a slot, as the table says. Its zero value is a vacant slot.
+// owner is a slot's state as last read from the store. The zero value is a vacant slot.
 type owner struct {
 	budget.Holder
 	revision store.Version
-	bequest  Bequest
+	lending  Bequest
 	grants   grants
 }
 
-// entry is what is remembered of a program.
+// entry is what the owner of a slot records about a program.
 type entry struct {
-	holders []budget.Holder // the newest last
+	holders []budget.Holder // newest last
 	used    time.Time
-	spent   int // size of the last turn that the table refused; 0: none
+	spent   int // tokens of the last turn that the store refused; 0 if none
 	spentAt time.Time
-	turns   []ran // the newest last
+	turns   []turnRecord // newest last
 }
 
-// located is what an entry tells a process.
+// located returns the entry as a hint for asker, leaving out asker itself.
 func (e *entry) located(asker budget.Holder, now time.Time) (located budget.Located) {
 	for _, holder := range slices.Backward(e.holders) {
 		if holder != asker {
@@ -143,19 +143,19 @@
 	return located
 }
 
-// note takes in a process's turn.
-func (e *entry) note(request Request, now time.Time) {
+// update records the turn that request reports.
+func (e *entry) update(request Request, now time.Time) {
 	asker := request.From
 	e.used = now
 	if request.Spent > 0 {
 		e.spent, e.spentAt = request.Spent, now
 	}
 	if request.Ran != "" {
-		e.noteRan(request.Ran, asker)
+		e.recordTurn(request.Ran, asker)
 	}
 	if request.Returned {
 		e.spent = 0
-		return // the asker stops
+		return // the sender holds no tokens any more
 	}
 	e.holders = slices.DeleteFunc(e.holders, func(holder budget.Holder) bool { return holder == asker })
 	if len(e.holders) == maxHolders {
@@ -164,32 +164,32 @@
 	e.holders = append(e.holders, asker)
 }
 
-// New returns a directory that knows no slot yet.
+// New returns a directory whose slots have not been read yet; Run reads them.
 func New(options Options) *Directory {
 	layout := NewLayout(options.Vantage.Places)
 	return &Directory{
-		options:    options,
-		layout:     layout,
-		region:     layout.index(options.Vantage.Region()),
-		owners:     make([]owner, layout.Count()),
-		wake:       make(chan struct{}, 1),
-		suspicions: map[int]suspicion{},
-		entries:    map[string]*entry{},
-		tenures:    map[int]*tenure{},
-		unused:     map[int]grants{},
-		rewriting:  make(chan struct{}, 1),
-		swept:      time.Now(),
-		started:    time.Now(),
+		options:     options,
+		layout:      layout,
+		region:      layout.index(options.Vantage.Region()),
+		owners:      make([]owner, layout.Count()),
+		refreshNow:  make(chan struct{}, 1),
+		suspicions:  map[int]suspicion{},
+		entries:     map[string]*entry{},
+		ownerships:  map[int]*ownership{},
+		ungranted:   map[int]grants{},
+		rewriteLock: make(chan struct{}, 1),
+		lastSweep:   time.Now(),
+		started:     time.Now(),
 	}
 }
 
-// Locate implements budget.Locator. It tells nothing if the owner of the program's
-// slot is not known or does not answer.
+// Locate implements budget.Locator. It returns nothing if the owner of the program's slot is
+// unknown or does not answer.
 func (d *Directory) Locate(ctx context.Context, program string) budget.Located {
 	return d.ask(ctx, Request{Program: program, From: d.options.Self}).Located
 }
 
-// NoteSpent implements budget.Locator. It does not wait for the owner.
+// NoteSpent implements budget.Locator. It does not wait for the owner's answer.
 func (d *Directory) NoteSpent(program string, tokens int) {
 	go d.ask(context.Background(), Request{Program: program, From: d.options.Self, Spent: tokens})
 }
@@ -199,7 +199,8 @@
 	d.ask(ctx, Request{Program: program, From: d.options.Self, Returned: true})
 }
 
-// ask tells the owner of a program's slot of a turn.
+// ask sends request to the owner of the program's slot. The answer is empty if the owner is
+// unknown or does not answer in time.
 func (d *Directory) ask(ctx context.Context, request Request) Answer {
 	slot := d.slotOf(request.Program)
 	asked, ok := d.Owner(slot)
@@ -210,7 +211,7 @@
 	if asked.Process == d.options.Self.Process {
 		return d.Answer(request)
 	}
-	limited, cancel := context.WithTimeout(ctx, d.options.Patience.Of(asked.Process, locateWait, longestLocateWait))
+	limited, cancel := context.WithTimeout(ctx, d.options.Patience.Of(asked.Process, minLocateTimeout, maxLocateTimeout))
 	defer cancel()
 	answer, err := d.options.Peers.Locate(limited, asked.Address, request)
 	if ctx.Err() != nil {
@@ -224,7 +225,7 @@
 	return answer
 }
 
-// Answer answers another node.
+// Answer handles a request from another node.
 func (d *Directory) Answer(request Request) Answer {
 	slot := request.Slot
 	if !request.Probe {
@@ -239,7 +240,7 @@
 	return d.record(request)
 }
 
-// Owns reports whether this process owns a slot, as far as it knows.
+// Owns reports whether this process owns the slot, according to its view.
 func (d *Directory) Owns(slot int) bool { return d.owns(slot) }
 
 func (d *Directory) owns(slot int) bool {
@@ -251,8 +252,8 @@
 	return d.owners[slot].Process == d.options.Self.Process
 }
 
-// Owner is the process that owns a slot, as far as this node knows, unless there is none
-// or it has just not answered.
+// Owner returns the process that owns the slot, according to this node's view. It returns false
+// if the slot is vacant or its owner failed to answer within the last ownerRetryDelay.
 func (d *Directory) Owner(slot int) (budget.Holder, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -261,10 +262,10 @@
 		return budget.Holder{}, false
 	}
 	suspected, ok := d.suspicions[slot]
-	return known.Holder, !ok || suspected.process != known.Process || time.Since(suspected.last) >= askAgainAfter
+	return known.Holder, !ok || suspected.process != known.Process || time.Since(suspected.lastFailure) >= ownerRetryDelay
 }
 
-// record notes a turn of a program, and answers what was known of the program before.
+// record records a turn of a program and returns the entry as it was before.
 func (d *Directory) record(request Request) Answer {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -282,28 +283,28 @@
 	if request.After != "" {
 		answer.RanBy = known.ranBy(request.After)
 	}
-	known.note(request, now)
+	known.update(request, now)
 	return answer
 }
 
-// sweep drops the entries of programs at rest, once in a while. The caller holds
-// the mutex.
+// sweep drops the entries of idle programs, at most once per quarter of entryTTL. The caller
+// must hold d.mutex.
 func (d *Directory) sweep(now time.Time) {
-	if now.Sub(d.swept) < forgetAfter/4 {
+	if now.Sub(d.lastSweep) < entryTTL/4 {
 		return
 	}
-	d.swept = now
+	d.lastSweep = now
 	for program, known := range d.entries {
-		if now.Sub(known.used) > forgetAfter {
+		if now.Sub(known.used) > entryTTL {
 			delete(d.entries, program)
 		}
 	}
 }
 
-// slotOf is the slot of a program whose turns enter through this node's region.
+// slotOf returns the slot of a program whose turns enter through this node's region.
 func (d *Directory) slotOf(program string) int {
-	return d.region*slots + SlotOf(xxhash.Sum64String(program))
+	return d.region*slotsPerRegion + SlotOf(xxhash.Sum64String(program))
 }
 
-// SlotOf is the slot of whatever has the hash given, in the first region.
-func SlotOf(hash uint64) int { return int(hash % slots) }
+// SlotOf returns the slot of the first region that a hash falls into.
+func SlotOf(hash uint64) int { return int(hash % slotsPerRegion) }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -20,27 +20,27 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-var errDown = errors.New("nobody is there")
+var errDown = errors.New("no process at this address")
 
-// cluster is nodes with directories over one table.
+// cluster is a set of nodes whose directories share one store.
 type cluster struct {
-	table   *storetest.Table
-	mutex   sync.Mutex
-	nodes   map[string]*Directory // by address
-	cancels map[string]context.CancelFunc
-	cut     map[string]bool // nodes that neither ask nor answer
-	slow    map[string]bool // nodes whose messages take slowMessage
-	places  *locality.Map
-	zones   map[string]string // of nodes by address
-	lone    string            // a region whose nodes and the others do not hear each other
-	starts  int
+	table             *storetest.Table
+	mutex             sync.Mutex
+	nodes             map[string]*Directory // by address
+	cancels           map[string]context.CancelFunc
+	isolated          map[string]bool // nodes whose messages are dropped
+	slow              map[string]bool // nodes whose messages are delayed by slowMessage
+	places            *locality.Map
+	zones             map[string]string // by node address
+	partitionedRegion string            // region that is partitioned from the others; empty if none
+	starts            int
 }
 
-// slowMessage is longer than an owner is waited for.
-const slowMessage = 5 * locateWait
+// slowMessage exceeds the timeout of a request to an owner.
+const slowMessage = 5 * minLocateTimeout
 
 func newCluster(nodes int) *cluster {
-	c := &cluster{table: storetest.New(), nodes: map[string]*Directory{}, cancels: map[string]context.CancelFunc{}, cut: map[string]bool{}, slow: map[string]bool{}}
+	c := &cluster{table: storetest.New(), nodes: map[string]*Directory{}, cancels: map[string]context.CancelFunc{}, isolated: map[string]bool{}, slow: map[string]bool{}}
 	for index := range nodes {
 		c.start(address(index))
 	}
@@ -67,7 +67,7 @@
 	return d
 }
 
-// kill ends a process; nobody answers at its address.
+// kill stops a process; requests to its address fail.
 func (c *cluster) kill(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -88,11 +88,11 @@
 	return c.nodes[address(index)]
 }
 
-// owners counts the slots that each process owns by its own view.
+// owners counts the slots that each process owns according to its own view.
 func (c *cluster) owners() (owned map[string]int, total int) {
 	owned = map[string]int{}
 	for _, d := range c.nodes {
-		for slot := range slots {
+		for slot := range slotsPerRegion {
 			if d.owns(slot) {
 				owned[d.options.Self.Process]++
 				total++
@@ -111,7 +111,7 @@
 func (p clusterPeers) Locate(ctx context.Context, address string, request Request) (Answer, error) {
 	p.cluster.mutex.Lock()
 	d, ok := p.cluster.nodes[address]
-	apart := p.cluster.cut[address] || p.cluster.cut[p.from] || p.cluster.regionsApart(address, p.from)
+	partitioned := p.cluster.isolated[address] || p.cluster.isolated[p.from] || p.cluster.regionsPartitioned(address, p.from)
 	slow := p.cluster.slow[address] || p.cluster.slow[p.from]
 	p.cluster.mutex.Unlock()
 	if slow {
@@ -121,7 +121,7 @@
 			return Answer{}, ctx.Err()
 		}
 	}
-	if !ok || apart {
+	if !ok || partitioned {
 		return Answer{}, errDown
 	}
 	return d.Answer(request), nil
@@ -135,7 +135,7 @@
 		defer c.stop()
 		time.Sleep(8 * time.Second)
 		owned, total := c.owners()
-		require.Equal(t, slots, total)
+		require.Equal(t, slotsPerRegion, total)
 		for process, count := range owned {
 			require.Less(t, count, 16, "process %s owns too much", process)
 		}
@@ -143,12 +143,12 @@
 			first, second := c.node(program%12), c.node((program+5)%12)
 			require.Empty(t, first.Locate(t.Context(), programOf(program)).Holders)
 			require.Equal(t, []budget.Holder{first.options.Self}, second.Locate(t.Context(), programOf(program)).Holders)
-			require.Equal(t, []budget.Holder{second.options.Self}, first.Locate(t.Context(), programOf(program)).Holders, "the newest first, oneself left out")
+			require.Equal(t, []budget.Holder{second.options.Self}, first.Locate(t.Context(), programOf(program)).Holders, "newest first, without the asker")
 		}
 	})
 }
 
-func TestCalmDirectoryHardlyCallsTheTable(t *testing.T) {
+func TestIdleDirectoryHardlyCallsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(12)
 		defer c.stop()
@@ -161,13 +161,13 @@
 		time.Sleep(60 * time.Second)
 		commitsAfter, readsAfter := c.table.Calls()
 		require.Equal(t, []int{commits, reads}, []int{commitsAfter, readsAfter})
-		require.LessOrEqual(t, c.table.Watches()-looks, 12*6, "a look in 10 s a node at most")
+		require.LessOrEqual(t, c.table.Watches()-looks, 12*6, "at most one read in 10 s per node")
 		require.Greater(t, c.table.Watches(), looks)
 	})
 }
 
-// TestSlowNodesChangeNoOwners: a slow owner keeps its slots, and a slow node that misses all
-// answers takes none over.
+// A slow owner must keep its slots, and a slow node that gets no answers in time must not take
+// over any.
 func TestSlowNodesChangeNoOwners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(8)
@@ -188,8 +188,8 @@
 	})
 }
 
-// TestTableInTroubleIsLeftAlone: nodes that cannot read the slots do not press on.
-func TestTableInTroubleIsLeftAlone(t *testing.T) {
+// Nodes that fail to read the slots must back off.
+func TestFailedReadsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(6)
 		defer c.stop()
@@ -201,12 +201,12 @@
 			c.askAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
-		require.LessOrEqual(t, c.table.Watches()-looks, 5*30, "one in a second a node at most, for 30 s")
+		require.LessOrEqual(t, c.table.Watches()-looks, 5*30, "at most one read per second and node, for 30 s")
 		require.Greater(t, c.table.Watches(), looks)
 	})
 }
 
-// askAll lets all nodes ask for programs of all slots.
+// askAll makes all nodes look up programs of all slots.
 func (c *cluster) askAll(ctx context.Context) {
 	c.mutex.Lock()
 	nodes := make([]*Directory, 0, len(c.nodes))
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestSlotsOfADeadOwnerAreTakenOver(t *testing.T) {
+func TestSlotsOfAFailedOwnerAreTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(6)
 		defer c.stop()
@@ -232,11 +232,11 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.owners()
-		require.Equal(t, slots, total)
+		require.Equal(t, slotsPerRegion, total)
 	})
 }
 
-func TestNodeThatHearsNobodyTakesNothingOver(t *testing.T) {
+func TestPartitionedNodeTakesNothingOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(6)
 		defer c.stop()
@@ -244,7 +244,7 @@
 		before, _ := c.owners()
 		alone := c.node(0)
 		c.mutex.Lock()
-		c.cut[address(0)] = true
+		c.isolated[address(0)] = true
 		c.mutex.Unlock()
 		for range 40 {
 			for program := range 300 {
@@ -257,7 +257,7 @@
 	})
 }
 
-func TestRestartedProcessTakesItsSlotsBack(t *testing.T) {
+func TestRestartedNodesReclaimTheirSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(6)
 		defer c.stop()
@@ -270,7 +270,7 @@
 		}
 		time.Sleep(12 * time.Second)
 		_, total := c.owners()
-		require.Equal(t, slots, total)
+		require.Equal(t, slotsPerRegion, total)
 	})
 }
 
@@ -281,7 +281,7 @@
 		time.Sleep(10 * time.Second)
 		leaving := c.node(0)
 		leaving.Leave(t.Context())
-		for slot := range slots {
+		for slot := range slotsPerRegion {
 			require.False(t, leaving.owns(slot))
 		}
 		c.kill(address(0))
@@ -290,11 +290,11 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.owners()
-		require.Equal(t, slots, total)
+		require.Equal(t, slotsPerRegion, total)
 	})
 }
 
-func TestDoubtfulClaimsEndWithOneOwner(t *testing.T) {
+func TestClaimsWithLostResponsesEndWithOneOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(4)
 		defer c.stop()
@@ -309,7 +309,7 @@
 		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.None })
 		time.Sleep(60 * time.Second)
 		_, total := c.owners()
-		require.Equal(t, slots, total, "a claim whose answer was lost is learnt of")
+		require.Equal(t, slotsPerRegion, total, "a claim whose response was lost is noticed")
 	})
 }
 
@@ -330,8 +330,8 @@
 
 func TestUnreadableSlotIsVacant(t *testing.T) {
 	d := New(Options{Self: budget.Holder{Process: "p"}, Logger: &log.Logger{Handler: discard.New()}})
-	d.learnRow(store.Row{Key: store.Key{Name: "07"}, Value: []byte("?"), Version: 5})
-	d.learnRow(store.Row{Key: store.Key{Name: "99"}, Value: []byte("?"), Version: 5})
+	d.applyRow(store.Row{Key: store.Key{Name: "07"}, Value: []byte("?"), Version: 5})
+	d.applyRow(store.Row{Key: store.Key{Name: "99"}, Value: []byte("?"), Version: 5})
 	require.Contains(t, d.claimable(), 7)
 	require.Empty(t, d.Locate(t.Context(), programOf(1)))
 }
--- a/internal/directory/golden_test.go
+++ b/internal/directory/golden_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// goldenSlot is a slot as builds have written it that are in use.
+// goldenSlot is the content of the golden file, as deployed versions have written it.
 var goldenSlot = row{
 	Process: "p1", Address: "10.0.0.1:7380", Unsettled: true, Raised: []string{"stalls"}, Grants: grants{Known: true, Earlier: 2, Clean: true},
 }
@@ -21,17 +21,17 @@
 	return read
 }
 
-// TestSlotsOfBuildsInUseAreRead: nodes of two builds run side by side, and slots outlast both.
-func TestSlotsOfBuildsInUseAreRead(t *testing.T) {
+// Rows written by deployed versions must stay readable: versions run side by side during upgrades.
+func TestDeployedRowFormatIsReadable(t *testing.T) {
 	value, err := os.ReadFile(goldenFile)
 	require.NoError(t, err)
 	require.Equal(t, goldenSlot, readSlot(t, value))
 }
 
-// TestSlotsOfOtherBuildsAreRead: of a later one that has added a field, and of one before grants. A
-// build that does not know a field writes the row back without it: what is missing then must be
-// the safe case, as it is here, where nobody may grant.
-func TestSlotsOfOtherBuildsAreRead(t *testing.T) {
+// Rows of a later version with an added field, and of one without grants, must be readable. A version
+// that does not know a field drops it when it rewrites the row, so the zero value must be the safe
+// case: without grant state, the owner must not grant.
+func TestRowsOfOtherVersionsAreReadable(t *testing.T) {
 	later := struct {
 		Process   string
 		Address   string
@@ -51,5 +51,5 @@
 	encoded.Reset()
 	require.NoError(t, gob.NewEncoder(&encoded).Encode(before))
 	read := readSlot(t, encoded.Bytes())
-	require.False(t, read.Grants.right())
+	require.False(t, read.Grants.mayGrant())
 }
--- a/internal/directory/grant.go
+++ b/internal/directory/grant.go
@@ -10,42 +10,43 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// An owner grants a part of the budgets of its slots' programs from memory. It needs no lease: each
-// time of owning a slot has a part of its own, and the slot's row counts how many there were
-// before that may have granted. What an owner does not know it need not know: a successor never gives
-// out of the part of the one before, so both may grant at once, and what a dead one granted is not
-// granted again. When all parts are used up, nothing is granted until a day has passed.
+// The owner of a slot grants a part of the budgets of the slot's programs from memory. This needs
+// no lease: each ownership of a slot has a part of its own, and the slot's row counts the earlier
+// owners that may have granted. A successor never grants from the part of its predecessor, so both
+// may grant at the same time, and what a crashed owner granted is not granted again. Once all parts
+// are used up, nothing is granted until the earlier owners expire after earlierOwnersTTL.
 
 const (
-	// forgetOwners is after how long in one hand a slot's earlier owners do not count any more. A
-	// program that goes on for longer could be granted a part twice.
-	forgetOwners = 24 * time.Hour
-	// grantTerm is for how long after its last look at the table an owner grants. It must outlast
-	// outages, and end long before forgetOwners.
-	grantTerm = time.Hour
-	// grantWait is how long an owner is waited for: longer than for a hint, since what it
-	// grants waits for the asker alone.
-	grantWait = 150 * time.Millisecond
-	// maxGrants bounds the programs that a tenure remembers to have granted to, some 200 bytes each. In
-	// an outage of 10 s at the size to build towards, 64 owners meet some 2,000 new programs each.
+	// earlierOwnersTTL is how long one process must own a slot before its earlier owners no longer
+	// count. A program that runs for longer could be granted a part twice.
+	earlierOwnersTTL = 24 * time.Hour
+	// maxGrantStaleness is how long after its last successful read of the slots an owner may grant. It
+	// must outlast store outages and be much shorter than earlierOwnersTTL.
+	maxGrantStaleness = time.Hour
+	// grantTimeout is the timeout of a grant request. It is longer than that of a hint, since the
+	// owner keeps what it grants reserved for the sender.
+	grantTimeout = 150 * time.Millisecond
+	// maxGrants limits the grants remembered per ownership of a slot, about 200 bytes each. In a
+	// 10 s outage, each of 64 owners is expected to see some 2,000 new programs.
 	maxGrants = 20_000
 )
 
-// grants is what a slot's row says of grants. Its zero value is that of a version that grants nothing.
+// grants is the grant state in a slot's row. Nodes of versions without grants leave it zero.
 type grants struct {
-	Known bool
-	// Earlier is how many owners before may have granted to programs that live.
+	Known bool // the row was written by a version that supports grants
+	// Earlier counts the earlier owners that may have granted to programs that are still running.
 	Earlier int
-	// Clean says that the slot is vacant and that its last owner, which is not among the earlier
-	// ones, granted nothing.
+	// Clean says that the slot is vacant and that its last owner, which Earlier does not count,
+	// granted nothing.
 	Clean bool
 }
 
-// right reports whether an owner with such a row may grant.
-func (g grants) right() bool { return g.Known && g.Earlier < budget.OwnedParts }
+// mayGrant reports whether the owner of a slot in this state may grant.
+func (g grants) mayGrant() bool { return g.Known && g.Earlier < budget.OwnedParts }
 
-// successor is what the row says once another process owns the slot. Nodes of a version that grants
-// nothing may let rows be drawn to the whole budget: after one of them, all parts count as used.
+// successor returns the state for the next owner of the slot, given the row's revision (0 if there
+// is no row). Nodes of versions without grants may let programs draw their whole budget, so after
+// such an owner all parts count as used.
 func (g grants) successor(revision store.Version) grants {
 	switch {
 	case revision == 0:
@@ -58,71 +59,72 @@
 	return grants{Known: true, Earlier: min(g.Earlier+1, budget.OwnedParts)}
 }
 
-// grantsAfter is what a slot's row is to say when this process writes it over the one before. It is
-// decided under the same lock as the condition on that row. The caller holds the mutex.
+// grantsAfter returns the grant state to write when next replaces before. The caller must hold
+// d.mutex, also while it reads the revision for the write's condition.
 func (d *Directory) grantsAfter(slot int, next row, before owner) grants {
 	self := d.options.Self.Process
 	kept := before.grants
 	switch {
 	case next.Process == "":
-		kept.Clean = before.Process == self && d.unused[slot] == before.grants
+		kept.Clean = before.Process == self && d.ungranted[slot] == before.grants
 		return kept
 	case before.Process != self:
 		return before.grants.successor(before.revision)
 	}
-	if held, ok := d.tenures[slot]; ok && time.Since(held.began) > forgetOwners {
+	if held, ok := d.ownerships[slot]; ok && time.Since(held.acquiredAt) > earlierOwnersTTL {
 		return grants{Known: true}
 	}
 	return kept
 }
 
-// GrantRequest asks the owner of a program's slot for its part of the budget.
+// GrantRequest asks the owner of a program's slot to grant its part of the program's budget.
 type GrantRequest struct {
-	Process string // that is asked
+	Process string // process that the request is meant for
 	Program string
-	Tokens  int           // the part
-	From    budget.Holder // the asker
-	// Number tells this request from all others of the asker. One that got no answer is sent again
-	// by the same number, and brings the same tokens.
+	Tokens  int           // size of the part
+	From    budget.Holder // the sender
+	// Number identifies this request among all requests of the sender. A retry uses the same
+	// number and gets the same tokens.
 	Number uint64
 }
 
-// GrantAnswer is the owner's answer.
+// GrantAnswer is the owner's reply to a GrantRequest.
 type GrantAnswer struct {
-	Owner bool // the process asked owns the program's slot
+	Owner bool // whether the receiver owns the program's slot
 	Grant budget.Grant
 }
 
-// GrantPeers asks other nodes for grants.
+// GrantPeers sends grant requests to other nodes.
 type GrantPeers interface {
 	Grant(ctx context.Context, address string, request GrantRequest) (GrantAnswer, error)
 }
 
-// GrantOutcome is what came of a request for a grant, at the owner.
+// GrantOutcome is the owner's decision on a grant request, used as a metric label.
 type GrantOutcome string
 
-// The outcomes.
+// Outcomes of a grant request.
 const (
-	GrantMade     GrantOutcome = "granted"
-	GrantRepeated GrantOutcome = "repeated" // the request had been answered before
-	GrantTaken    GrantOutcome = "taken"    // another process has this owner's part
-	GrantDoubt    GrantOutcome = "doubt"    // owners before may have granted all parts
-	GrantLapsed   GrantOutcome = "lapsed"   // this process has not seen the table for too long
-	GrantFull     GrantOutcome = "full"     // more programs than are remembered
+	GrantMade     GrantOutcome = "granted"  // the part was granted
+	GrantRepeated GrantOutcome = "repeated" // a retry of a request that was granted before
+	GrantTaken    GrantOutcome = "taken"    // this owner's part was already granted to another request
+	GrantDoubt    GrantOutcome = "doubt"    // earlier owners may have granted all parts
+	GrantLapsed   GrantOutcome = "lapsed"   // the last read of the slots is older than the limit
+	GrantFull     GrantOutcome = "full"     // the limit of remembered grants is reached
 )
 
-// granted is a grant as its owner remembers it.
-type granted struct {
+// grantRecord is a grant that this process made.
+type grantRecord struct {
 	taker  budget.Holder
 	number uint64
 	tokens int
 }
 
-// Grant implements budget.Granter.
+// Grant implements budget.Granter. It returns false if the owner of the program's slot is unknown
+// or did not answer.
 func (d *Directory) Grant(ctx context.Context, program string, tokens int, number uint64) (budget.Grant, bool) {
 	slot := d.grantSlotOf(program)
 	d.mutex.Lock()
-	asked := d.owners[slot].Holder // also one that is suspected: what it has granted may wait for a repeat
+	asked := d.owners[slot].Holder // suspected owners too: a retry may have to collect an earlier grant
 	d.mutex.Unlock()
 	if asked.Process == "" {
 		return budget.Grant{}, false
@@ -132,7 +134,7 @@
 		answer := d.AnswerGrant(request)
 		return answer.Grant, answer.Owner
 	}
-	limited, cancel := context.WithTimeout(ctx, grantWait)
+	limited, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	answer, err := d.options.Grants.Grant(limited, asked.Address, request)
 	if ctx.Err() != nil && err != nil {
@@ -146,15 +148,15 @@
 	return answer.Grant, true
 }
 
-// grantSlotOf is the slot whose owners grant parts of a program's budget: one over all regions.
-// With one in each region, a program whose turns enter through two of them would be granted
+// grantSlotOf returns the slot whose owners grant parts of a program's budget. There is one over all
+// regions; with one per region, a program whose turns enter through two regions would be granted
 // each part twice.
 func (d *Directory) grantSlotOf(program string) int {
 	hash := xxhash.Sum64String(program)
-	return d.layout.Spread(hash/slots, hash)
+	return d.layout.Spread(hash/slotsPerRegion, hash)
 }
 
-// AnswerGrant answers another node.
+// AnswerGrant handles a grant request from another node.
 func (d *Directory) AnswerGrant(request GrantRequest) GrantAnswer {
 	slot := d.grantSlotOf(request.Program)
 	if request.Process != d.options.Self.Process || request.Tokens <= 0 {
@@ -169,15 +171,16 @@
 		d.options.CountGrant(outcome)
 	}
 	d.options.Logger.WithField("program", request.Program).WithField("outcome", string(outcome)).
-		WithField("tokens", grant.Tokens).WithField("asker", request.From.Process).Info("grant asked for")
+		WithField("tokens", grant.Tokens).WithField("asker", request.From.Process).Info("handled grant request")
 	return GrantAnswer{Owner: true, Grant: grant}
 }
 
-// decideGrant decides on a request, and notes what it grants.
+// decideGrant decides on a request and records the grant. owner is false if this process does not
+// own the slot.
 func (d *Directory) decideGrant(slot int, request GrantRequest) (grant budget.Grant, outcome GrantOutcome, owner bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	held, ok := d.tenures[slot]
+	held, ok := d.ownerships[slot]
 	known := d.owners[slot]
 	if !ok || known.Process != d.options.Self.Process {
 		return budget.Grant{}, "", false
@@ -189,57 +192,58 @@
 		return budget.Grant{Taker: before.taker}, GrantTaken, true
 	}
 	switch {
-	case !known.grants.right():
+	case !known.grants.mayGrant():
 		return budget.Grant{}, GrantDoubt, true
-	case time.Since(d.looked) > grantTerm:
+	case time.Since(d.lastRead) > maxGrantStaleness:
 		return budget.Grant{}, GrantLapsed, true
 	case len(held.granted) >= maxGrants:
 		return budget.Grant{}, GrantFull, true
 	}
 	if held.granted == nil {
-		held.granted = map[string]granted{}
+		held.granted = map[string]grantRecord{}
 	}
-	held.granted[request.Program] = granted{taker: request.From, number: request.Number, tokens: request.Tokens}
+	held.granted[request.Program] = grantRecord{taker: request.From, number: request.Number, tokens: request.Tokens}
 	return budget.Grant{Tokens: request.Tokens}, GrantMade, true
 }
 
-// noteUnused remembers of which slots this process, which leaves, has granted nothing. The caller
-// holds the mutex.
-func (d *Directory) noteUnused() {
-	for slot, held := range d.tenures {
+// recordUngranted records, at shutdown, the slots in which this process has granted nothing. The caller
+// must hold d.mutex.
+func (d *Directory) recordUngranted() {
+	for slot, held := range d.ownerships {
 		if len(held.granted) == 0 {
-			d.unused[slot] = d.owners[slot].grants
+			d.ungranted[slot] = d.owners[slot].grants
 		}
 	}
 }
 
-// GrantRights counts the slots that this process owns: those in which it may grant, and all.
+// GrantRights returns the number of slots that this process owns, and in how many of them it may
+// grant.
 func (d *Directory) GrantRights() (may, owned int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for slot := range d.tenures {
+	for slot := range d.ownerships {
 		owned++
-		if d.owners[slot].grants.right() {
+		if d.owners[slot].grants.mayGrant() {
 			may++
 		}
 	}
 	return may, owned
 }
 
-// forgetEarlier writes into a slot's row that no owner before counts any more, where this process
-// has owned the slot for long enough.
-func (d *Directory) forgetEarlier(ctx context.Context) {
-	slot, ok := d.longOwned()
+// clearEarlierOwners clears the count of earlier owners in the row of one slot that this process has
+// owned for longer than earlierOwnersTTL, if there is one.
+func (d *Directory) clearEarlierOwners(ctx context.Context) {
+	slot, ok := d.slotWithExpiredOwners()
 	if ok {
-		d.rewrite(ctx, slot, func(raised []string) []string { return raised }, "directory slot's earlier owners forgotten")
+		d.rewrite(ctx, slot, func(raised []string) []string { return raised }, "cleared the earlier owners of a directory slot")
 	}
 }
 
-func (d *Directory) longOwned() (int, bool) {
+func (d *Directory) slotWithExpiredOwners() (int, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for slot, held := range d.tenures {
-		if d.owners[slot].grants.Earlier > 0 && time.Since(held.began) > forgetOwners {
+	for slot, held := range d.ownerships {
+		if d.owners[slot].grants.Earlier > 0 && time.Since(held.acquiredAt) > earlierOwnersTTL {
 			return slot, true
 		}
 	}
--- a/internal/directory/grant_world_test.go
+++ b/internal/directory/grant_simulation_test.go
@@ -19,30 +19,30 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// The fuzz draws the same in every build; -rapid.seed overrides it.
+// A fixed seed makes the test reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// grantWorld is nodes with directories and books over one table.
+// grantWorld is a set of nodes with directories and budget books that share one store.
 type grantWorld struct {
 	t     *testing.T
 	table *storetest.Table
 
-	mutex   sync.Mutex
-	random  *rand.Rand
-	nodes   []*grantNode // by address
-	started int
-	away    bool // the whole table
-	lossy   int  // in 100 messages
-	granted int
+	mutex       sync.Mutex
+	random      *rand.Rand
+	nodes       []*grantNode // indexed by address
+	started     int
+	storeDown   bool // the store is down for all nodes
+	lossPercent int  // lost messages in percent
+	granted     int
 }
 
-// grantNode is a process.
+// grantNode is a process of a node.
 type grantNode struct {
 	directory *Directory
 	book      *budget.Book
 	cancel    context.CancelFunc
-	denied    bool // the table turns it away
-	cut       bool // other nodes do not reach it
+	denied    bool // the store refuses this node's calls
+	isolated  bool // partitioned from the other nodes
 }
 
 func (w *grantWorld) draw(below int) int {
@@ -51,7 +51,7 @@
 	return w.random.IntN(below)
 }
 
-// start starts a process in the place of the one at an address.
+// start starts a process at an address; it replaces the previous one.
 func (w *grantWorld) start(index int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -80,7 +80,7 @@
 	go node.directory.Run(ctx)
 }
 
-// nodeStore is the table as a node reaches it.
+// nodeStore is one node's connection to the store.
 type nodeStore struct {
 	*storetest.Table
 	world *grantWorld
@@ -117,13 +117,13 @@
 	return s.Table.Watch(ctx, table, after, wait)
 }
 
-// worldPeers are the messages of a node.
+// worldPeers sends messages from one node.
 type worldPeers struct {
 	world *grantWorld
 	from  *grantNode
 }
 
-// send carries one message: it may be lost, come twice, or its answer be lost.
+// send delivers one message. The message may be lost or duplicated, and its answer may be lost.
 func send[A any](ctx context.Context, p worldPeers, address string, ask func(*grantNode) A) (answer A, err error) {
 	w := p.world
 	w.mutex.Lock()
@@ -133,9 +133,9 @@
 			to = node
 		}
 	}
-	lost := to.cut || p.from.cut || w.random.IntN(100) < w.lossy
-	twice := w.random.IntN(100) < w.lossy
-	answerLost := w.random.IntN(100) < w.lossy
+	lost := to.isolated || p.from.isolated || w.random.IntN(100) < w.lossPercent
+	twice := w.random.IntN(100) < w.lossPercent
+	answerLost := w.random.IntN(100) < w.lossPercent
 	w.mutex.Unlock()
 	if !lost {
 		answer = ask(to)
@@ -166,12 +166,12 @@
 	return send(ctx, p, address, func(to *grantNode) budget.HandOverAnswer { return to.book.HandOver(ctx, request) })
 }
 
-// program is what turns of a program have generated.
+// program tracks the tokens that turns of a program have generated.
 type program struct {
 	budget, generated, largest int
 }
 
-// turn runs a turn of a program at a node.
+// turn runs a turn of a program on a node.
 func (w *grantWorld) turn(index int, name string, of *program) {
 	w.mutex.Lock()
 	node := w.nodes[index]
@@ -191,8 +191,8 @@
 	reservation.Settle(used, "w")
 }
 
-// strike lets something happen to the nodes or the table.
-func (w *grantWorld) strike() {
+// injectFault injects a random fault, restart or recovery.
+func (w *grantWorld) injectFault() {
 	index := w.draw(len(w.nodes))
 	change := func(do func()) {
 		w.mutex.Lock()
@@ -214,23 +214,22 @@
 		cancel()
 		w.start(index)
 	case 3, 4, 5:
-		change(func() { w.away = !w.away })
+		change(func() { w.storeDown = !w.storeDown })
 	case 6:
 		change(func() { w.nodes[index].denied = !w.nodes[index].denied })
 	case 7:
-		change(func() { w.nodes[index].cut = !w.nodes[index].cut })
+		change(func() { w.nodes[index].isolated = !w.nodes[index].isolated })
 	case 8:
-		change(func() { w.lossy = w.random.IntN(50) })
+		change(func() { w.lossPercent = w.random.IntN(50) })
 	case 9:
 		w.table.Release(w.draw)
 	default:
-		change(func() { w.lossy, w.away = 0, false })
+		change(func() { w.lossPercent, w.storeDown = 0, false })
 	}
 }
 
-// TestGrantsNeverOverspend runs nodes that die, leave, are cut off and turned away, and outages of
-// the whole table, against the oracle that a program generates less than its budget and the most of
-// one turn.
+// Grants must not let a program generate more than its budget plus one turn, however nodes crash,
+// leave, are partitioned or lose access to the store.
 func TestGrantsNeverOverspend(t *testing.T) {
 	granted := 0
 	rapid.Check(t, func(r *rapid.T) {
@@ -240,7 +239,7 @@
 		var failure error
 		synctest.Test(t, func(t *testing.T) {
 			w := &grantWorld{t: t, table: storetest.New(), random: rand.New(rand.NewPCG(seed, 2)), nodes: make([]*grantNode, 3)}
-			failure = w.play(size, faulty)
+			failure = w.run(size, faulty)
 			granted += w.granted
 		})
 		if failure != nil {
@@ -248,16 +247,16 @@
 		}
 	})
 	if granted == 0 {
-		t.Fatal("nothing was granted")
+		t.Fatal("no grant was made")
 	}
 	t.Logf("%d grants", granted)
 }
 
-func (w *grantWorld) play(size, faulty int) error {
+func (w *grantWorld) run(size, faulty int) error {
 	w.table.SetFault(func(string, bool) storetest.Fault {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		if w.away {
+		if w.storeDown {
 			return storetest.Silent
 		}
 		if w.random.IntN(100) >= faulty {
@@ -272,7 +271,7 @@
 	programs := []*program{{budget: size}, {budget: size}}
 	for range 60 {
 		if w.draw(4) == 0 {
-			w.strike()
+			w.injectFault()
 		}
 		number := w.draw(len(programs))
 		w.turn(w.draw(len(w.nodes)), fmt.Sprint("program", number), programs[number])
@@ -282,12 +281,12 @@
 		node.cancel()
 	}
 	w.mutex.Lock()
-	w.away, w.lossy = false, 0
+	w.storeDown, w.lossPercent = false, 0
 	w.mutex.Unlock()
 	time.Sleep(time.Minute)
 	for number, each := range programs {
 		if each.generated >= each.budget+each.largest {
-			return fmt.Errorf("program %d: %d tokens of a budget of %d were generated; the largest turn had %d", number, each.generated, each.budget, each.largest)
+			return fmt.Errorf("program %d generated %d tokens of a budget of %d; the largest turn had %d tokens", number, each.generated, each.budget, each.largest)
 		}
 	}
 	return nil
--- a/internal/directory/grant_test.go
+++ b/internal/directory/grant_test.go
@@ -21,20 +21,20 @@
 func (p clusterPeers) Grant(_ context.Context, address string, request GrantRequest) (GrantAnswer, error) {
 	p.cluster.mutex.Lock()
 	d, ok := p.cluster.nodes[address]
-	apart := p.cluster.cut[address] || p.cluster.cut[p.from]
+	partitioned := p.cluster.isolated[address] || p.cluster.isolated[p.from]
 	p.cluster.mutex.Unlock()
-	if !ok || apart {
+	if !ok || partitioned {
 		return GrantAnswer{}, errDown
 	}
 	return d.AnswerGrant(request), nil
 }
 
-// asked is a request for a part of 100 tokens of a slot's program.
-func asked(d *Directory, slot int, number uint64) GrantRequest {
+// grantRequestFor returns a grant request for 100 tokens of a program in the slot.
+func grantRequestFor(d *Directory, slot int, number uint64) GrantRequest {
 	return GrantRequest{Process: d.options.Self.Process, Program: programIn(slot), Tokens: 100, From: budget.Holder{Process: "asker", Address: "a"}, Number: number}
 }
 
-// owned is a node that owns a slot, whichever that is.
+// owned returns a node that owns the slot.
 func (c *cluster) owned(slot int) *Directory {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -46,15 +46,15 @@
 	return nil
 }
 
-// slotOwner is what a running process knows of who owns a slot. Its Run changes that at any time.
+// slotOwner returns a running directory's view of a slot's owner.
 func (d *Directory) slotOwner(slot int) owner {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.owners[slot]
 }
 
-// killAll ends all processes and starts others at their addresses.
-func (c *cluster) killAll() {
+// restartAll replaces the processes of all nodes.
+func (c *cluster) restartAll() {
 	for index := range 3 {
 		c.kill(address(index))
 		c.start(address(index))
@@ -64,13 +64,13 @@
 
 func TestGrantIsMadeOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		require.Equal(t, 100, d.AnswerGrant(asked(d, slot, 1)).Grant.Tokens)
-		require.Equal(t, 100, d.AnswerGrant(asked(d, slot, 1)).Grant.Tokens, "the answer may have been lost")
-		again := d.AnswerGrant(asked(d, slot, 2)).Grant
+		require.Equal(t, 100, d.AnswerGrant(grantRequestFor(d, slot, 1)).Grant.Tokens)
+		require.Equal(t, 100, d.AnswerGrant(grantRequestFor(d, slot, 1)).Grant.Tokens, "a retry gets the same tokens")
+		again := d.AnswerGrant(grantRequestFor(d, slot, 2)).Grant
 		require.Equal(t, budget.Grant{Taker: budget.Holder{Process: "asker", Address: "a"}}, again)
-		other := asked(d, slot, 1)
+		other := grantRequestFor(d, slot, 1)
 		other.From.Process = "other"
 		require.Zero(t, d.AnswerGrant(other).Grant.Tokens)
 		other.Process = "one that ended"
@@ -78,26 +78,26 @@
 	})
 }
 
-// TestOwnersGrantInAnOutage: they need no word of the table, however long it is away.
-func TestOwnersGrantInAnOutage(t *testing.T) {
+// Owners must be able to grant during a store outage, until maxGrantStaleness has passed.
+func TestOwnersGrantDuringAStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
 		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
 		time.Sleep(10 * time.Minute)
 		grant, ok := c.node(1).Grant(t.Context(), programIn(slot), 100, 1)
 		require.True(t, ok)
 		require.Equal(t, 100, grant.Tokens)
-		time.Sleep(grantTerm)
-		require.Zero(t, d.AnswerGrant(asked(d, slot, 7)).Grant.Tokens)
-		program := asked(d, slot, 8)
-		program.Program = anotherIn(slot)
-		require.Zero(t, d.AnswerGrant(program).Grant.Tokens, "nobody may count it any more")
+		time.Sleep(maxGrantStaleness)
+		require.Zero(t, d.AnswerGrant(grantRequestFor(d, slot, 7)).Grant.Tokens)
+		program := grantRequestFor(d, slot, 8)
+		program.Program = otherProgramIn(slot)
+		require.Zero(t, d.AnswerGrant(program).Grant.Tokens, "later owners may not count this one any more")
 	})
 }
 
-// anotherIn is a second program of a slot.
-func anotherIn(slot int) string {
+// otherProgramIn returns a second program of the slot.
+func otherProgramIn(slot int) string {
 	for index := range 100_000 {
 		if name := programOf(index); SlotOf(xxhash.Sum64String(name)) == slot && name != programIn(slot) {
 			return name
@@ -106,42 +106,41 @@
 	return ""
 }
 
-// TestSuccessorsGrantOfPartsOfTheirOwn: after the loss of all nodes the table may be away at once, and
-// programs are granted; after the loss of so many owners as there are parts they are not, until a
-// day has passed.
-func TestSuccessorsGrantOfPartsOfTheirOwn(t *testing.T) {
+// Each successive owner must grant from a part of its own. Once there were as many owners as
+// parts, nothing may be granted until earlierOwnersTTL has passed.
+func TestSuccessorsGrantFromTheirOwnParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, _, slot := ownerOfSlot(t)
+		c, _, slot := startWithOwner(t)
 		defer c.stop()
 		total := 0
 		for number := range uint64(4) {
 			d := c.owned(slot)
-			total += d.AnswerGrant(asked(d, slot, number)).Grant.Tokens
-			c.killAll()
+			total += d.AnswerGrant(grantRequestFor(d, slot, number)).Grant.Tokens
+			c.restartAll()
 		}
 		require.Equal(t, 100*budget.OwnedParts, total)
 		d := c.owned(slot)
 		may, owned := d.GrantRights()
 		require.Positive(t, owned)
 		require.Zero(t, may)
-		time.Sleep(forgetOwners + 2*time.Hour)
+		time.Sleep(earlierOwnersTTL + 2*time.Hour)
 		d = c.owned(slot)
-		require.Equal(t, 100, d.AnswerGrant(asked(d, slot, 9)).Grant.Tokens)
+		require.Equal(t, 100, d.AnswerGrant(grantRequestFor(d, slot, 9)).Grant.Tokens)
 	})
 }
 
-// TestTwoOwnersGrantDifferentParts: one that is cut off and does not know of its successor.
+// A partitioned owner that does not know its successor must not grant from the same part.
 func TestTwoOwnersGrantDifferentParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, old, slot := ownerOfSlot(t)
+		c, old, slot := startWithOwner(t)
 		defer c.stop()
 		c.mutex.Lock()
-		c.cut[address(0)] = true
+		c.isolated[address(0)] = true
 		c.mutex.Unlock()
 		for range 20 {
 			for index := 1; index < 3; index++ {
 				c.node(index).Locate(t.Context(), programIn(slot))
-				for other := range slots {
+				for other := range slotsPerRegion {
 					c.node(index).Locate(t.Context(), programIn(other))
 				}
 			}
@@ -155,24 +154,24 @@
 		}
 		require.NotNil(t, successor)
 		require.Equal(t, 1, successor.slotOwner(slot).grants.Earlier)
-		require.True(t, old.slotOwner(slot).grants.right())
+		require.True(t, old.slotOwner(slot).grants.mayGrant())
 	})
 }
 
-// TestPlannedStopsUseNoPart: unless something was granted.
-func TestPlannedStopsUseNoPart(t *testing.T) {
+// A planned shutdown must not use up a part unless something was granted.
+func TestPlannedShutdownUsesNoPart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
 		other := 0
-		for candidate := range slots {
+		for candidate := range slotsPerRegion {
 			if d.owns(candidate) && candidate != slot {
 				other = candidate
 			}
 		}
-		require.Equal(t, 100, d.AnswerGrant(asked(d, slot, 1)).Grant.Tokens)
+		require.Equal(t, 100, d.AnswerGrant(grantRequestFor(d, slot, 1)).Grant.Tokens)
 		d.Leave(t.Context())
-		require.Zero(t, d.AnswerGrant(asked(d, other, 2)).Grant.Tokens, "it has said that it granted nothing there")
+		require.Zero(t, d.AnswerGrant(grantRequestFor(d, other, 2)).Grant.Tokens, "the released row says that nothing was granted")
 		c.kill(address(0))
 		time.Sleep(time.Minute)
 		require.Equal(t, grants{Known: true, Earlier: 1}, c.owned(slot).slotOwner(slot).grants)
@@ -180,31 +179,31 @@
 	})
 }
 
-// TestNodeThatLeavesGrantsNothing: also while the table does not hear that it leaves.
-func TestNodeThatLeavesGrantsNothing(t *testing.T) {
+// A node that is shutting down must not grant, even if it cannot release its slots in the store.
+func TestLeavingNodeGrantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
 		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
 		d.Leave(t.Context())
-		require.Zero(t, d.AnswerGrant(asked(d, slot, 1)).Grant.Tokens)
+		require.Zero(t, d.AnswerGrant(grantRequestFor(d, slot, 1)).Grant.Tokens)
 	})
 }
 
-// TestRewrittenRowKeepsItsCount: what is written of limits says nothing else of grants.
-func TestRewrittenRowKeepsItsCount(t *testing.T) {
+// Rewriting a row for another reason must keep the count of earlier owners.
+func TestRewriteKeepsEarlierOwnersCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, _, slot := ownerOfSlot(t)
+		c, _, slot := startWithOwner(t)
 		defer c.stop()
-		c.killAll()
+		c.restartAll()
 		d := c.owned(slot)
 		require.True(t, d.Raise(t.Context(), slot, "tenant"))
 		require.Equal(t, grants{Known: true, Earlier: 1}, d.slotOwner(slot).grants)
 	})
 }
 
-// TestOwnerOfAnOlderVersionLeavesNoPart: its nodes draw rows to the whole budget.
-func TestOwnerOfAnOlderVersionLeavesNoPart(t *testing.T) {
+// After an owner of a version without grants, all parts must count as used.
+func TestOldVersionOwnerUsesUpAllParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(0)
 		defer c.stop()
@@ -214,12 +213,12 @@
 		d := c.start(address(0))
 		time.Sleep(8 * time.Second)
 		require.Equal(t, grants{Known: true, Earlier: budget.OwnedParts}, d.slotOwner(5).grants)
-		require.Zero(t, d.AnswerGrant(asked(d, 5, 1)).Grant.Tokens)
+		require.Zero(t, d.AnswerGrant(grantRequestFor(d, 5, 1)).Grant.Tokens)
 	})
 }
 
-// TestProgramIsGrantedToInOneSlotWhereverItEnters: two slots would double the parts of its budget.
-func TestProgramIsGrantedToInOneSlotWhereverItEnters(t *testing.T) {
+// A program must have a single granting slot, whichever region it enters through.
+func TestGrantSlotIsTheSameInAllRegions(t *testing.T) {
 	places := locality.NewMap(map[string]string{"a1": "a", "b1": "b", "c1": "c"})
 	used := map[string]bool{}
 	for index := range 100 {
@@ -234,5 +233,5 @@
 		}
 		used[NewLayout(places).RegionOf(slot)] = true
 	}
-	require.Len(t, used, 3, "the owners of all regions grant")
+	require.Len(t, used, 3, "grants are spread over all regions")
 }
--- a/internal/directory/layout.go
+++ b/internal/directory/layout.go
@@ -8,48 +8,46 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 )
 
-// Layout tells which slots there are: so many for each region, those of the regions in
-// ascending order of their names. All nodes that know the same zones have the same
-// layout. Its zero value, and that of no known regions, is the layout of one region.
+// Layout describes how the slots are numbered: a fixed number per region, with the regions in
+// ascending order of their names. All nodes configured with the same zones compute the same
+// layout. The zero value is the layout of a single region.
 type Layout struct {
 	regions []string
 }
 
-// NewLayout is the layout of the regions of a map; nil is one region.
+// NewLayout returns the layout of the regions in places; a nil map is a single region.
 func NewLayout(places *locality.Map) Layout { return Layout{regions: places.Regions()} }
 
-// Count is the number of slots of all regions.
-func (l Layout) Count() int { return l.count() * slots }
+// Count returns the number of slots of all regions.
+func (l Layout) Count() int { return l.count() * slotsPerRegion }
 
-// Regions is the number of regions that have slots, at least one.
+// Regions returns the number of regions that have slots, at least one.
 func (l Layout) Regions() int { return l.count() }
 
-// count is the number of regions.
 func (l Layout) count() int { return max(1, len(l.regions)) }
 
-// SlotIn is the slot of a region for whatever has the hash given. A region that is not
-// listed shares the slots of one that is: all nodes agree on which.
+// SlotIn returns the slot of a region that a hash falls into. A region that is not in the layout
+// shares the slots of one that is; the choice is the same on all nodes.
 func (l Layout) SlotIn(region string, hash uint64) int {
-	return l.index(region)*slots + SlotOf(hash)
+	return l.index(region)*slotsPerRegion + SlotOf(hash)
 }
 
-// Spread is a slot for whatever has the hash given in the region that turn picks: one of
-// which there is only one over all regions. What follows one another by turn lies in as many
-// regions as there are.
+// Spread returns the slot that a hash falls into, in the region selected by turn modulo the number
+// of regions. Consecutive values of turn are spread over all regions.
 func (l Layout) Spread(turn, hash uint64) int {
-	return int(turn%uint64(l.count()))*slots + SlotOf(hash)
+	return int(turn%uint64(l.count()))*slotsPerRegion + SlotOf(hash)
 }
 
-// RegionOf is the region of a slot; empty if no regions are known.
+// RegionOf returns the region of a slot; empty if the layout has no named regions.
 func (l Layout) RegionOf(slot int) string {
-	index := slot / slots
+	index := slot / slotsPerRegion
 	if index >= len(l.regions) {
 		return ""
 	}
 	return l.regions[index]
 }
 
-// index is the place of a region.
+// index returns the index of a region; one that is not listed is mapped by hash.
 func (l Layout) index(region string) int {
 	if len(l.regions) == 0 {
 		return 0
@@ -60,10 +58,10 @@
 	return int(xxhash.Sum64String(region) % uint64(len(l.regions)))
 }
 
-// Of lists the slots of a region.
+// Of returns the slots of a region.
 func (l Layout) Of(region string) []int {
-	first := l.index(region) * slots
-	listed := make([]int, slots)
+	first := l.index(region) * slotsPerRegion
+	listed := make([]int, slotsPerRegion)
 	for offset := range listed {
 		listed[offset] = first + offset
 	}
--- a/internal/directory/lease.go
+++ b/internal/directory/lease.go
@@ -9,70 +9,70 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Hints need no proof of who owns a slot. What an owner lends out does: two owners of one
-// slot would lend the same twice. An owner lends only for leaseTime after it sent a
-// question to which the table answered that the slot is its own, and one that takes a slot
-// from a process that may live waits as long before it lends. Each uses its own steady
-// clock, and a paused owner that wakes finds its lease over.
-
-// leaseTime is how long a proof lets an owner lend. It outlasts most outages of the table,
-// and bounds how long a slot lends nothing after its owner was lost.
-const leaseTime = 4 * time.Second
-
-// LongestLease is how long a process that lost a slot without knowing may go on lending.
-const LongestLease = leaseTime
-
-// tenure is an owner's time with a slot, from its claim on.
-type tenure struct {
-	number uint64    // rises with each claim of this process
-	since  time.Time // no owner before lends after this
-	proven time.Time // when the question was sent that the table last confirmed; zero: never
-	before Bequest
-	began  time.Time // its first moment, by this process's clock
-	// granted is what was granted of budgets, by program.
-	granted map[string]granted
-}
-
-// Bequest is what an owner must assume that those before it have lent just before its
-// time: usually only so much as needs no word in the table.
+// Hints need no proof of ownership, but lending does: two owners of one slot would lend the same
+// part of a limit twice. An owner may lend only for leaseDuration after it sent a request in which the store
+// confirmed its ownership. A process that takes a slot over from one that may still be running
+// waits for leaseDuration before it lends. Both measure with their own monotonic clock, so an owner
+// that resumes after a pause finds its lease expired.
+
+// leaseDuration is how long a confirmed ownership lets the owner lend. It outlasts most outages of the
+// store, and bounds the time without lending after an owner fails.
+const leaseDuration = 4 * time.Second
+
+// LongestLease is how long a process that lost a slot without noticing may go on lending.
+const LongestLease = leaseDuration
+
+// ownership is a continuous ownership of a slot by this process.
+type ownership struct {
+	number      uint64    // increases with each acquisition by this process
+	lendFrom    time.Time // earliest time to lend; earlier owners' leases have expired by then
+	confirmedAt time.Time // send time of the last request that confirmed the ownership; zero if none
+	before      Bequest
+	acquiredAt  time.Time // when this process acquired the slot
+	// granted holds the grants made, by program.
+	granted map[string]grantRecord
+}
+
+// Bequest is what a new owner must assume its predecessors to have lent. Ordinary lending is
+// assumed always and needs no record in the store.
 type Bequest struct {
-	All    bool     // everything, of everybody
-	Raised []string // everything, of these
+	All    bool     // the full limit of every tenant
+	Raised []string // tenants whose full limit may be lent
 }
 
-// Lent reports whether everything of a tenant may have been lent.
+// Lent reports whether the full limit of a tenant may have been lent.
 func (b Bequest) Lent(tenant string) bool { return b.All || slices.Contains(b.Raised, tenant) }
 
-// Lease is an owner's right to lend what belongs to a slot.
+// Lease is an owner's right to lend out of the limits that belong to a slot.
 type Lease struct {
-	Number uint64    // differs between two times of owning a slot
-	Since  time.Time // no owner before lent anything after this
-	Until  time.Time // the right ends unless it is proven anew
+	Number uint64    // identifies the ownership; differs if the slot was lost and acquired again
+	Since  time.Time // start of the lease; earlier owners lend nothing from then on
+	Until  time.Time // end of the lease unless it is renewed
 	Before Bequest
-	Raised []string // tenants of whom the table knows that everything may be lent
+	Raised []string // tenants whose full limit may be lent, as recorded in the store
 }
 
-// Valid reports whether something may be lent at a moment.
+// Valid reports whether the owner may lend at time now.
 func (l Lease) Valid(now time.Time) bool { return !now.Before(l.Since) && now.Before(l.Until) }
 
-// Lease returns this process's lease of a slot; ok is false if it owns the slot not.
+// Lease returns this process's lease of a slot. ok is false if this process does not own the slot.
 func (d *Directory) Lease(slot int) (lease Lease, ok bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	held, ok := d.tenures[slot]
+	held, ok := d.ownerships[slot]
 	if !ok || d.owners[slot].Process != d.options.Self.Process {
 		return Lease{}, false
 	}
 	return Lease{
 		Number: held.number,
-		Since:  held.since,
-		Until:  held.proven.Add(leaseTime),
+		Since:  held.lendFrom,
+		Until:  held.confirmedAt.Add(leaseDuration),
 		Before: held.before,
-		Raised: d.owners[slot].bequest.Raised,
+		Raised: d.owners[slot].lending.Raised,
 	}, true
 }
 
-// Owners lists processes that own slots, without this one and each once.
+// Owners returns the other processes that own slots, each once.
 func (d *Directory) Owners() []budget.Holder {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -85,12 +85,12 @@
 	return owners
 }
 
-// Claims are the conditions that hold while this process owns its slots.
+// Claims returns the store conditions that hold as long as this process owns its slots.
 func (d *Directory) Claims() []store.Condition {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var claims []store.Condition
-	for slot := range d.tenures {
+	for slot := range d.ownerships {
 		if known := d.owners[slot]; known.Process == d.options.Self.Process {
 			claims = append(claims, store.Condition{Key: keyOf(slot), Version: known.revision})
 		}
@@ -98,20 +98,20 @@
 	return claims
 }
 
-// Proven notes that claims held when the table answered a question sent at a moment.
+// Proven renews the leases of the claims that the store confirmed in a request sent at time sent.
 func (d *Directory) Proven(claims []store.Condition, sent time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for slot, held := range d.tenures {
+	for slot, held := range d.ownerships {
 		claim := store.Condition{Key: keyOf(slot), Version: d.owners[slot].revision}
-		if slices.Contains(claims, claim) && sent.After(held.proven) {
-			held.proven = sent
+		if slices.Contains(claims, claim) && sent.After(held.confirmedAt) {
+			held.confirmedAt = sent
 		}
 	}
 }
 
-// Disproven takes over the rows as the table has them, where some claim did not hold when
-// it answered a question sent at a moment. The other claims are proven.
+// Disproven handles a conflict on a request sent at time sent with claims as conditions. It applies
+// the rows in the conflict and renews the leases of the claims that did hold.
 func (d *Directory) Disproven(claims []store.Condition, conflict *store.Conflict, sent time.Time) {
 	var proven []store.Condition
 	for _, claim := range claims {
@@ -120,115 +120,116 @@
 			proven = append(proven, claim)
 			continue
 		}
-		d.learnRow(stored)
+		d.applyRow(stored)
 	}
 	d.Proven(proven, sent)
 }
 
-// noteTenure begins or ends this process's time with a slot, when the table's row of it has
-// changed. The caller holds the mutex.
-func (d *Directory) noteTenure(slot int, before owner) {
+// updateOwnership begins or ends this process's ownership of a slot after its row has changed. The caller
+// must hold d.mutex.
+func (d *Directory) updateOwnership(slot int, before owner) {
 	if d.owners[slot].Process != d.options.Self.Process {
-		delete(d.tenures, slot)
+		delete(d.ownerships, slot)
 		return
 	}
-	if _, ok := d.tenures[slot]; ok || d.leaving {
+	if _, ok := d.ownerships[slot]; ok || d.leaving {
 		return
 	}
-	d.claims++
-	held := &tenure{number: d.claims, since: time.Now(), began: time.Now(), before: before.bequest}
+	d.acquisitions++
+	held := &ownership{number: d.acquisitions, lendFrom: time.Now(), acquiredAt: time.Now(), before: before.lending}
 	if before.Process == d.options.Self.Process {
-		held.before = Bequest{All: true} // the claim's own answer was lost, and with it the row before
+		held.before = Bequest{All: true} // the response to the claim was lost, and the previous row with it
 	}
 	mayLive := before.Process != "" && before.Address != d.options.Self.Address
 	switch {
 	case mayLive || before.Process == d.options.Self.Process:
-		held.since = held.since.Add(leaseTime)
+		held.lendFrom = held.lendFrom.Add(leaseDuration)
 	case before.Process != "":
-		held.since = d.started // an earlier process at this address ended before this one began
+		held.lendFrom = d.started // the previous process at this address ended before this one started
 	}
-	d.tenures[slot] = held
+	d.ownerships[slot] = held
 }
 
-// endTenures ends all leases.
-func (d *Directory) endTenures() {
+// endLeases ends all leases for shutdown.
+func (d *Directory) endLeases() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.leaving = true
-	d.noteUnused()
-	clear(d.tenures)
+	d.recordUngranted()
+	clear(d.ownerships)
 }
 
-// Settle writes into the table that this process has owned a slot for so long that nothing
-// lent before its time counts any more. It reports whether there was such a slot.
+// Settle updates the row of one slot that this process has owned for so long that all loans of its
+// predecessors have expired. It reports whether there was such a slot.
 func (d *Directory) Settle(ctx context.Context) bool {
 	slot, ok := d.unsettled()
 	if !ok {
 		return false
 	}
-	d.rewrite(ctx, slot, func(raised []string) []string { return raised }, "directory slot settled")
+	d.rewrite(ctx, slot, func(raised []string) []string { return raised }, "marked the directory slot as settled")
 	return true
 }
 
 func (d *Directory) unsettled() (int, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for slot := range d.tenures {
-		if d.owners[slot].bequest.All && d.settles(slot) {
+	for slot := range d.ownerships {
+		if d.owners[slot].lending.All && d.settles(slot) {
 			return slot, true
 		}
 	}
 	return 0, false
 }
 
-// settles reports whether what was lent before this process's time with a slot does not
-// count any more. The caller holds the mutex.
+// settles reports whether all loans made before this process owned the slot have expired. The
+// caller must hold d.mutex.
 func (d *Directory) settles(slot int) bool {
-	held, ok := d.tenures[slot]
-	return ok && time.Since(held.since) > d.options.LentFor
+	held, ok := d.ownerships[slot]
+	return ok && time.Since(held.lendFrom) > d.options.LentFor
 }
 
-// Raise writes into the table that everything of a tenant may be lent from now on, so that
-// whoever owns the slot next assumes it. Lease shows it once the table has it. It reports
-// whether the table has just confirmed that: no earlier write can have an effect then.
+// Raise records in the store that the full limit of a tenant may be lent from now on, so that the
+// slot's next owner takes it into account. Lease shows the tenant once the store has it. Raise
+// returns true if the store has confirmed the write; no earlier write can take effect after that.
 func (d *Directory) Raise(ctx context.Context, slot int, tenant string) bool {
 	return d.rewrite(ctx, slot, func(raised []string) []string {
 		if slices.Contains(raised, tenant) {
 			return raised
 		}
 		return append(slices.Clone(raised), tenant)
-	}, "directory slot raised")
+	}, "raised a tenant in the directory slot")
 }
 
-// Lower takes that back. Before it is called, no more than the ordinary part may be lent.
+// Lower reverts Raise. The caller must already have stopped lending more than the ordinary part.
 func (d *Directory) Lower(ctx context.Context, slot int, tenant string) {
 	d.rewrite(ctx, slot, func(raised []string) []string {
 		return slices.DeleteFunc(slices.Clone(raised), func(name string) bool { return name == tenant })
-	}, "directory slot lowered")
+	}, "lowered a tenant in the directory slot")
 }
 
-// rewrite writes a slot's row anew, with the raised tenants changed. Rewrites of a process
-// follow one another, so that none drops what another has written.
+// rewrite updates the row of a slot that this process owns, with the raised tenants changed by
+// change. Rewrites are serialized, so that none overwrites another's change. event is the log
+// message on success.
 func (d *Directory) rewrite(ctx context.Context, slot int, change func(raised []string) []string, event string) (written bool) {
 	select {
-	case d.rewriting <- struct{}{}:
+	case d.rewriteLock <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
-	defer func() { <-d.rewriting }()
+	defer func() { <-d.rewriteLock }()
 	d.mutex.Lock()
-	if _, ok := d.tenures[slot]; !ok {
+	if _, ok := d.ownerships[slot]; !ok {
 		d.mutex.Unlock()
 		return false
 	}
-	known := d.owners[slot].bequest
+	known := d.owners[slot].lending
 	next := rowOf(d.options.Self)
 	next.Raised = change(known.Raised)
 	next.Unsettled = known.All && !d.settles(slot)
 	d.mutex.Unlock()
 	written, err := d.put(ctx, slot, next, event)
 	if err != nil && ctx.Err() == nil {
-		d.options.Logger.WithError(err).WithField("slot", slot).Warn("directory slot not written, trying again")
+		d.options.Logger.WithError(err).WithField("slot", slot).Warn("failed to write the directory slot; will retry")
 	}
 	return written
 }
--- a/internal/directory/lease_test.go
+++ b/internal/directory/lease_test.go
@@ -15,8 +15,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// prove asks the table whether a node's claims hold, as a server does.
-func (c *cluster) prove(d *Directory) {
+// confirmClaims checks a node's claims in the store and reports the result to its directory, as a server does.
+func (c *cluster) confirmClaims(d *Directory) {
 	claims, sent := d.Claims(), time.Now()
 	_, err := c.table.Commit(context.Background(), store.Transaction{Conditions: claims})
 	var conflict *store.Conflict
@@ -28,7 +28,7 @@
 	}
 }
 
-// ownedSlot is a slot that a node owns.
+// ownedSlot returns a slot that a node owns.
 func ownedSlot(t *testing.T, d *Directory) int {
 	for slot := range d.layout.Count() {
 		if d.owns(slot) {
@@ -39,48 +39,48 @@
 	return 0
 }
 
-// ownerOfSlot is a calm cluster of three, its first node, and a slot that this owns.
-func ownerOfSlot(t *testing.T) (c *cluster, d *Directory, slot int) {
+// startWithOwner starts a cluster of three nodes, and returns its first node and a slot of that node.
+func startWithOwner(t *testing.T) (c *cluster, d *Directory, slot int) {
 	c = newCluster(3)
 	time.Sleep(8 * time.Second)
 	d = c.node(0)
 	return c, d, ownedSlot(t, d)
 }
 
-func valid(d *Directory, slot int) bool {
+func leaseValid(d *Directory, slot int) bool {
 	lease, ok := d.Lease(slot)
 	return ok && lease.Valid(time.Now())
 }
 
-func TestLeaseEndsUnlessItIsProvenAnew(t *testing.T) {
+func TestLeaseExpiresUnlessRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		c.prove(d)
-		require.True(t, valid(d, slot))
-		time.Sleep(leaseTime - time.Millisecond)
-		require.True(t, valid(d, slot))
+		c.confirmClaims(d)
+		require.True(t, leaseValid(d, slot))
+		time.Sleep(leaseDuration - time.Millisecond)
+		require.True(t, leaseValid(d, slot))
 		time.Sleep(time.Millisecond)
-		require.False(t, valid(d, slot), "a paused owner that wakes has no lease")
-		c.prove(d)
-		require.True(t, valid(d, slot))
+		require.False(t, leaseValid(d, slot), "an owner that resumes after a pause has no lease")
+		c.confirmClaims(d)
+		require.True(t, leaseValid(d, slot))
 	})
 }
 
-// TestProofCountsFromItsQuestion: an answer that comes late lets an owner lend no longer.
-func TestProofCountsFromItsQuestion(t *testing.T) {
+// A late answer must not extend the lease: it counts from the time of the request.
+func TestLeaseCountsFromRequestTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
 		claims, sent := d.Claims(), time.Now()
-		time.Sleep(leaseTime)
+		time.Sleep(leaseDuration)
 		d.Proven(claims, sent)
-		require.False(t, valid(d, slot))
+		require.False(t, leaseValid(d, slot))
 	})
 }
 
-// TestTwoOwnersNeverHoldALeaseAtOnce: one that is cut off from the others, and is taken for
-// dead, may still lend; its successor waits until it cannot any more.
+// A partitioned owner may still lend. Its successor must not lend before the old lease has
+// expired.
 func TestTwoOwnersNeverHoldALeaseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(4)
@@ -89,9 +89,9 @@
 		old := c.node(0)
 		slot := ownedSlot(t, old)
 		program := programIn(slot)
-		c.prove(old)
+		c.confirmClaims(old)
 		c.mutex.Lock()
-		c.cut[address(0)] = true
+		c.isolated[address(0)] = true
 		c.mutex.Unlock()
 		taken := time.Duration(-1)
 		begun := time.Now()
@@ -100,11 +100,11 @@
 			for index := range 4 {
 				d := c.node(index)
 				if index > 0 {
-					d.Locate(t.Context(), program) // they miss the owner
+					d.Locate(t.Context(), program) // they notice that the owner does not answer
 					d.Locate(t.Context(), programOf(int(time.Since(begun)/time.Millisecond)))
-					c.prove(d)
+					c.confirmClaims(d)
 				}
-				if valid(d, slot) {
+				if leaseValid(d, slot) {
 					holders++
 					if index > 0 && taken < 0 {
 						taken = time.Since(begun)
@@ -114,12 +114,12 @@
 			require.LessOrEqual(t, holders, 1)
 			time.Sleep(50 * time.Millisecond)
 		}
-		require.Greater(t, taken, leaseTime)
-		require.Less(t, taken, 2*leaseTime)
+		require.Greater(t, taken, leaseDuration)
+		require.Less(t, taken, 2*leaseDuration)
 	})
 }
 
-// programIn names a program of a slot.
+// programIn returns the name of a program in the slot.
 func programIn(slot int) string {
 	for index := 0; ; index++ {
 		if SlotOf(xxhash.Sum64String(programOf(index))) == slot {
@@ -128,8 +128,7 @@
 	}
 }
 
-// TestRestartedNodeLendsAtOnce: nobody else answers at its address, so its earlier process
-// is gone.
+// A restarted node must get leases on its old slots at once: its previous process has ended.
 func TestRestartedNodeLendsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3)
@@ -143,12 +142,12 @@
 		lease, ok := d.Lease(slot)
 		require.True(t, ok)
 		require.True(t, lease.Valid(time.Now()))
-		require.True(t, lease.Before.All, "the earlier process had not settled")
+		require.True(t, lease.Before.All, "the previous process had not settled")
 	})
 }
 
-// TestClaimWithoutAnAnswerIsNoticed: the table took the claim and its answer was lost.
-func TestClaimWithoutAnAnswerIsNoticed(t *testing.T) {
+// A claim that the store applied but whose response was lost must be noticed.
+func TestClaimWithLostResponseIsNoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(0)
 		first := true
@@ -162,30 +161,30 @@
 		d := c.start(address(0))
 		defer c.stop()
 		time.Sleep(30 * time.Second)
-		require.Len(t, d.Claims(), slots)
-		c.prove(d)
-		for slot := range slots {
-			require.True(t, valid(d, slot), slot)
+		require.Len(t, d.Claims(), slotsPerRegion)
+		c.confirmClaims(d)
+		for slot := range slotsPerRegion {
+			require.True(t, leaseValid(d, slot), slot)
 		}
 	})
 }
 
-// TestNodeThatLeavesLendsNothing, whether or not the table hears that it leaves.
-func TestNodeThatLeavesLendsNothing(t *testing.T) {
+// A node that is shutting down must not lend, even if it cannot release its slots in the store.
+func TestLeavingNodeLendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		c.prove(d)
-		require.True(t, valid(d, slot))
+		c.confirmClaims(d)
+		require.True(t, leaseValid(d, slot))
 		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
 		d.Leave(t.Context())
-		require.False(t, valid(d, slot))
+		require.False(t, leaseValid(d, slot))
 	})
 }
 
-func TestSuccessorKnowsWhatWasRaisedAndWhetherItWasSettled(t *testing.T) {
+func TestSuccessorSeesRaisedTenantsAndUnsettledRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
 		require.True(t, d.Raise(t.Context(), slot, "stalls"))
 		require.True(t, d.Raise(t.Context(), slot, "cellars"))
@@ -207,15 +206,14 @@
 		last := c.start(address(0))
 		time.Sleep(1500 * time.Millisecond)
 		lease, _ = last.Lease(slot)
-		require.True(t, lease.Before.All, "its predecessor was too short to know")
+		require.True(t, lease.Before.All, "its predecessor did not own the slot for long enough to settle")
 	})
 }
 
-// TestRaiseIsNotShownBeforeTheTableHasIt: what is lent beyond the ordinary part must be known
-// to a successor.
-func TestRaiseIsNotShownBeforeTheTableHasIt(t *testing.T) {
+// Raised lending must not be visible before the store has recorded it for the successor.
+func TestRaiseIsNotVisibleBeforeTheStoreHasIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c, d, slot := ownerOfSlot(t)
+		c, d, slot := startWithOwner(t)
 		defer c.stop()
 		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Broken })
 		require.False(t, d.Raise(t.Context(), slot, "stalls"))
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -15,12 +15,12 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// regionZones are two zones in each of three regions.
+// regionZones has two zones in each of three regions.
 var regionZones = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 
-// newRegions is nodes in three regions; those of an index that leaves the same rest by
-// three are of one region, and stand in its zones by turns.
-func newRegions(nodes int) *cluster {
+// newRegionalCluster starts nodes in three regions: node i is in region i modulo 3, and the nodes of a region
+// alternate between its zones.
+func newRegionalCluster(nodes int) *cluster {
 	c := newCluster(0)
 	c.places, c.zones = locality.NewMap(regionZones), map[string]string{}
 	for index := range nodes {
@@ -30,16 +30,16 @@
 	return c
 }
 
-// regionsApart reports whether two nodes do not hear each other since one region is cut off.
-func (c *cluster) regionsApart(one, other string) bool {
-	if c.lone == "" {
+// regionsPartitioned reports whether a region partition separates two nodes.
+func (c *cluster) regionsPartitioned(one, other string) bool {
+	if c.partitionedRegion == "" {
 		return false
 	}
-	return (c.places.Region(c.zones[one]) == c.lone) != (c.places.Region(c.zones[other]) == c.lone)
+	return (c.places.Region(c.zones[one]) == c.partitionedRegion) != (c.places.Region(c.zones[other]) == c.partitionedRegion)
 }
 
-// foreign counts the slots that nodes of other regions own, by all nodes' views.
-func (c *cluster) foreign() (count int) {
+// misplacedSlots counts the slots owned by nodes of other regions, according to all nodes' views.
+func (c *cluster) misplacedSlots() (count int) {
 	for address, d := range c.nodes {
 		for slot := range d.layout.Count() {
 			if d.owns(slot) && d.layout.RegionOf(slot) != c.places.Region(c.zones[address]) {
@@ -52,14 +52,14 @@
 
 func TestLayoutOfRegions(t *testing.T) {
 	layout := NewLayout(locality.NewMap(regionZones))
-	require.Equal(t, 3*slots, layout.Count())
-	require.Equal(t, slots+7, layout.SlotIn("b", 7+slots))
-	require.Equal(t, "b", layout.RegionOf(slots+7))
+	require.Equal(t, 3*slotsPerRegion, layout.Count())
+	require.Equal(t, slotsPerRegion+7, layout.SlotIn("b", 7+slotsPerRegion))
+	require.Equal(t, "b", layout.RegionOf(slotsPerRegion+7))
 	unlisted := layout.SlotIn("elsewhere", 7)
-	require.Equal(t, 7, unlisted%slots, "somewhere, the same for all nodes")
-	require.Equal(t, []int{7, slots + 7, 2*slots + 7, 7}, []int{layout.Spread(0, 7), layout.Spread(1, 7), layout.Spread(2, 7), layout.Spread(3, 7)})
+	require.Equal(t, 7, unlisted%slotsPerRegion, "an unlisted region is mapped to a listed one")
+	require.Equal(t, []int{7, slotsPerRegion + 7, 2*slotsPerRegion + 7, 7}, []int{layout.Spread(0, 7), layout.Spread(1, 7), layout.Spread(2, 7), layout.Spread(3, 7)})
 	for _, one := range []Layout{{}, NewLayout(nil), NewLayout(locality.NewMap(map[string]string{"z": "r"}))} {
-		require.Equal(t, slots, one.Count())
+		require.Equal(t, slotsPerRegion, one.Count())
 		require.Equal(t, 7, one.SlotIn("x", 7))
 		require.Equal(t, 7, one.Spread(5, 7))
 	}
@@ -69,7 +69,7 @@
 
 func TestRegionsOwnTheirSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newRegions(12)
+		c := newRegionalCluster(12)
 		defer c.stop()
 		time.Sleep(12 * time.Second)
 		owned := 0
@@ -80,29 +80,29 @@
 				}
 			}
 		}
-		require.Equal(t, 3*slots, owned)
-		require.Zero(t, c.foreign())
+		require.Equal(t, 3*slotsPerRegion, owned)
+		require.Zero(t, c.misplacedSlots())
 		for program := range 50 {
-			asker, other := c.node(0), c.node(3) // of two zones of one region
+			asker, other := c.node(0), c.node(3) // in two zones of one region
 			asker.Locate(t.Context(), programOf(program))
 			require.Equal(t, []budget.Holder{asker.options.Self}, other.Locate(t.Context(), programOf(program)).Holders)
 			owner, ok := other.Owner(other.slotOf(programOf(program)))
 			require.True(t, ok)
-			require.Equal(t, "a", c.places.Region(c.zones[owner.Address]), "nobody further away is asked")
+			require.Equal(t, "a", c.places.Region(c.zones[owner.Address]), "the owner is in the same region")
 		}
 	})
 }
 
-// TestRegionThatIsCutOffKeepsItsSlots: nobody else takes them, nor does it take any, and
-// when it is back nothing is done at once by all.
-func TestRegionThatIsCutOffKeepsItsSlots(t *testing.T) {
+// A partitioned region must keep its slots and take none of the others, and the end of the partition
+// must not make all nodes read the store at once.
+func TestPartitionedRegionKeepsItsSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newRegions(12)
+		c := newRegionalCluster(12)
 		defer c.stop()
 		time.Sleep(12 * time.Second)
 		before, _ := c.allOwners()
 		c.mutex.Lock()
-		c.lone = "b"
+		c.partitionedRegion = "b"
 		c.mutex.Unlock()
 		for range 120 {
 			c.askAll(t.Context())
@@ -111,67 +111,67 @@
 		during, _ := c.allOwners()
 		require.Equal(t, before, during)
 		c.mutex.Lock()
-		c.lone = ""
+		c.partitionedRegion = ""
 		c.mutex.Unlock()
 		looks := c.table.Watches()
 		time.Sleep(time.Second)
-		require.LessOrEqual(t, c.table.Watches()-looks, 6, "half of the nodes at most look at the table")
+		require.LessOrEqual(t, c.table.Watches()-looks, 6, "at most half of the nodes read the store")
 	})
 }
 
-// TestRegionWithoutNodesLosesItsHintsAlone: its slots wait for it.
-func TestRegionWithoutNodesLosesItsHintsAlone(t *testing.T) {
+// The slots of a region without nodes must not move to other regions.
+func TestSlotsOfAnEmptyRegionDoNotMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newRegions(12)
+		c := newRegionalCluster(12)
 		defer c.stop()
 		time.Sleep(12 * time.Second)
 		for index := range 4 {
-			c.kill(address(3*index + 1)) // of b
+			c.kill(address(3*index + 1)) // in region b
 		}
 		for range 60 {
 			c.askAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
-		require.Zero(t, c.foreign())
+		require.Zero(t, c.misplacedSlots())
 		c.start(address(1))
 		for range 60 {
 			c.askAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
-		require.Equal(t, 3*slots, total, "the first that is back takes them all")
+		require.Equal(t, 3*slotsPerRegion, total, "the first node that returns claims them all")
 	})
 }
 
-// TestLastNodeOfARegionTakesItsSlots: no owner of its region answers any more, yet those of
-// others do, so it is not cut off.
+// The last node of a region must take over the region's slots: owners in other regions still answer, so
+// it is not partitioned.
 func TestLastNodeOfARegionTakesItsSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newRegions(6)
+		c := newRegionalCluster(6)
 		defer c.stop()
 		time.Sleep(12 * time.Second)
-		c.kill(address(4)) // of b, beside 1
+		c.kill(address(4)) // in region b, as node 1
 		for range 60 {
 			c.askAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
-		require.Equal(t, 3*slots, total)
-		require.Zero(t, c.foreign())
+		require.Equal(t, 3*slotsPerRegion, total)
+		require.Zero(t, c.misplacedSlots())
 	})
 }
 
-// TestSlotOfAnEarlierVersionGoesToItsRegion: it was owned wherever its owner stood.
+// A slot claimed by a version without regions must move to an owner in its region.
 func TestSlotOfAnEarlierVersionGoesToItsRegion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newRegions(0)
+		c := newRegionalCluster(0)
 		earlier := New(Options{Store: c.table, Self: budget.Holder{Process: "old", Address: address(1)}, Logger: &log.Logger{Handler: discard.New()}})
 		written, err := earlier.put(t.Context(), 5, earlier.successor(5), "taken")
 		require.NoError(t, err)
 		require.True(t, written)
 		for index := range 6 {
 			c.zones[address(index)] = fmt.Sprintf("%c1", "abc"[index%3])
-			c.start(address(index)) // that of index 1 at the address of the earlier process, in b
+			c.start(address(index)) // node 1, in region b, has the address of the earlier process
 		}
 		defer c.stop()
 		for range 40 {
@@ -179,38 +179,39 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
-		require.Equal(t, 3*slots, total)
-		require.Zero(t, c.foreign())
+		require.Equal(t, 3*slotsPerRegion, total)
+		require.Zero(t, c.misplacedSlots())
 	})
 }
 
-// TestCutFromTheTableTooARegionLendsNothing, and nobody lends in its place.
-func TestCutFromTheTableTooARegionLendsNothing(t *testing.T) {
+// A region that is partitioned from the store and the other regions must not lend, and no other
+// region may lend in its place.
+func TestFullyPartitionedRegionLendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newRegions(6)
+		c := newRegionalCluster(6)
 		defer c.stop()
 		time.Sleep(12 * time.Second)
 		away, near := c.node(1), c.node(0)
-		c.prove(away)
-		c.prove(near)
+		c.confirmClaims(away)
+		c.confirmClaims(near)
 		slot := ownedSlot(t, away)
-		require.True(t, valid(away, slot))
+		require.True(t, leaseValid(away, slot))
 		c.mutex.Lock()
-		c.lone = "b"
+		c.partitionedRegion = "b"
 		c.mutex.Unlock()
 		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
-		time.Sleep(leaseTime)
+		time.Sleep(leaseDuration)
 		c.table.SetFault(nil)
 		for range 60 {
 			c.askAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
-			require.False(t, valid(away, slot), "it has not proven its lease again")
-			require.Zero(t, c.foreign())
+			require.False(t, leaseValid(away, slot), "it has not renewed its lease")
+			require.Zero(t, c.misplacedSlots())
 		}
 	})
 }
 
-// allOwners counts the slots of all regions that each process owns by its own view.
+// allOwners counts the slots of all regions that each process owns according to its own view.
 func (c *cluster) allOwners() (owned map[string]int, total int) {
 	owned = map[string]int{}
 	for _, d := range c.nodes {
--- a/internal/directory/row.go
+++ b/internal/directory/row.go
@@ -12,45 +12,44 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// row is what the table holds of a slot. One without a process is vacant.
+// row is the stored form of a slot. An empty Process means that the slot is vacant.
 type row struct {
 	Process string
 	Address string
-	// Unsettled: the owner has not owned the slot for long enough to know what was
-	// lent before its time.
+	// Unsettled means that loans of unknown earlier owners may still be in effect.
 	Unsettled bool
-	// Raised are the tenants of whom everything may be lent.
+	// Raised lists the tenants whose full limit may be lent.
 	Raised []string
-	// Grants is what was granted of budgets.
+	// Grants is the state of grants from program budgets.
 	Grants grants
 }
 
 func rowOf(holder budget.Holder) row { return row{Process: holder.Process, Address: holder.Address} }
 
-// owner is what a row says of a slot, as of a revision.
+// owner returns the slot's state with the row at a revision.
 func (r row) owner(revision store.Version) owner {
 	return owner{
 		Holder:   budget.Holder{Process: r.Process, Address: r.Address},
 		revision: revision,
-		bequest:  Bequest{All: r.Unsettled, Raised: r.Raised},
+		lending:  Bequest{All: r.Unsettled, Raised: r.Raised},
 		grants:   r.Grants,
 	}
 }
 
-// change is a row that a slot is to get.
+// change is a planned write of a slot's row.
 type change struct {
 	slot   int
 	next   row
-	before owner // the row that it replaces
+	before owner // the state that it replaces
 }
 
-// put writes a slot's row over the one that is known. If another node was faster,
-// its row is learnt and nothing happens; written is false then.
+// put writes a slot's row if the store still has the known revision. If another node has changed the
+// row, put applies that row instead and returns written false without an error.
 func (d *Directory) put(ctx context.Context, slot int, next row, event string) (written bool, err error) {
 	return d.putAll(ctx, []change{{slot: slot, next: next}}, event)
 }
 
-// putAll writes the rows of slots as put does, all or none.
+// putAll writes the rows of several slots as put does, all or none.
 func (d *Directory) putAll(ctx context.Context, changes []change, event string) (written bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -63,7 +62,7 @@
 	var refused *store.Conflict
 	if errors.As(err, &refused) {
 		for _, planned := range changes {
-			d.learnRow(refused.Find(keyOf(planned.slot)))
+			d.applyRow(refused.Find(keyOf(planned.slot)))
 		}
 		return false, nil
 	}
@@ -71,13 +70,13 @@
 		return false, err
 	}
 	for _, done := range changes {
-		d.noteWritten(done, version, sent)
+		d.applyWritten(done, version, sent)
 		d.options.Logger.WithField("slot", done.slot).WithField("before", done.before.Process).WithField("revision", uint64(version)).Info(event)
 	}
 	return true, nil
 }
 
-// transaction writes rows over those that are known, which it notes in changes.
+// transaction builds the write of changes, and fills in the state that each change replaces.
 func (d *Directory) transaction(changes []change) (transaction store.Transaction, err error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -96,18 +95,18 @@
 	return transaction, nil
 }
 
-// noteWritten takes over a row that this process has written by a call sent at a moment,
-// unless a newer one was learnt meanwhile.
-func (d *Directory) noteWritten(done change, version store.Version, sent time.Time) {
+// applyWritten applies a row that this process wrote in a request sent at time sent, unless a newer
+// row has been applied meanwhile.
+func (d *Directory) applyWritten(done change, version store.Version, sent time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.owners[done.slot].revision <= version {
 		d.owners[done.slot] = done.next.owner(version)
 		delete(d.suspicions, done.slot)
-		d.noteTenure(done.slot, done.before)
+		d.updateOwnership(done.slot, done.before)
 	}
-	if held, ok := d.tenures[done.slot]; ok && d.owners[done.slot].revision == version {
-		held.proven = sent
+	if held, ok := d.ownerships[done.slot]; ok && d.owners[done.slot].revision == version {
+		held.confirmedAt = sent
 	}
 }
 
--- a/internal/directory/slots.go
+++ b/internal/directory/slots.go
@@ -16,61 +16,60 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// Table is the table's name for slots.
+// Table is the name of the store table that holds the slots.
 const Table = "slots"
 
-// slotsPart is the part of the table in which all slots lie; they are a few KB. It is
-// that of the operator's rows, so that one call asks about both.
+// slotsPart is the part of the table that holds all slots, a few KB. It is the same as that of the
+// operator's rows, so that one call can check both.
 const slotsPart = ""
 
 const (
-	// startSpread is over what time nodes that start together begin to claim slots.
-	startSpread = time.Second
-	// claimPause and refreshPause are the pause between two claims of a node while there are
-	// vacant slots: others get their share of them meanwhile.
-	claimPause = 100 * time.Millisecond
-	// pollEvery is the mean time between two looks at the table while all is well. It
-	// is how long an owner that lost a slot unnoticed may believe to have it.
-	pollEvery = 20 * time.Second
-	// retryPause is the mean pause after a look that failed: nothing but fewer hints comes
-	// of an old view, and a table in trouble has better things to do.
-	retryPause = 2 * time.Second
-	// refreshPause is the least time between two looks.
-	refreshPause = 200 * time.Millisecond
-	// askAgainAfter is how long an owner that did not answer is not asked.
-	askAgainAfter = 500 * time.Millisecond
-	// confirmAfter is for how long an owner must have been silent before its slot is
-	// taken over, and confirmAsked how often it must have been asked.
-	confirmAfter = 3 * time.Second
-	confirmAsked = 2
-	// probeWait is how long it is asked once more, then. A slow node misses answers that come
-	// within it, and others miss those of a slow owner; a slot that changes hands lends
-	// nothing for longer than either costs.
-	probeWait = time.Second
-	// heardWithin is how lately some owner must have answered: a node that nobody
-	// answers is itself cut off, and takes nothing over.
-	heardWithin = 2 * time.Second
-	// changedAtOnce is how many slots one call changes at most: the table takes 100 entries,
-	// and each slot is two, its row and its condition.
-	changedAtOnce = 50
-	// callTimeout bounds one call to the table.
+	// startJitter is the window over which nodes that start together begin to claim slots.
+	startJitter = time.Second
+	// claimInterval is the mean interval between a node's claims while slots are vacant. It lets
+	// the other nodes claim their share.
+	claimInterval = 100 * time.Millisecond
+	// pollInterval is the mean interval between reads of the slots without any sign of change. It
+	// also bounds how long an owner that lost a slot may go without noticing.
+	pollInterval = 20 * time.Second
+	// retryDelay is the mean delay after a failed read. A stale view only costs hints, so the
+	// delay is long enough to spare a store in trouble.
+	retryDelay = 2 * time.Second
+	// minRefreshInterval is the minimum interval between reads of the slots.
+	minRefreshInterval = 200 * time.Millisecond
+	// ownerRetryDelay is how long an owner that did not answer is skipped.
+	ownerRetryDelay = 500 * time.Millisecond
+	// takeoverDelay is how long an owner must have been unresponsive before its slot is taken
+	// over, and takeoverMinFailures the minimum number of unanswered requests.
+	takeoverDelay       = 3 * time.Second
+	takeoverMinFailures = 2
+	// probeTimeout is the timeout of the last probe before a takeover. It is long, so that slow
+	// nodes do not lose their slots: a slot that changes owners lends nothing for longer than a probe takes.
+	probeTimeout = time.Second
+	// connectedWindow is how recently some owner must have answered before this node takes over an
+	// unresponsive owner's slot. A node without any answers may itself be partitioned.
+	connectedWindow = 2 * time.Second
+	// maxSlotsPerCommit limits the slots written in one commit. The store accepts 100 entries per
+	// commit, and each slot needs two, its row and its condition.
+	maxSlotsPerCommit = 50
+	// callTimeout is the timeout of one call to the store.
 	callTimeout = time.Second
 )
 
-// suspicion is what is known of an owner that did not answer.
+// suspicion tracks the unanswered requests to a slot's owner.
 type suspicion struct {
-	process string
-	since   time.Time
-	last    time.Time
-	asked   int
+	process     string
+	since       time.Time
+	lastFailure time.Time
+	failures    int
 }
 
-// confirmed reports whether the owner has been silent for long enough.
+// confirmed reports whether the owner counts as failed.
 func (s suspicion) confirmed(now time.Time) bool {
-	return s.asked >= confirmAsked && now.Sub(s.since) >= confirmAfter
+	return s.failures >= takeoverMinFailures && now.Sub(s.since) >= takeoverDelay
 }
 
-// Missed notes that a process did not answer as the owner of a slot.
+// Missed records that the process asked did not answer as the owner of a slot.
 func (d *Directory) Missed(slot int, asked budget.Holder) {
 	d.mutex.Lock()
 	now := time.Now()
@@ -78,133 +77,133 @@
 	if known.process != asked.Process {
 		known = suspicion{process: asked.Process, since: now}
 	}
-	known.asked++
-	known.last = now
+	known.failures++
+	known.lastFailure = now
 	d.suspicions[slot] = known
 	d.mutex.Unlock()
 	d.Doubt()
 }
 
-// Doubt notes that another process sees the slots otherwise: they are read again before long.
+// Doubt requests an early refresh of the slots, after a sign that this node's view is stale.
 func (d *Directory) Doubt() {
 	select {
-	case d.wake <- struct{}{}:
+	case d.refreshNow <- struct{}{}:
 	default:
 	}
 }
 
-// Heard notes that the owner of a slot has answered.
+// Heard records that the owner of a slot has answered.
 func (d *Directory) Heard(slot int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.heard = time.Now()
+	d.lastAnswer = time.Now()
 	delete(d.suspicions, slot)
 }
 
-// Run keeps the view of the slots up to date and claims those that nobody owns,
-// until ctx ends.
+// Run keeps the view of the slots up to date and claims slots without a live owner, until ctx is
+// done.
 func (d *Directory) Run(ctx context.Context) {
 	if d.refresh(ctx) == nil {
 		d.reclaim(ctx)
 	}
-	if wait.For(ctx, rand.N(startSpread)) != nil {
+	if wait.For(ctx, rand.N(startJitter)) != nil {
 		return
 	}
 	for ctx.Err() == nil {
 		if err := d.refresh(ctx); err != nil {
-			d.options.Logger.WithError(err).WithField("revision", uint64(d.known())).Warn("directory slots not read, trying again")
-			_ = wait.For(ctx, retryPause/2+rand.N(retryPause))
+			d.options.Logger.WithError(err).WithField("revision", uint64(d.newestRevision())).Warn("failed to read the directory slots; will retry")
+			_ = wait.For(ctx, retryDelay/2+rand.N(retryDelay))
 			continue
 		}
-		d.askWitness(ctx)
-		d.forgetEarlier(ctx)
-		pause := pollEvery
+		d.probeOtherRegion(ctx)
+		d.clearEarlierOwners(ctx)
+		pause := pollInterval
 		if d.claimOne(ctx) {
-			pause = claimPause
+			pause = claimInterval
 		}
-		if wait.For(ctx, refreshPause) != nil {
+		if wait.For(ctx, minRefreshInterval) != nil {
 			return
 		}
 		timer := time.NewTimer(pause/2 + rand.N(pause))
 		select {
 		case <-ctx.Done():
-		case <-d.wake:
+		case <-d.refreshNow:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-// refresh takes over what has changed in the table.
+// refresh applies the changes in the store since the last read.
 func (d *Directory) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	begun := time.Now()
 	d.mutex.Lock()
-	whole, revision := d.whole, d.revision
+	loaded, revision := d.loaded, d.revision
 	d.mutex.Unlock()
-	if !whole {
-		return d.readWhole(ctx)
+	if !loaded {
+		return d.readAll(ctx)
 	}
 	page, err := d.options.Store.Watch(ctx, Table, revision, 0)
 	if errors.Is(err, store.ErrHistoryGone) {
-		return d.readWhole(ctx)
+		return d.readAll(ctx)
 	}
 	if err != nil {
 		return err
 	}
-	d.learn(page)
-	d.noteLook(begun)
+	d.applyPage(page)
+	d.recordRead(begun)
 	return nil
 }
 
-// noteLook notes a look at the table that was begun at a moment and has succeeded.
-func (d *Directory) noteLook(begun time.Time) {
+// recordRead records a successful read that began at time begun.
+func (d *Directory) recordRead(begun time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.looked = begun
+	d.lastRead = begun
 }
 
-func (d *Directory) readWhole(ctx context.Context) error {
+func (d *Directory) readAll(ctx context.Context) error {
 	begun := time.Now()
 	page, err := d.options.Store.Range(ctx, Table, slotsPart, "", "", 0)
 	if err != nil {
 		return err
 	}
-	d.learn(page)
-	d.noteLook(begun)
+	d.applyPage(page)
+	d.recordRead(begun)
 	d.mutex.Lock()
-	d.whole = true
+	d.loaded = true
 	d.mutex.Unlock()
 	return nil
 }
 
-// known is the newest change that was taken over.
-func (d *Directory) known() store.Version {
+// newestRevision returns the newest version applied.
+func (d *Directory) newestRevision() store.Version {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.revision
 }
 
-// learn takes over newer rows.
-func (d *Directory) learn(page store.Page) {
+// applyPage applies the rows of a page that are newer than the known ones.
+func (d *Directory) applyPage(page store.Page) {
 	for _, stored := range page.Rows {
-		d.learnRow(stored)
+		d.applyRow(stored)
 	}
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.revision = max(d.revision, page.Version)
 }
 
-func (d *Directory) learnRow(stored store.Row) {
+func (d *Directory) applyRow(stored store.Row) {
 	slot, err := strconv.Atoi(stored.Name)
 	if err != nil || slot < 0 || slot >= len(d.owners) {
-		return // of a version with more slots
+		return // written by a version with more slots
 	}
-	var told row
+	var decoded row
 	if !stored.Gone && stored.Version != 0 {
-		if err := gob.NewDecoder(bytes.NewReader(stored.Value)).Decode(&told); err != nil {
-			d.options.Logger.WithError(err).WithField("slot", slot).Error("directory slot not understood, taken as vacant; run the same version on all nodes")
+		if err := gob.NewDecoder(bytes.NewReader(stored.Value)).Decode(&decoded); err != nil {
+			d.options.Logger.WithError(err).WithField("slot", slot).Error("cannot decode the directory slot, treating it as vacant; run the same version on all nodes")
 		}
 	}
 	d.mutex.Lock()
@@ -213,38 +212,39 @@
 	if stored.Version < before.revision {
 		return
 	}
-	d.owners[slot] = told.owner(stored.Version)
-	d.noteTenure(slot, before)
-	if before.Process == d.options.Self.Process && told.Process != before.Process {
-		d.options.Logger.WithField("slot", slot).WithField("owner", told.Process).WithField("revision", uint64(stored.Version)).Info("directory slot lost")
+	d.owners[slot] = decoded.owner(stored.Version)
+	d.updateOwnership(slot, before)
+	if before.Process == d.options.Self.Process && decoded.Process != before.Process {
+		d.options.Logger.WithField("slot", slot).WithField("owner", decoded.Process).WithField("revision", uint64(stored.Version)).Info("lost the directory slot")
 	}
 }
 
-// claimOne claims a slot that nobody owns. It reports whether there may be more.
+// claimOne claims one random claimable slot. It reports whether there may be more.
 func (d *Directory) claimOne(ctx context.Context) bool {
 	claimable := d.claimable()
 	if len(claimable) == 0 {
 		return false
 	}
 	slot := claimable[rand.IntN(len(claimable))]
-	if d.ownerLives(ctx, slot) {
+	if d.ownerAlive(ctx, slot) {
 		return true
 	}
-	if _, err := d.put(ctx, slot, d.successor(slot), "directory slot taken"); err != nil && ctx.Err() == nil {
-		d.options.Logger.WithError(err).WithField("slot", slot).Warn("directory slot not taken, trying again")
+	if _, err := d.put(ctx, slot, d.successor(slot), "claimed the directory slot"); err != nil && ctx.Err() == nil {
+		d.options.Logger.WithError(err).WithField("slot", slot).Warn("failed to claim the directory slot; will retry")
 	}
 	return true
 }
 
-// ownerLives reports whether another process still owns a slot, by its own word.
-func (d *Directory) ownerLives(ctx context.Context, slot int) bool {
+// ownerAlive probes the owner of a slot and reports whether it confirmed its ownership. It also reports
+// true if ctx ended first, so that the slot is not claimed.
+func (d *Directory) ownerAlive(ctx context.Context, slot int) bool {
 	d.mutex.Lock()
 	known := d.owners[slot]
 	d.mutex.Unlock()
 	if known.Process == "" || known.Address == d.options.Self.Address {
 		return false
 	}
-	limited, cancel := context.WithTimeout(ctx, probeWait)
+	limited, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	answer, err := d.options.Peers.Locate(limited, known.Address, Request{Process: known.Process, Probe: true, Slot: slot})
 	if err != nil || !answer.Owner {
@@ -254,7 +254,7 @@
 	return true
 }
 
-// successor is the row of a slot that this process takes over.
+// successor returns the row with which this process claims a slot.
 func (d *Directory) successor(slot int) row {
 	next := d.vacancy(slot)
 	next.Process, next.Address = d.options.Self.Process, d.options.Self.Address
@@ -262,70 +262,69 @@
 	return next
 }
 
-// vacancy is the row of a slot that nobody owns; it keeps what its last owner says of
-// what was lent.
+// vacancy returns the row of a vacant slot; it keeps the last owner's record of what was lent.
 func (d *Directory) vacancy(slot int) row {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	before := d.owners[slot].bequest
+	before := d.owners[slot].lending
 	return row{Unsettled: before.All, Raised: before.Raised}
 }
 
-// claimable lists the slots of this node's region that are vacant, that an earlier process
-// of this node owned, or whose owner has not answered for long enough.
+// claimable returns the slots of this node's region that are vacant, were owned by an earlier
+// process of this node, or whose owner counts as failed.
 func (d *Directory) claimable() (claimable []int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	connected := now.Sub(d.heard) < heardWithin
+	connected := now.Sub(d.lastAnswer) < connectedWindow
 	for slot := range d.ownRegion() {
 		known := d.owners[slot]
-		silent := d.silent(slot, now)
+		ownerFailed := d.ownerFailed(slot, now)
 		earlier := known.Address == d.options.Self.Address && known.Process != d.options.Self.Process
-		if known.Process == "" || earlier || connected && silent {
+		if known.Process == "" || earlier || connected && ownerFailed {
 			claimable = append(claimable, slot)
 		}
 	}
 	return claimable
 }
 
-// silent reports whether the owner of a slot has not answered for long enough. The caller
-// holds the mutex.
-func (d *Directory) silent(slot int, now time.Time) bool {
+// ownerFailed reports whether the owner of a slot counts as failed. The caller must hold d.mutex.
+func (d *Directory) ownerFailed(slot int, now time.Time) bool {
 	suspected, ok := d.suspicions[slot]
 	return ok && suspected.process == d.owners[slot].Process && suspected.confirmed(now)
 }
 
-// ownRegion are the slots of this node's region, the only ones that it claims.
+// ownRegion yields the slots of this node's region, the only ones that it claims.
 func (d *Directory) ownRegion() iter.Seq[int] {
 	return func(yield func(int) bool) {
-		for slot := d.region * slots; slot < (d.region+1)*slots && yield(slot); slot++ {
+		for slot := d.region * slotsPerRegion; slot < (d.region+1)*slotsPerRegion && yield(slot); slot++ {
 		}
 	}
 }
 
-// askWitness asks the owner of another region's slot, where an owner of this region is
-// silent and no other answers: the last node of a region must learn whether it is cut off.
-func (d *Directory) askWitness(ctx context.Context) {
-	if slot, ok := d.witness(); ok {
-		d.ownerLives(ctx, slot)
+// probeOtherRegion probes the owner of a slot in another region if an owner in this region has failed and
+// no owner has answered recently. It lets the last node of a region find out whether the node
+// itself is partitioned.
+func (d *Directory) probeOtherRegion(ctx context.Context) {
+	if slot, ok := d.otherRegionSlot(); ok {
+		d.ownerAlive(ctx, slot)
 	}
 }
 
-// witness is a slot whose owner is to be asked, if one is needed.
-func (d *Directory) witness() (slot int, needed bool) {
+// otherRegionSlot returns a random slot of another region to probe, if a probe is needed.
+func (d *Directory) otherRegionSlot() (slot int, needed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := time.Now()
-	if now.Sub(d.heard) < heardWithin {
+	if now.Sub(d.lastAnswer) < connectedWindow {
 		return 0, false
 	}
 	for slot := range d.ownRegion() {
-		needed = needed || d.silent(slot, now)
+		needed = needed || d.ownerFailed(slot, now)
 	}
 	var others []int
 	for slot, known := range d.owners {
-		if slot/slots != d.region && known.Process != "" {
+		if slot/slotsPerRegion != d.region && known.Process != "" {
 			others = append(others, slot)
 		}
 	}
@@ -335,21 +334,21 @@
 	return others[rand.IntN(len(others))], true
 }
 
-// reclaim takes the slots that an earlier process at this address owned, all at once: it is
-// gone, and nobody else serves them.
+// reclaim claims all slots that an earlier process at this address owned. That process has ended,
+// so no probe is needed.
 func (d *Directory) reclaim(ctx context.Context) {
 	var changes []change
 	for _, slot := range d.orphaned() {
 		changes = append(changes, change{slot: slot, next: d.successor(slot)})
 	}
-	for some := range slices.Chunk(changes, changedAtOnce) {
-		if _, err := d.putAll(ctx, some, "directory slot taken again"); err != nil && ctx.Err() == nil {
-			d.options.Logger.WithError(err).WithField("slots", len(some)).Warn("directory slots not taken again, trying one after the other")
+	for some := range slices.Chunk(changes, maxSlotsPerCommit) {
+		if _, err := d.putAll(ctx, some, "reclaimed the directory slot"); err != nil && ctx.Err() == nil {
+			d.options.Logger.WithError(err).WithField("slots", len(some)).Warn("failed to reclaim directory slots; will claim them one by one")
 		}
 	}
 }
 
-// orphaned lists the slots that an earlier process at this address owned.
+// orphaned returns the slots that an earlier process at this address owned.
 func (d *Directory) orphaned() (orphaned []int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -362,19 +361,20 @@
 	return orphaned
 }
 
-// Leave makes the slots that this process owns vacant, as far as ctx allows.
+// Leave ends all leases and marks the slots of this process as vacant in the store. It stops when
+// ctx is done; slots that remain are taken over by other nodes.
 func (d *Directory) Leave(ctx context.Context) {
-	d.endTenures() // whether or not the table hears of it, nothing is lent any more
+	d.endLeases() // stop lending even if the writes below fail
 	var changes []change
 	for slot := range len(d.owners) {
 		if d.owns(slot) {
 			changes = append(changes, change{slot: slot, next: d.vacancy(slot)})
 		}
 	}
-	for some := range slices.Chunk(changes, changedAtOnce) {
-		written, err := d.putAll(ctx, some, "directory slot left")
+	for some := range slices.Chunk(changes, maxSlotsPerCommit) {
+		written, err := d.putAll(ctx, some, "released the directory slot")
 		if err != nil || !written {
-			d.options.Logger.WithField("error", err).WithField("slots", len(some)).Warn("directory slots not left; other nodes take them over when this one is missed")
+			d.options.Logger.WithField("error", err).WithField("slots", len(some)).Warn("failed to release directory slots; other nodes take them over once this process stops answering")
 		}
 	}
 }
--- a/internal/directory/turns.go
+++ b/internal/directory/turns.go
@@ -9,26 +9,26 @@
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 )
 
-// maxTurns is of how many turns of a program, the newest, it is remembered who ran them: of all its
-// lines together, so that a line that rests for some turns of the others is still known.
+// maxTurns is the number of most recent turns per program whose processes are recorded. It covers all
+// branches of the program, so that a branch that pauses for a few turns of the others is still found.
 const maxTurns = 16
 
-// ran is who ran a turn.
-type ran struct {
-	turn uint64 // hash of its name
+// turnRecord records which process ran a turn.
+type turnRecord struct {
+	turn uint64 // hash of the turn's name
 	by   budget.Holder
 }
 
-// noteRan remembers who ran a turn.
-func (e *entry) noteRan(turn string, by budget.Holder) {
+// recordTurn records which process ran a turn.
+func (e *entry) recordTurn(turn string, by budget.Holder) {
 	if len(e.turns) == maxTurns {
 		e.turns = slices.Delete(e.turns, 0, 1)
 	}
-	e.turns = append(e.turns, ran{turn: xxhash.Sum64String(turn), by: e.same(by)})
+	e.turns = append(e.turns, turnRecord{turn: xxhash.Sum64String(turn), by: e.intern(by)})
 }
 
-// same is a holder whose texts are shared with those that are remembered already.
-func (e *entry) same(holder budget.Holder) budget.Holder {
+// intern returns holder, sharing strings with an equal holder in the entry to save memory.
+func (e *entry) intern(holder budget.Holder) budget.Holder {
 	for _, known := range e.turns {
 		if known.by == holder {
 			return known.by
@@ -37,7 +37,7 @@
 	return holder
 }
 
-// ranBy is who ran a turn; no process if that is not remembered.
+// ranBy returns the process that ran a turn; the zero Holder if it is not recorded.
 func (e *entry) ranBy(turn string) budget.Holder {
 	hash := xxhash.Sum64String(turn)
 	for _, known := range slices.Backward(e.turns) {
@@ -48,14 +48,14 @@
 	return budget.Holder{}
 }
 
-// NoteRan tells the owner of the program's slot that this process has run a turn. It does not wait
-// for the owner.
+// NoteRan reports to the owner of the program's slot that this process has run a turn. It does not
+// wait for the owner's answer.
 func (d *Directory) NoteRan(program, turn string) {
 	go d.ask(context.Background(), Request{Program: program, From: d.options.Self, Ran: turn})
 }
 
-// RanBy asks which other process ran a turn of a program. It is a hint, and false where the owner of
-// the program's slot does not remember, is not known or does not answer.
+// RanBy returns the other process that ran a turn of a program. The result is a hint. It is false if
+// this process ran the turn, or if the slot's owner has no record, is unknown or does not answer.
 func (d *Directory) RanBy(ctx context.Context, program, turn string) (budget.Holder, bool) {
 	answer := d.ask(ctx, Request{Program: program, From: d.options.Self, After: turn})
 	return answer.RanBy, answer.RanBy.Process != "" && answer.RanBy != d.options.Self
--- a/internal/directory/turns_test.go
+++ b/internal/directory/turns_test.go
@@ -29,15 +29,15 @@
 		_, ok = c.node(1).RanBy(t.Context(), "other", "t1")
 		require.False(t, ok)
 		_, ok = c.node(0).RanBy(t.Context(), "p", "t1")
-		require.False(t, ok, "it knows what it has run itself")
-		require.Contains(t, c.node(3).Locate(t.Context(), "p").Holders, c.node(2).options.Self, "who ran a turn may hold tokens")
+		require.False(t, ok, "the asker itself is left out")
+		require.Contains(t, c.node(3).Locate(t.Context(), "p").Holders, c.node(2).options.Self, "a process that ran a turn may hold tokens")
 	})
 }
 
-func TestAsManyTurnsAreRememberedAsAreBounded(t *testing.T) {
+func TestRecordedTurnsAreBounded(t *testing.T) {
 	var e entry
 	for index := range maxTurns + 5 {
-		e.noteRan(fmt.Sprint(index), budget.Holder{Process: fmt.Sprint("n", index%2)})
+		e.recordTurn(fmt.Sprint(index), budget.Holder{Process: fmt.Sprint("n", index%2)})
 	}
 	require.Len(t, e.turns, maxTurns)
 	require.Empty(t, e.ranBy("4"))
