--- a/internal/follow/churn.go
+++ b/internal/follow/churn.go
@@ -7,91 +7,92 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// A feed tells all changes of a table to all who follow it. While many workers start or are
-// replaced that is more than the part that a follower keeps: 10,000 workers that start before 984
-// nodes are 3.4 GB of changes. Meanwhile the part is read again from time to time.
+// The feed of a table delivers all changes to every follower. While many workers start or are
+// replaced, that is far more data than the part that a follower keeps. During such churn the follower
+// stops reading the feed and rereads its part at intervals instead.
 
 const (
-	// rereadPart of the time in which the follower must be up to date may pass between two such
-	// readings, and longestReread at most.
-	rereadPart    = 2
-	longestReread = 3 * time.Second
-	// churnRows is how many rows the part has meanwhile: enough to serve by, and half as much to read
-	// at each time. It grows again once the table is calm.
+	// freshDivisor divides Options.Fresh to give the interval between rereads, which is maxRereadInterval
+	// at most.
+	freshDivisor      = 2
+	maxRereadInterval = 3 * time.Second
+	// churnRows is the target number of rows of the part during churn, less than minPartRows to limit
+	// each reread. The part grows again afterwards.
 	churnRows = 48
-	// churnTimes is how many times as much the changes must be as the part: a short burst costs
-	// less by the feed.
-	churnTimes = 2
-	// countFor is how long changes are counted together.
-	countFor = time.Second
-	// outgrownTimes is how many times as long as it was read a part may become.
-	outgrownTimes = 3
-	// fewestChanges tell a rate; fewer do not.
-	fewestChanges = 32
-	// shortestChanges is the least time to which changes are related.
-	shortestChanges = 50 * time.Millisecond
-	// wholeReread is the pause before a table is read again that is kept whole and grows fast.
-	wholeReread = time.Second
-	// firstGather is the share of Gather for which the first changes after a quiet time are let
-	// gather: they tell whether many follow.
-	firstGather = 8
+	// churnFactor is how many times more rows the feed must deliver than rereading would before the
+	// follower rereads: for short bursts the feed is cheaper.
+	churnFactor = 2
+	// countWindow is the window over which changes are counted.
+	countWindow = time.Second
+	// outgrownFactor is the growth factor at which a part is read anew.
+	outgrownFactor = 3
+	// minChanges is the minimum number of changes from which a rate is computed.
+	minChanges = 32
+	// minRateWindow is the minimum duration used to compute a rate of changes.
+	minRateWindow = 50 * time.Millisecond
+	// wholeRereadInterval is the interval between rereads of a table that is kept whole and grows fast.
+	wholeRereadInterval = time.Second
+	// firstGatherDivisor divides Options.Gather for the first changes after a quiet time. The shorter wait
+	// shows sooner whether many changes follow.
+	firstGatherDivisor = 8
 )
 
-// rereadEvery is the pause between two readings of the part while the table churns.
-func (f *Follower) rereadEvery() time.Duration {
+// rereadInterval returns the interval between rereads during churn.
+func (f *Follower) rereadInterval() time.Duration {
 	if f.span.whole {
-		return wholeReread
+		return wholeRereadInterval
 	}
 	if f.options.Fresh <= 0 {
-		return longestReread
+		return maxRereadInterval
 	}
-	return min(f.options.Fresh/rereadPart, longestReread)
+	return min(f.options.Fresh/freshDivisor, maxRereadInterval)
 }
 
-// judge decides by the number of changes that were just told how the table is followed.
-func (f *Follower) judge(changes int) {
+// assessChanges switches to rereading if the table changes too fast; changes is the number of rows just
+// delivered by the feed. It also has the table read anew if the part has grown too large.
+func (f *Follower) assessChanges(changes int) {
 	if f.options.Part == nil {
 		return
 	}
 	now := time.Now()
-	if now.Sub(f.counted) > countFor {
-		f.changes, f.counted = 0, f.told
+	if now.Sub(f.countStart) > countWindow {
+		f.changes, f.countStart = 0, f.lastFeed
 	}
-	f.told = now
+	f.lastFeed = now
 	f.changes += changes
 	if changes == 0 {
-		f.calmed = true
+		f.wasIdle = true
 	}
-	bound := churnTimes * partRows / f.rereadEvery().Seconds()
-	fast := f.changes >= fewestChanges && float64(f.changes)/max(now.Sub(f.counted), shortestChanges).Seconds() > bound
+	bound := churnFactor * minPartRows / f.rereadInterval().Seconds()
+	fast := f.changes >= minChanges && float64(f.changes)/max(now.Sub(f.countStart), minRateWindow).Seconds() > bound
 	if fast && f.mayChurn() {
 		f.setChurning(true)
 	}
 	if f.outgrown() {
-		f.forgetPart()
+		f.invalidate()
 	}
 }
 
-// mayChurn reports whether the part may be read again in place of the feed. A table that is kept whole
-// is followed by its feed: entries that come back after an outage must be known at once. Until it
-// was first calm it may be one that is just being written and becomes long.
-func (f *Follower) mayChurn() bool { return !f.span.whole || !f.calmed }
+// mayChurn reports whether the follower may reread the part instead of reading the feed. A table that is
+// kept whole is followed by its feed, so that entries which return after an outage are known at once.
+// Before its feed has been idle for the first time, it may be a table that is still being filled.
+func (f *Follower) mayChurn() bool { return !f.span.whole || !f.wasIdle }
 
-// forgetPart lets the table be read anew, as far as it is kept. What is known holds until then.
-func (f *Follower) forgetPart() {
+// invalidate has the table read anew. The rows already known stay in use until then.
+func (f *Follower) invalidate() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.whole = false
+	f.loaded = false
 }
 
-// outgrown reports whether so many rows are kept that the table is to be read anew: a short one has
-// become long, or many have come into the part.
+// outgrown reports whether too many rows are kept, so that the table must be read anew: a short table
+// has become long, or many rows were added within the part.
 func (f *Follower) outgrown() bool {
 	kept := f.options.Part.Kept()
 	if f.span.whole {
-		return !f.span.grown && kept > shortTable
+		return !f.span.grown && kept > maxWholeRows
 	}
-	return kept > outgrownTimes*(partRows+f.more)+mostAsked
+	return kept > outgrownFactor*(minPartRows+f.grownRows)+maxRequestedRows
 }
 
 func (f *Follower) setChurning(churning bool) {
@@ -99,13 +100,13 @@
 		return
 	}
 	f.churning = churning
-	f.options.Logger.WithField("table", f.options.Table).WithField("reread", churning).WithField("every_ms", f.rereadEvery().Milliseconds()).
-		Info("way of following the table")
+	f.options.Logger.WithField("table", f.options.Table).WithField("reread", churning).WithField("every_ms", f.rereadInterval().Milliseconds()).
+		Info("switched between the feed and rereading the table")
 }
 
-// reread reads the part again, and goes back to the feed if little has changed meanwhile.
+// reread reads the part again, and switches back to the feed if few rows have changed since.
 func (f *Follower) reread(ctx context.Context) error {
-	if !f.whole || f.span.whole || f.names.Load() == nil {
+	if !f.loaded || f.span.whole || f.names.Load() == nil {
 		if err := f.readPart(ctx); err != nil {
 			return err
 		}
@@ -120,10 +121,10 @@
 		return err
 	}
 	if version < before {
-		return errOlder
+		return errStale
 	}
-	if len(rows) == 0 { // nothing is left behind this place
-		f.forgetPart()
+	if len(rows) == 0 { // no rows are left at or after the start of the part
+		f.invalidate()
 		return nil
 	}
 	changed := 0
@@ -132,19 +133,19 @@
 			changed++
 		}
 	}
-	f.takeWhole(rows, version, part)
-	f.told = time.Now()
-	f.setChurning(changed*f.tableSize(rows) > partRows*len(rows))
+	f.applySnapshot(rows, version, part)
+	f.lastFeed = time.Now()
+	f.setChurning(changed*f.tableSize(rows) > minPartRows*len(rows))
 	return nil
 }
 
-// tableSize estimates how long the table is.
+// tableSize estimates the number of rows in the table from a part of them.
 func (f *Follower) tableSize(rows []store.Row) int {
 	names := namesOf(rows)
 	if f.span.wrapped {
 		for index, name := range names {
 			if name < f.span.from {
-				names = names[:index] // what lies at the table's end
+				names = names[:index] // leave out the rows from the start of the table
 				break
 			}
 		}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,6 +1,5 @@
-// Package follow keeps this process's picture of a table up to date: it reads
-// the rows as a whole once, then follows the table's changes by one waiting
-// call. Versions only rise: an older read changes nothing.
+// Package follow keeps a local copy of a table up to date. It reads the rows once, then long-polls
+// the table for changes. A read that is older than the copy is discarded.
 package follow
 
 import (
@@ -19,47 +18,46 @@
 )
 
 const (
-	// shortestWatch is how long one call waits for a change where nothing allows more.
-	shortestWatch = 2 * time.Second
-	// answerWait is how long the table has to answer beyond that.
-	answerWait = 700 * time.Millisecond
-	// reconnectTime is how long the next call may take after one without an answer.
-	reconnectTime = 300 * time.Millisecond
-	// firstPause and longestPause bound the jittered pauses after failures.
-	firstPause   = 30 * time.Millisecond
-	longestPause = 400 * time.Millisecond
-	// pageTries is how often a refused page is asked for before the whole read
-	// begins anew.
-	pageTries = 10
+	// minPollDuration is the minimum duration of a long poll.
+	minPollDuration = 2 * time.Second
+	// responseTimeout is the time allowed for a response, beyond the duration of the poll.
+	responseTimeout = 700 * time.Millisecond
+	// reconnectTimeout is reserved for the next call after one that got no response.
+	reconnectTimeout = 300 * time.Millisecond
+	// minBackoff and maxBackoff bound the jittered backoff after failures.
+	minBackoff = 30 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
+	// maxPageAttempts is the number of attempts per page before the whole read starts again.
+	maxPageAttempts = 10
 )
 
-// Options of a Follower.
+// Options configures a Follower.
 type Options struct {
 	Store store.Store
 	Table string
-	// Replace takes over all rows that are kept.
+	// Replace replaces all rows that the caller keeps.
 	Replace func(Reading)
-	// Change takes over changed rows.
+	// Change applies changed rows.
 	Change func(rows []store.Row)
-	// Lost is told when the table stops and starts answering; may be nil.
+	// Lost is called when the table stops and starts responding; may be nil.
 	Lost func(lost bool)
-	// Fresh is how soon after trouble with the table this process must be up to date
-	// again; 0 if nothing is said. A call whose answer is lost is noticed only at its
-	// end, so it waits for less than that.
+	// Fresh is how soon after trouble with the table the copy must be up to date again; 0 means no
+	// requirement. A lost response is noticed only when the poll times out, so polls are shorter
+	// than that.
 	Fresh time.Duration
-	// Gather is how long changes are let gather before they are asked for again;
-	// it bounds the calls for a table that changes all the time.
+	// Gather is how long to wait after changes before the next poll, so that changes are batched.
+	// It limits the calls for a table that changes all the time; 0 means no wait.
 	Gather time.Duration
-	// Heard is told whenever the table has answered, be it without news; may be nil.
+	// Heard is called after each successful read, with or without changes; may be nil.
 	Heard func()
-	// Part makes the follower keep a part of a long table; nil: it keeps all rows. Change may
-	// then be called by those who ask for others, too, one at a time.
+	// Part makes the follower keep only a part of a long table; nil keeps all rows. With a part,
+	// Change may also be called from Ask and AskAt; calls never overlap.
 	Part   *Part
 	Logger log.Interface
 }
 
-// Reading are the rows of a table as they were when it had a version, or a part of them. What is not
-// among them was gone then, or is not kept any more where they are a part.
+// Reading is a snapshot of a table, or of a part of it. A row that is not in it did not exist at
+// Version or, if Whole is false, may be outside the part.
 type Reading struct {
 	Rows    []store.Row
 	Version store.Version
@@ -68,50 +66,50 @@
 
 // Follower follows one table.
 type Follower struct {
-	options Options
-	lost    time.Time // since when the table has not answered; zero if it does
-	names   atomic.Pointer[ring.Names]
+	options   Options
+	lostSince time.Time // when the table stopped responding; zero if it responds
+	names     atomic.Pointer[ring.Names]
 
-	// Used by Run alone:
-	rows     int       // of the part, when it was last read
-	more     int       // rows by which the part has grown
-	calmed   bool      // the feed has once had nothing to tell
-	churning bool      // the part is read again from time to time, the feed is too much
-	told     time.Time // when the feed last answered
-	changes  int       // told since counted
-	counted  time.Time
+	// The following fields are used by Run only.
+	rows       int       // rows in the part when it was last read
+	grownRows  int       // rows added by growing the part
+	wasIdle    bool      // a poll of the feed has returned without changes
+	churning   bool      // the part is reread at intervals instead of reading the feed
+	lastFeed   time.Time // when the feed last responded
+	changes    int       // number of changes since countStart
+	countStart time.Time
 
-	mutex      sync.Mutex      // guards what follows, and the calls of Replace and Change
-	version    store.Version   // of the newest change taken over
-	whole      bool            // the rows were read as a whole, or as much of them as is kept
-	span       span            // that is kept
-	asked      map[string]bool // rows that are kept besides
-	askedOrder []string        // the same, as they were asked for
+	mutex          sync.Mutex      // guards the fields below, and serializes calls of Replace and Change
+	version        store.Version   // newest version applied
+	loaded         bool            // the initial read is complete
+	span           span            // the part of the table that is kept
+	requested      map[string]bool // rows outside the part that are kept because they were asked for
+	requestedOrder []string        // the same rows, oldest request first
 }
 
-// New returns a follower that knows nothing yet.
-func New(options Options) *Follower { return &Follower{options: options, asked: map[string]bool{}} }
+// New returns a follower without any rows; Run reads them.
+func New(options Options) *Follower { return &Follower{options: options, requested: map[string]bool{}} }
 
-// Run follows until ctx ends.
+// Run follows the table until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
-	pauses := wait.NewBackoff(firstPause, longestPause)
+	pauses := wait.NewBackoff(minBackoff, maxBackoff)
 	for ctx.Err() == nil {
 		err := f.step(ctx)
-		f.note(ctx, err)
+		f.recordResult(ctx, err)
 		if err == nil {
-			f.heard()
+			f.notifyHeard()
 			pauses.Reset()
 			continue
 		}
 		if errors.Is(err, store.ErrHistoryGone) {
-			f.forgetPart()
+			f.invalidate()
 			continue
 		}
 		_ = wait.For(ctx, pauses.NextBackOff())
 	}
 }
 
-func (f *Follower) heard() {
+func (f *Follower) notifyHeard() {
 	if f.options.Heard != nil {
 		f.options.Heard()
 	}
@@ -120,13 +118,13 @@
 func (f *Follower) step(ctx context.Context) error {
 	switch {
 	case f.churning:
-		if err := wait.For(ctx, f.rereadEvery()); err != nil {
+		if err := wait.For(ctx, f.rereadInterval()); err != nil {
 			return err
 		}
 		return f.reread(ctx)
-	case !f.whole && f.options.Part != nil:
+	case !f.loaded && f.options.Part != nil:
 		return f.readPart(ctx)
-	case !f.whole:
+	case !f.loaded:
 		return f.readWhole(ctx, store.Page{More: true})
 	case f.growing():
 		return f.grow(ctx)
@@ -135,58 +133,57 @@
 	}
 }
 
-// follow waits for changes and takes them over.
+// follow polls the feed once and applies the changes.
 func (f *Follower) follow(ctx context.Context) error {
-	patience := f.watchFor()
-	if !f.lost.IsZero() {
-		patience = 0
+	duration := f.pollDuration()
+	if !f.lostSince.IsZero() {
+		duration = 0
 	}
-	limited, cancel := context.WithTimeout(ctx, patience+answerWait)
+	limited, cancel := context.WithTimeout(ctx, duration+responseTimeout)
 	defer cancel()
-	page, err := f.options.Store.Watch(limited, f.options.Table, f.version, patience)
+	page, err := f.options.Store.Watch(limited, f.options.Table, f.version, duration)
 	if err != nil {
 		return err
 	}
-	rows := f.takeChanges(page)
-	quiet := time.Since(f.told) > 2*f.options.Gather
-	f.judge(rows)
+	rows := f.applyChanges(page)
+	quiet := time.Since(f.lastFeed) > 2*f.options.Gather
+	f.assessChanges(rows)
 	if rows > 0 && f.options.Gather > 0 && !f.churning {
 		gather := f.options.Gather
 		if quiet && f.options.Part != nil {
-			gather /= firstGather
+			gather /= firstGatherDivisor
 		}
 		_ = wait.For(ctx, gather+rand.N(gather/4+1))
 	}
 	return nil
 }
 
-// takeChanges takes over what has changed. It returns how many rows have, whether they are kept or
-// not.
-func (f *Follower) takeChanges(page store.Page) int {
+// applyChanges applies a page of changes. It returns the number of changed rows, including those that
+// are not kept.
+func (f *Follower) applyChanges(page store.Page) int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.version = max(f.version, page.Version)
-	if rows := f.kept(page.Rows); len(rows) > 0 {
+	if rows := f.filterKept(page.Rows); len(rows) > 0 {
 		f.options.Change(rows)
 	}
 	return len(page.Rows)
 }
 
-// watchFor is how long one call waits for a change.
-func (f *Follower) watchFor() time.Duration {
-	return max(shortestWatch, f.options.Fresh-answerWait-reconnectTime)
+// pollDuration returns the duration of one long poll.
+func (f *Follower) pollDuration() time.Duration {
+	return max(minPollDuration, f.options.Fresh-responseTimeout-reconnectTimeout)
 }
 
-// errOlder is the table's answer with a state that is older than what is known.
-var errOlder = errors.New("the table answered with an older state; reading it again")
+// errStale reports a response that is older than the known state.
+var errStale = errors.New("the table returned a state older than the known one; it will be read again")
 
-// readWhole reads all pages behind one that was read, if it was, and takes each over as it comes.
-// Changes after the first page are followed next, so a row that changed between two pages ends up
-// right.
+// readWhole reads all pages that follow page, which may be empty, and applies each as it arrives.
+// Changes made after the first page was read are delivered by the feed next.
 func (f *Follower) readWhole(ctx context.Context, page store.Page) error {
 	rows, first, from := page.Rows, page.Version, ""
 	for page.More {
-		f.takePage(page.Rows)
+		f.applyPage(page.Rows)
 		if len(rows) > 0 {
 			from = rows[len(rows)-1].Name
 		}
@@ -198,19 +195,19 @@
 			first = next.Version
 		}
 		if first < f.version {
-			return errOlder
+			return errStale
 		}
-		next.Rows = afterFirst(next.Rows, from) // a page begins where the one before ended
+		next.Rows = withoutFirst(next.Rows, from) // a page starts with the last row of the previous one
 		next.More = next.More && len(next.Rows) > 0
 		rows = append(rows, next.Rows...)
 		page = next
 	}
-	f.takeWhole(rows, first, span{whole: true})
+	f.applySnapshot(rows, first, span{whole: true})
 	return nil
 }
 
-// takePage takes over a part of the rows.
-func (f *Follower) takePage(rows []store.Row) {
+// applyPage applies one page of rows.
+func (f *Follower) applyPage(rows []store.Row) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if len(rows) > 0 {
@@ -218,26 +215,25 @@
 	}
 }
 
-// takeWhole takes over all rows of the part that is kept, as they were when the table had a
-// version.
-func (f *Follower) takeWhole(rows []store.Row, version store.Version, part span) {
+// applySnapshot replaces all rows with a snapshot of the part.
+func (f *Follower) applySnapshot(rows []store.Row, version store.Version, part span) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.version, f.whole, f.span = version, true, part
+	f.version, f.loaded, f.span = version, true, part
 	f.rows = len(rows)
-	f.asked, f.askedOrder = map[string]bool{}, nil
+	f.requested, f.requestedOrder = map[string]bool{}, nil
 	f.options.Replace(Reading{Rows: rows, Version: version, Whole: part.whole})
 }
 
-// readPage reads one page. While the table refuses, as it does when all nodes
-// start at once, it comes back to the same page.
+// readPage reads one page. It retries refused calls, since the store refuses many calls while all nodes
+// start at the same time.
 func (f *Follower) readPage(ctx context.Context, from, to string, limit int) (store.Page, error) {
-	pauses := wait.NewBackoff(firstPause, longestPause)
+	pauses := wait.NewBackoff(minBackoff, maxBackoff)
 	for try := 1; ; try++ {
-		limited, cancel := context.WithTimeout(ctx, answerWait)
+		limited, cancel := context.WithTimeout(ctx, responseTimeout)
 		page, err := f.options.Store.Range(limited, f.options.Table, "", from, to, limit)
 		cancel()
-		if err == nil || try == pageTries || !errors.Is(err, store.ErrNotDone) {
+		if err == nil || try == maxPageAttempts || !errors.Is(err, store.ErrNotDone) {
 			return page, err
 		}
 		if wait.For(ctx, pauses.NextBackOff()) != nil {
@@ -246,25 +242,25 @@
 	}
 }
 
-// note tells and logs when the table stops and starts answering.
-func (f *Follower) note(ctx context.Context, err error) {
+// recordResult logs and reports when the table stops and starts responding.
+func (f *Follower) recordResult(ctx context.Context, err error) {
 	entry := f.options.Logger.WithField("table", f.options.Table).WithField("version", uint64(f.version))
 	switch {
 	case ctx.Err() != nil:
 	case errors.Is(err, store.ErrHistoryGone):
-		entry.Warn("history gone, reading the table as a whole")
-	case err != nil && f.lost.IsZero():
-		f.lost = time.Now()
-		f.tell(true)
-		entry.WithError(err).Warn("table lost, going on with what is known")
-	case err == nil && !f.lost.IsZero():
-		entry.WithField("after_ms", time.Since(f.lost).Milliseconds()).Info("table regained")
-		f.lost = time.Time{}
-		f.tell(false)
+		entry.Warn("the table's change history is gone; reading the whole table again")
+	case err != nil && f.lostSince.IsZero():
+		f.lostSince = time.Now()
+		f.notifyLost(true)
+		entry.WithError(err).Warn("table stopped responding; continuing with the known rows")
+	case err == nil && !f.lostSince.IsZero():
+		entry.WithField("after_ms", time.Since(f.lostSince).Milliseconds()).Info("table responds again")
+		f.lostSince = time.Time{}
+		f.notifyLost(false)
 	}
 }
 
-func (f *Follower) tell(lost bool) {
+func (f *Follower) notifyLost(lost bool) {
 	if f.options.Lost != nil {
 		f.options.Lost(lost)
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -17,20 +17,20 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// picture is what a follower's owner believes.
-type picture struct {
+// tableCopy is the copy of the table that a follower's caller keeps.
+type tableCopy struct {
 	mutex sync.Mutex
 	rows  map[string]string
 }
 
-func (p *picture) replace(read Reading) {
+func (p *tableCopy) replace(read Reading) {
 	p.mutex.Lock()
 	p.rows = map[string]string{}
 	p.mutex.Unlock()
 	p.change(read.Rows)
 }
 
-func (p *picture) change(rows []store.Row) {
+func (p *tableCopy) change(rows []store.Row) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, row := range rows {
@@ -42,14 +42,14 @@
 	}
 }
 
-func (p *picture) get(name string) string {
+func (p *tableCopy) get(name string) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.rows[name]
 }
 
-func follow(ctx context.Context, table store.Store) *picture {
-	p := &picture{rows: map[string]string{}}
+func follow(ctx context.Context, table store.Store) *tableCopy {
+	p := &tableCopy{rows: map[string]string{}}
 	follower := New(Options{
 		Store: table, Table: "t", Replace: p.replace, Change: p.change,
 		Logger: &log.Logger{Handler: discard.New(), Level: log.InfoLevel},
@@ -68,7 +68,7 @@
 	require.NoError(t, err)
 }
 
-func run(t *testing.T, test func(*testing.T, *storetest.Table, *picture)) {
+func run(t *testing.T, test func(*testing.T, *storetest.Table, *tableCopy)) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		put(t, table, "a", "1")
@@ -83,7 +83,7 @@
 }
 
 func TestChangesArriveAtOnce(t *testing.T) {
-	run(t, func(t *testing.T, table *storetest.Table, p *picture) {
+	run(t, func(t *testing.T, table *storetest.Table, p *tableCopy) {
 		for change := range 5 {
 			put(t, table, "a", fmt.Sprint(change))
 			synctest.Wait()
@@ -93,8 +93,8 @@
 	})
 }
 
-func TestForgottenHistoryIsReadAsAWhole(t *testing.T) {
-	run(t, func(t *testing.T, table *storetest.Table, p *picture) {
+func TestTableIsReadAgainWhenHistoryIsGone(t *testing.T) {
+	run(t, func(t *testing.T, table *storetest.Table, p *tableCopy) {
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Broken })
 		time.Sleep(5 * time.Second)
 		table.SetFault(nil)
@@ -103,16 +103,16 @@
 		table.Forget()
 		time.Sleep(time.Second)
 		require.Equal(t, "2", p.get("b"))
-		require.Empty(t, p.get("a"), "what is not there any more is gone")
+		require.Empty(t, p.get("a"), "rows missing from the new snapshot are removed")
 	})
 }
 
-// A change is taken over within 2 s of its commit once the table has answered
-// for 3 s, whatever it did before; and the last known state stays meanwhile.
-func TestChangesArriveAfterAnyTrouble(t *testing.T) {
+// Whatever went wrong before, a change must arrive within 2 s of its commit once the table has responded
+// for 3 s. The last known state must remain available meanwhile.
+func TestChangesArriveAfterAnyFault(t *testing.T) {
 	for trouble := storetest.Refused; trouble <= storetest.Applied; trouble++ {
 		for range 5 {
-			run(t, func(t *testing.T, table *storetest.Table, p *picture) {
+			run(t, func(t *testing.T, table *storetest.Table, p *tableCopy) {
 				var mutex sync.Mutex
 				down := true
 				table.SetFault(func(string, bool) storetest.Fault {
@@ -153,9 +153,9 @@
 	})
 }
 
-// TestRefusedPagesAreAskedForAgain: a table that refuses most calls, as it does
-// when all nodes start at once, is read without beginning anew each time.
-func TestRefusedPagesAreAskedForAgain(t *testing.T) {
+// A table that refuses most calls, as at a mass start, must be read without starting again after each
+// refusal.
+func TestRefusedPagesAreRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		table.PageRows = 3
@@ -172,7 +172,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		p := follow(ctx, table)
 		time.Sleep(2 * time.Second)
-		require.NotEmpty(t, p.get("00"), "the first pages are taken over before the last is there")
+		require.NotEmpty(t, p.get("00"), "the first pages are applied before the last one arrives")
 		time.Sleep(8 * time.Second)
 		cancel()
 		synctest.Wait()
@@ -180,35 +180,33 @@
 	})
 }
 
-// TestCallsLastAsLongAsFreshnessAllows: an idle table is asked as seldom as a lost
-// answer may go unnoticed.
-func TestCallsLastAsLongAsFreshnessAllows(t *testing.T) {
-	for fresh, most := range map[time.Duration]int{0: 31, 3 * time.Second: 31, 5 * time.Second: 16} {
+// Polls of an idle table must last as long as Options.Fresh allows.
+func TestPollsLastAsLongAsFreshAllows(t *testing.T) {
+	for fresh, maxPolls := range map[time.Duration]int{0: 31, 3 * time.Second: 31, 5 * time.Second: 16} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			nothing := func([]store.Row) {}
-			nothingWhole := func(Reading) {}
+			noChange := func([]store.Row) {}
+			noReplace := func(Reading) {}
 			follower := New(Options{
-				Store: table, Table: "t", Replace: nothingWhole, Change: nothing, Fresh: fresh,
+				Store: table, Table: "t", Replace: noReplace, Change: noChange, Fresh: fresh,
 				Logger: &log.Logger{Handler: discard.New(), Level: log.InfoLevel},
 			})
 			go follower.Run(ctx)
 			time.Sleep(time.Minute)
-			require.LessOrEqual(t, table.Watches(), most, "fresh within %v", fresh)
-			require.Greater(t, table.Watches(), most-3, "fresh within %v", fresh)
+			require.LessOrEqual(t, table.Watches(), maxPolls, "fresh within %v", fresh)
+			require.Greater(t, table.Watches(), maxPolls-3, "fresh within %v", fresh)
 			cancel()
 			synctest.Wait()
 		})
 	}
 }
 
-// TestLostAnswerIsNoticedInTime: a call that is never answered is given up before
-// the process must be up to date.
-func TestLostAnswerIsNoticedInTime(t *testing.T) {
+// A call without a response must time out before Options.Fresh has passed.
+func TestLostResponseTimesOutWithinFresh(t *testing.T) {
 	for _, fresh := range []time.Duration{3 * time.Second, 5 * time.Second, 8 * time.Second} {
 		follower := New(Options{Fresh: fresh})
-		require.Less(t, follower.watchFor()+answerWait, fresh)
+		require.Less(t, follower.pollDuration()+responseTimeout, fresh)
 	}
 }
--- a/internal/follow/part.go
+++ b/internal/follow/part.go
@@ -9,49 +9,48 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Part makes a follower keep a part of a long table: the rows from a place on that its text
-// decides, and those that were asked for besides. Short tables are kept whole. Nodes that kept all
-// rows of a list would read nodes times workers at a start: 984 nodes before 10,000 workers 3.4 GB
-// (worked out); with parts of 96 rows they read 0.25 GB on a whole day of that size.
+// Part makes a follower keep only a part of a long table: a range of rows that starts at a position
+// derived from Text, plus the rows requested with Ask and AskAt. Short tables are kept whole. This
+// bounds what nodes read at startup, which would otherwise be nodes times rows.
 type Part struct {
-	// Text decides the place: processes with different texts keep different rows, evenly.
+	// Text selects the position. Processes with different texts keep evenly spread parts.
 	Text string
-	// Kept is how many rows are kept.
+	// Kept returns the number of rows that the caller keeps.
 	Kept func() int
-	// Enough reports whether the rows that were taken over are enough. As long as they are
-	// not, the part grows by a page.
+	// Enough reports whether the rows received so far suffice. The part grows by a page at a time
+	// until they do.
 	Enough func() bool
 }
 
 const (
-	// sampleRows are read first: they tell how names are made, and about how many there are. A
-	// table that has no more is known whole then.
+	// sampleRows is the number of rows read first. They show the pattern of the names and the
+	// approximate size of the table. A table with no more rows is kept whole.
 	sampleRows = 64
-	// shortTable is up to how many rows a table is kept whole: 600 workers are 0.2 MB.
-	shortTable = 600
-	// partRows is how many rows a part has at least, and growRows by how many it grows, or by half
-	// of itself. Spread over 10,000 workers of two services in five
-	// zones, 96 rows name 17 model workers and two others of the node's own zone.
-	partRows = 96
-	growRows = 48
-	// drawTries bounds how often a place is drawn behind which there is nothing.
-	drawTries = 16
-	// mostAsked is how many rows are kept besides the part, of those that were asked for.
-	mostAsked = 2048
-	// askTries is how often rows are asked for again that changed meanwhile.
-	askTries = 3
+	// maxWholeRows is the number of rows up to which a table is kept whole, about 0.2 MB of workers.
+	maxWholeRows = 600
+	// minPartRows is the minimum number of rows of a part. The part grows by minGrowRows or by half its
+	// size, whichever is larger. With 10,000 workers of two services in five zones, 96 rows include
+	// about 17 model workers and two others in the node's own zone.
+	minPartRows = 96
+	minGrowRows = 48
+	// maxDrawAttempts limits the attempts to find a position that has rows after it.
+	maxDrawAttempts = 16
+	// maxRequestedRows limits the requested rows kept outside the part.
+	maxRequestedRows = 2048
+	// maxAskAttempts limits the attempts of Ask when the response is older than the known state.
+	maxAskAttempts = 3
 )
 
-// ErrNoNames is that of a table whose rows' names have nothing in common.
-var ErrNoNames = errors.New("the names of this table tell no place in it; keep it whole")
+// ErrNoNamePattern reports a table whose row names have no common pattern to derive positions from.
+var ErrNoNamePattern = errors.New("cannot derive a position from the names of this table's rows; keep the whole table")
 
-// span is the part of a table that is kept: from a name up to the last that was read.
+// span is the range of names that is kept: from a name up to the last one read.
 type span struct {
 	whole   bool
 	from    string
 	last    string
-	wrapped bool // it goes on at the table's beginning
-	grown   bool // it is whole because no smaller part was enough
+	wrapped bool // it continues at the start of the table
+	grown   bool // it grew to the whole table because no smaller part was enough
 }
 
 func (s span) contains(name string) bool {
@@ -65,7 +64,7 @@
 	}
 }
 
-// until is the name before which the next page must end; empty: the table's end.
+// until returns the name at which the next page must end; empty means the end of the table.
 func (s span) until() string {
 	if s.wrapped {
 		return s.from
@@ -73,46 +72,45 @@
 	return ""
 }
 
-// extended is the span after another page was read behind it. rows are those that it did not have;
-// more tells whether the table has rows behind these.
+// extended returns the span after another page was read at its end. rows are the new rows; more
+// reports whether the table has rows after them.
 func (s span) extended(rows []store.Row, more bool) span {
 	if len(rows) > 0 {
 		s.last = rows[len(rows)-1].Name
 	}
 	switch {
 	case s.wrapped && !more:
-		s.whole, s.grown = true, true // all the way round
+		s.whole, s.grown = true, true // covers the whole table
 	case !more:
 		s.wrapped, s.last = true, ""
 	}
 	return s
 }
 
-// readPart reads the beginning of the table, and the rest of it if it is short, else the part of it
-// that this process keeps.
+// readPart reads a sample from the start of the table, then the rest of a short table or this
+// process's part of a long one.
 func (f *Follower) readPart(ctx context.Context) error {
 	sample, err := f.readPage(ctx, "", "", sampleRows)
 	if err != nil {
 		return err
 	}
 	if sample.Version < f.version {
-		return errOlder
+		return errStale
 	}
 	names := namesOf(sample.Rows)
-	made, ok := ring.Observe(names)
-	if !sample.More || !ok || made.Size(names) <= shortTable {
+	pattern, ok := ring.Observe(names)
+	if !sample.More || !ok || pattern.Size(names) <= maxWholeRows {
 		return f.readWhole(ctx, sample)
 	}
-	f.names.Store(&made)
-	rows, part, err := f.readFrom(ctx, made)
+	f.names.Store(&pattern)
+	rows, part, err := f.readFirstRows(ctx, pattern)
 	if err != nil {
 		return err
 	}
-	f.takeWhole(rows, sample.Version, part)
+	f.applySnapshot(rows, sample.Version, part)
 	return nil
 }
 
-// namesOf are the names of rows.
 func namesOf(rows []store.Row) []string {
 	names := make([]string, len(rows))
 	for index, row := range rows {
@@ -121,33 +119,33 @@
 	return names
 }
 
-// readFrom reads the first page of the part, at a place behind which there is something.
-func (f *Follower) readFrom(ctx context.Context, made ring.Names) ([]store.Row, span, error) {
+// readFirstRows reads the first rows of the part, at a position that has rows after it.
+func (f *Follower) readFirstRows(ctx context.Context, pattern ring.Names) ([]store.Row, span, error) {
 	below := ""
-	for range drawTries {
-		place := made.Draw(f.options.Part.Text, below)
-		rows, part, _, err := f.readRows(ctx, place)
+	for range maxDrawAttempts {
+		position := pattern.Draw(f.options.Part.Text, below)
+		rows, part, _, err := f.readRows(ctx, position)
 		if err != nil || len(rows) > 0 {
 			return rows, part, err
 		}
-		below = place
+		below = position
 	}
-	return nil, span{}, ErrNoNames
+	return nil, span{}, ErrNoNamePattern
 }
 
-// target is how many rows the part is to have.
+// target returns the intended number of rows of the part.
 func (f *Follower) target() int {
 	if f.churning {
-		return churnRows + f.more
+		return churnRows + f.grownRows
 	}
-	return partRows + f.more
+	return minPartRows + f.grownRows
 }
 
-// readRows reads as many rows as the part has, from a place on; none if nothing is behind it. version
-// is the table's before it read the first.
-func (f *Follower) readRows(ctx context.Context, place string) (rows []store.Row, part span, version store.Version, err error) {
-	part = span{from: place}
-	for from := place; !part.whole && len(rows) < f.target(); {
+// readRows reads target rows from position on; none if there are no rows from there to the end of the
+// table. version is the table's version before the first row was read.
+func (f *Follower) readRows(ctx context.Context, position string) (rows []store.Row, part span, version store.Version, err error) {
+	part = span{from: position}
+	for from := position; !part.whole && len(rows) < f.target(); {
 		page, err := f.readPage(ctx, from, part.until(), f.target()-len(rows)+1)
 		if err != nil {
 			return nil, span{}, 0, err
@@ -155,7 +153,7 @@
 		if version == 0 {
 			version = page.Version
 		}
-		next := afterFirst(page.Rows, part.last)
+		next := withoutFirst(page.Rows, part.last)
 		if len(rows) == 0 && len(next) == 0 && !page.More {
 			return nil, span{}, version, nil
 		}
@@ -166,117 +164,120 @@
 	return rows, part, version, nil
 }
 
-// growing reports whether the part is to grow.
+// growing reports whether the part must grow.
 func (f *Follower) growing() bool {
-	return f.options.Part != nil && f.whole && !f.span.whole && (f.rows < partRows || !f.options.Part.Enough())
+	return f.options.Part != nil && f.loaded && !f.span.whole && (f.rows < minPartRows || !f.options.Part.Enough())
 }
 
-// grow reads another page. Changes of its rows after the newest that was taken over are followed.
+// grow reads another page of the part. Later changes of its rows are delivered by the feed.
 func (f *Follower) grow(ctx context.Context) error {
 	from := f.span.last
-	page, err := f.readPage(ctx, from, f.span.until(), max(growRows, f.rows/2)+1)
+	page, err := f.readPage(ctx, from, f.span.until(), max(minGrowRows, f.rows/2)+1)
 	if err != nil {
 		return err
 	}
-	rows := afterFirst(page.Rows, from)
-	f.takeMore(rows, page.More)
+	rows := withoutFirst(page.Rows, from)
+	f.applyGrowth(rows, page.More)
 	f.options.Logger.WithField("table", f.options.Table).WithField("rows", len(rows)).WithField("whole", f.span.whole).
-		Info("part of the table grows")
+		Info("grew the kept part of the table")
 	return nil
 }
 
-// takeMore takes over another page of the part.
-func (f *Follower) takeMore(rows []store.Row, more bool) {
+// applyGrowth applies another page of the part.
+func (f *Follower) applyGrowth(rows []store.Row, more bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.span = f.span.extended(rows, more)
 	f.rows += len(rows)
-	f.more = max(0, f.rows-partRows)
+	f.grownRows = max(0, f.rows-minPartRows)
 	f.options.Change(rows)
 }
 
-// afterFirst leaves the first row out if it is the one at which a page before had ended.
-func afterFirst(rows []store.Row, name string) []store.Row {
+// withoutFirst returns rows without the first one if it has the given name: a page starts with the last
+// row of the previous one.
+func withoutFirst(rows []store.Row, name string) []store.Row {
 	if len(rows) > 0 && rows[0].Name == name {
 		return rows[1:]
 	}
 	return rows
 }
 
-// kept lists those of changed rows that belong to the part, or were asked for. The caller holds the
-// mutex.
-func (f *Follower) kept(rows []store.Row) []store.Row {
+// filterKept returns the changed rows that belong to the part or were asked for. The caller must hold
+// f.mutex.
+func (f *Follower) filterKept(rows []store.Row) []store.Row {
 	if f.options.Part == nil || f.span.whole {
 		return rows
 	}
 	return slices.DeleteFunc(slices.Clone(rows), func(row store.Row) bool {
-		return !f.span.contains(row.Name) && !f.asked[row.Name]
+		return !f.span.contains(row.Name) && !f.requested[row.Name]
 	})
 }
 
-// Whole reports whether all rows are kept.
+// Whole reports whether the whole table is kept.
 func (f *Follower) Whole() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.options.Part == nil || f.whole && f.span.whole
+	return f.options.Part == nil || f.loaded && f.span.whole
 }
 
-// Ask reads rows from a name on and keeps them besides the part.
+// Ask reads up to limit rows in the range of names [from, to) and keeps them in addition to the part. An
+// empty to means the end of the table.
 func (f *Follower) Ask(ctx context.Context, from, to string, limit int) ([]store.Row, error) {
-	for range askTries {
+	for range maxAskAttempts {
 		page, err := f.options.Store.Range(ctx, f.options.Table, "", from, to, limit)
 		if err != nil {
 			return nil, err
 		}
-		if f.keep(page) {
+		if f.applyRequested(page) {
 			return page.Rows, nil
 		}
 	}
-	return nil, errOlder
+	return nil, errStale
 }
 
-// AskAt is Ask from the place on that a text decides, the same for all processes.
+// AskAt calls Ask with a position derived from text. All processes get the same position for the same
+// text. It returns ErrNoNamePattern if no position with rows was found.
 func (f *Follower) AskAt(ctx context.Context, text string, limit int) ([]store.Row, error) {
-	made := f.names.Load()
-	if made == nil {
-		return nil, ErrNoNames
+	pattern := f.names.Load()
+	if pattern == nil {
+		return nil, ErrNoNamePattern
 	}
 	below := ""
-	for range drawTries {
-		place := made.Draw(text, below)
-		rows, err := f.Ask(ctx, place, "", limit)
+	for range maxDrawAttempts {
+		position := pattern.Draw(text, below)
+		rows, err := f.Ask(ctx, position, "", limit)
 		if err != nil || len(rows) > 0 {
 			return rows, err
 		}
-		below = place
+		below = position
 	}
-	return nil, ErrNoNames
+	return nil, ErrNoNamePattern
 }
 
-// keep takes over rows that were asked for, unless changes of them may have been passed over since
-// they were read.
-func (f *Follower) keep(page store.Page) bool {
+// applyRequested applies requested rows. It returns false if the page is older than the known state, since
+// changes of its rows may have been skipped.
+func (f *Follower) applyRequested(page store.Page) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if page.Version < f.version || !f.whole {
+	if page.Version < f.version || !f.loaded {
 		return false
 	}
 	for _, row := range page.Rows {
-		if !f.span.contains(row.Name) && !f.asked[row.Name] {
-			f.asked[row.Name] = true
-			f.askedOrder = append(f.askedOrder, row.Name)
+		if !f.span.contains(row.Name) && !f.requested[row.Name] {
+			f.requested[row.Name] = true
+			f.requestedOrder = append(f.requestedOrder, row.Name)
 		}
 	}
-	f.options.Change(append(f.forgetAsked(), page.Rows...))
+	f.options.Change(append(f.evictRequested(), page.Rows...))
 	return true
 }
 
-// forgetAsked forgets the rows that were asked for first, if there are too many.
-func (f *Follower) forgetAsked() (gone []store.Row) {
-	for len(f.askedOrder) > mostAsked {
-		name := f.askedOrder[0]
-		f.askedOrder = f.askedOrder[1:]
-		delete(f.asked, name)
+// evictRequested drops the oldest requested rows beyond maxRequestedRows and returns them as removed.
+func (f *Follower) evictRequested() (gone []store.Row) {
+	for len(f.requestedOrder) > maxRequestedRows {
+		name := f.requestedOrder[0]
+		f.requestedOrder = f.requestedOrder[1:]
+		delete(f.requested, name)
 		if !f.span.contains(name) {
 			gone = append(gone, store.Row{Key: store.Key{Table: f.options.Table, Name: name}, Gone: true})
 		}
--- a/internal/follow/part_test.go
+++ b/internal/follow/part_test.go
@@ -20,7 +20,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// countingStore counts the rows that were read.
+// countingStore counts the rows read.
 type countingStore struct {
 	*storetest.Table
 	mutex sync.Mutex
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("i-%010x", xxhash.Sum64String(fmt.Sprint(index))>>24)
 }
 
-// longTable has so many rows.
+// longTable returns a table with the given number of rows.
 func longTable(t *testing.T, rows int) *countingStore {
 	table := &countingStore{Table: storetest.New()}
 	for index := range rows {
@@ -63,11 +63,11 @@
 	return table
 }
 
-// followPart follows a part of a table by the text given, as long as enough says so.
-func followPart(ctx context.Context, table store.Store, text string, enough func(*picture) bool) (*picture, *Follower) {
-	p := &picture{rows: map[string]string{}}
+// followPart starts a follower with a part selected by text. A nil enough accepts any part.
+func followPart(ctx context.Context, table store.Store, text string, enough func(*tableCopy) bool) (*tableCopy, *Follower) {
+	p := &tableCopy{rows: map[string]string{}}
 	if enough == nil {
-		enough = func(*picture) bool { return true }
+		enough = func(*tableCopy) bool { return true }
 	}
 	follower := New(Options{
 		Store: table, Table: "t", Replace: p.replace, Change: p.change,
@@ -78,13 +78,13 @@
 	return p, follower
 }
 
-func (p *picture) size() int {
+func (p *tableCopy) size() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.rows)
 }
 
-func (p *picture) all() map[string]string {
+func (p *tableCopy) all() map[string]string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return maps.Clone(p.rows)
@@ -96,7 +96,7 @@
 	return f.span.contains(name)
 }
 
-// runPart plays a test before a table of so many rows.
+// runPart runs a test with a table of the given number of rows.
 func runPart(t *testing.T, rows int, test func(ctx context.Context, table *countingStore)) {
 	synctest.Test(t, func(t *testing.T) {
 		table := longTable(t, rows)
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestLongTablesAreKeptInPart: what a node reads at its start does not grow with the table, and all
-// nodes together know all of it.
+// The rows that a node reads at startup must not grow with the table, and the parts of all nodes must
+// together cover nearly all of it.
 func TestLongTablesAreKeptInPart(t *testing.T) {
 	const nodes = 300
 	for _, rows := range []int{2500, 5000} {
@@ -129,24 +129,24 @@
 			for node := range nodes {
 				p, follower := followPart(ctx, table, fmt.Sprint("node-", node), nil)
 				time.Sleep(100 * time.Millisecond)
-				require.InDelta(t, partRows, p.size(), 1)
+				require.InDelta(t, minPartRows, p.size(), 1)
 				require.False(t, follower.Whole())
 				for name := range p.all() {
 					known[name]++
 				}
 			}
-			require.LessOrEqual(t, table.read(), nodes*(sampleRows+partRows+1))
+			require.LessOrEqual(t, table.read(), nodes*(sampleRows+minPartRows+1))
 			require.Greater(t, len(known), rows*95/100)
 			for name, count := range known {
-				require.LessOrEqual(t, count, 6*nodes*partRows/rows, name)
+				require.LessOrEqual(t, count, 6*nodes*minPartRows/rows, name)
 			}
 		})
 	}
 }
 
-// TestPartOfATableThatIsBeingWritten: what a node reads while thousands of workers start does not
-// grow with them, and in the end it knows its part as it is.
-func TestPartOfATableThatIsBeingWritten(t *testing.T) {
+// The rows that a node reads while thousands of workers start must be bounded, and its part must be
+// correct afterwards.
+func TestPartOfATableDuringMassStart(t *testing.T) {
 	const rows, over = 4000, 6 * time.Second
 	runPart(t, 0, func(ctx context.Context, table *countingStore) {
 		p, follower := followPart(ctx, table, "node", nil)
@@ -156,8 +156,8 @@
 		}
 		time.Sleep(10 * time.Second)
 		require.False(t, follower.Whole())
-		require.GreaterOrEqual(t, p.size(), partRows/2)
-		require.LessOrEqual(t, p.size(), 2*partRows)
+		require.GreaterOrEqual(t, p.size(), minPartRows/2)
+		require.LessOrEqual(t, p.size(), 2*minPartRows)
 		require.LessOrEqual(t, table.read(), 1200)
 		for name, value := range wholeTable(ctx, t, table) {
 			if follower.contains(name) {
@@ -167,13 +167,13 @@
 		before := table.read()
 		put(t, table.Table, workerName(7), "2")
 		time.Sleep(time.Minute)
-		require.LessOrEqual(t, table.read(), before+1, "the feed is followed again")
+		require.LessOrEqual(t, table.read(), before+1, "back on the feed")
 	})
 }
 
-// TestPartOfATableThatIsEmptied while it churns: once it is long again each node keeps a part of
-// its own, not its beginning.
-func TestPartOfATableThatIsEmptied(t *testing.T) {
+// After a long table is emptied and filled again during churn, the follower must keep a part at its own
+// position, not at the start of the table.
+func TestPartOfATableThatIsEmptiedAndRefilled(t *testing.T) {
 	runPart(t, 3000, func(ctx context.Context, table *countingStore) {
 		p, follower := followPart(ctx, table, "node", nil)
 		time.Sleep(time.Second)
@@ -191,16 +191,16 @@
 		}
 		time.Sleep(20 * time.Second)
 		require.False(t, follower.Whole())
-		require.GreaterOrEqual(t, p.size(), partRows/2)
+		require.GreaterOrEqual(t, p.size(), minPartRows/2)
 		for name := range p.all() {
 			require.True(t, follower.contains(name))
-			require.Greater(t, name, "i-08", "not the table's beginning")
+			require.Greater(t, name, "i-08", "not the start of the table")
 		}
 	})
 }
 
-// TestEntriesThatComeBackAreKnownAtOnce: on a list that is kept whole, however many come.
-func TestEntriesThatComeBackAreKnownAtOnce(t *testing.T) {
+// In a table that is kept whole, entries that return after an outage must be known at once.
+func TestReturningEntriesAreKnownAtOnce(t *testing.T) {
 	runPart(t, 300, func(ctx context.Context, table *countingStore) {
 		p, _ := followPart(ctx, table, "node", nil)
 		time.Sleep(10 * time.Second)
@@ -220,9 +220,9 @@
 	})
 }
 
-// TestWorkersThatLeaveWhileManyAreReplaced: all that are kept are known to leave in time, or are not
-// kept any more: the part moves on while the table churns.
-func TestWorkersThatLeaveWhileManyAreReplaced(t *testing.T) {
+// During churn, workers that leave must either be known as leaving within maxRereadInterval or no longer be
+// in the part.
+func TestLeavingWorkersDuringChurn(t *testing.T) {
 	runPart(t, 3000, func(ctx context.Context, table *countingStore) {
 		p, follower := followPart(ctx, table, "node", nil)
 		time.Sleep(time.Second)
@@ -238,10 +238,10 @@
 		for name := range leaving {
 			put(t, table.Table, name, "leaves")
 		}
-		time.Sleep(longestReread + 100*time.Millisecond)
+		time.Sleep(maxRereadInterval + 100*time.Millisecond)
 		known := 0
 		for name := range leaving {
-			require.NotEqual(t, "1", p.get(name), "%s gets nothing new", name)
+			require.NotEqual(t, "1", p.get(name), "%s must not be assigned new work", name)
 			if p.get(name) == "leaves" {
 				known++
 			}
@@ -253,14 +253,14 @@
 
 func TestPartGrowsUntilItIsEnough(t *testing.T) {
 	runPart(t, 1500, func(ctx context.Context, table *countingStore) {
-		p, follower := followPart(ctx, table, "node", func(p *picture) bool { return p.size() >= 900 })
+		p, follower := followPart(ctx, table, "node", func(p *tableCopy) bool { return p.size() >= 900 })
 		time.Sleep(time.Minute)
 		require.GreaterOrEqual(t, p.size(), 900)
-		require.Less(t, p.size(), 900+900/2+growRows, "one step too many at most")
+		require.Less(t, p.size(), 900+900/2+minGrowRows, "grows by at most one step too many")
 		require.False(t, follower.Whole())
 	})
 	runPart(t, 1500, func(ctx context.Context, table *countingStore) {
-		p, follower := followPart(ctx, table, "node", func(*picture) bool { return false })
+		p, follower := followPart(ctx, table, "node", func(*tableCopy) bool { return false })
 		time.Sleep(time.Minute)
 		require.Equal(t, 1500, p.size())
 		require.True(t, follower.Whole())
@@ -268,8 +268,8 @@
 	})
 }
 
-// TestAllAskForTheSame: processes that ask by the same text get the same rows, which are kept.
-func TestAllAskForTheSame(t *testing.T) {
+// Processes that ask with the same text must get the same rows, and must keep them up to date.
+func TestAskAtReturnsTheSameRowsEverywhere(t *testing.T) {
 	runPart(t, 3000, func(ctx context.Context, table *countingStore) {
 		var names []string
 		for node := range 5 {
@@ -290,7 +290,7 @@
 			put(t, table.Table, got[3], "2")
 			remove(t, table.Table, got[4])
 			time.Sleep(time.Second)
-			require.Equal(t, "2", p.get(got[3]), "asked rows are followed")
+			require.Equal(t, "2", p.get(got[3]), "requested rows are kept up to date")
 			require.Empty(t, p.get(got[4]))
 			put(t, table.Table, got[3], "1")
 			put(t, table.Table, got[4], "1")
@@ -299,13 +299,13 @@
 	})
 }
 
-// TestPartStaysRight: whatever the table does, a part has the rows of its place as they are, and
-// those that were asked for, once the table has answered for a while.
-func TestPartStaysRight(t *testing.T) {
+// Under random changes and faults, a part must end up equal to its range of the table, and the requested
+// rows must be correct.
+func TestPartIsCorrectAfterRandomFaults(t *testing.T) {
 	for seed := range uint64(12) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		runPart(t, 1200, func(ctx context.Context, table *countingStore) {
-			p, follower := followPart(ctx, table, "node", func(p *picture) bool { return p.size() >= 150 })
+			p, follower := followPart(ctx, table, "node", func(p *tableCopy) bool { return p.size() >= 150 })
 			var mutex sync.Mutex
 			faults := rand.New(rand.NewPCG(seed, 4))
 			table.SetFault(func(string, bool) storetest.Fault {
@@ -313,7 +313,7 @@
 				defer mutex.Unlock()
 				return storetest.Fault(faults.IntN(int(storetest.Applied) + 1))
 			})
-			asked := map[string]bool{}
+			requested := map[string]bool{}
 			for range 300 {
 				name := workerName(random.IntN(1600))
 				switch random.IntN(8) {
@@ -324,7 +324,7 @@
 				case 3:
 					limited, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 					if rows, err := follower.Ask(limited, name, name+"\x00", 1); err == nil && len(rows) == 1 {
-						asked[name] = true
+						requested[name] = true
 					}
 					cancel()
 				default:
@@ -341,14 +341,14 @@
 			}
 			for name, value := range page {
 				if follower.contains(name) {
-					require.Equal(t, value, p.get(name), "seed %d: %s belongs to the part", seed, name)
+					require.Equal(t, value, p.get(name), "seed %d: %s is in the part", seed, name)
 				}
 			}
 		})
 	}
 }
 
-// wholeTable are the rows of a table.
+// wholeTable returns all rows of the table.
 func wholeTable(ctx context.Context, t *testing.T, table *countingStore) map[string]string {
 	all := map[string]string{}
 	for from := ""; ; {
