--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -100,7 +100,7 @@
 	revision     store.Version     // newest version applied
 	loaded       bool              // all slots have been read
 	suspicions   map[int]suspicion // slots whose owner did not answer
-	lastAnswer   time.Time         // when an owner last answered
+	lastAnswer   time.Time         // when another owner last answered
 	entries      map[string]*entry // by program
 	lastSweep    time.Time
 	ownerships   map[int]*ownership // slots that this process owns
@@ -306,5 +306,5 @@
 	return d.region*slotsPerRegion + SlotOf(xxhash.Sum64String(program))
 }
 
-// SlotOf returns the slot of the first region that a hash falls into.
+// SlotOf returns the slot that a hash falls into, within the first region.
 func SlotOf(hash uint64) int { return int(hash % slotsPerRegion) }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -154,15 +154,15 @@
 		defer c.stop()
 		time.Sleep(10 * time.Second)
 		commits, reads := c.table.Calls()
-		looks := c.table.Watches()
+		watches := c.table.Watches()
 		for program := range 1000 {
 			c.node(program%12).Locate(t.Context(), programOf(program))
 		}
 		time.Sleep(60 * time.Second)
 		commitsAfter, readsAfter := c.table.Calls()
 		require.Equal(t, []int{commits, reads}, []int{commitsAfter, readsAfter})
-		require.LessOrEqual(t, c.table.Watches()-looks, 12*6, "at most one read in 10 s per node")
-		require.Greater(t, c.table.Watches(), looks)
+		require.LessOrEqual(t, c.table.Watches()-watches, 12*6, "at most one read in 10 s per node")
+		require.Greater(t, c.table.Watches(), watches)
 	})
 }
 
@@ -195,14 +195,14 @@
 		defer c.stop()
 		time.Sleep(10 * time.Second)
 		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
-		looks := c.table.Watches()
+		watches := c.table.Watches()
 		c.kill(address(0))
 		for range 60 {
 			c.askAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
-		require.LessOrEqual(t, c.table.Watches()-looks, 5*30, "at most one read per second and node, for 30 s")
-		require.Greater(t, c.table.Watches(), looks)
+		require.LessOrEqual(t, c.table.Watches()-watches, 5*30, "at most one read per second and node, for 30 s")
+		require.Greater(t, c.table.Watches(), watches)
 	})
 }
 
--- a/internal/directory/grant.go
+++ b/internal/directory/grant.go
@@ -60,7 +60,7 @@
 }
 
 // grantsAfter returns the grant state to write when next replaces before. The caller must hold
-// d.mutex, also while it reads the revision for the write's condition.
+// d.mutex, and must read the revision for the write's condition under the same lock.
 func (d *Directory) grantsAfter(slot int, next row, before owner) grants {
 	self := d.options.Self.Process
 	kept := before.grants
@@ -108,8 +108,8 @@
 	GrantRepeated GrantOutcome = "repeated" // a retry of a request that was granted before
 	GrantTaken    GrantOutcome = "taken"    // this owner's part was already granted to another request
 	GrantDoubt    GrantOutcome = "doubt"    // earlier owners may have granted all parts
-	GrantLapsed   GrantOutcome = "lapsed"   // the last read of the slots is older than the limit
-	GrantFull     GrantOutcome = "full"     // the limit of remembered grants is reached
+	GrantLapsed   GrantOutcome = "lapsed"   // the last read of the slots is older than maxGrantStaleness
+	GrantFull     GrantOutcome = "full"     // maxGrants grants are remembered already
 )
 
 // grantRecord is a grant that this process made.
--- a/internal/directory/grant_simulation_test.go
+++ b/internal/directory/grant_simulation_test.go
@@ -22,8 +22,8 @@
 // A fixed seed makes the test reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// grantWorld is a set of nodes with directories and budget books that share one store.
-type grantWorld struct {
+// grantSimulation is a set of nodes with directories and budget books that share one store.
+type grantSimulation struct {
 	t     *testing.T
 	table *storetest.Table
 
@@ -32,7 +32,7 @@
 	nodes       []*grantNode // indexed by address
 	started     int
 	storeDown   bool // the store is down for all nodes
-	lossPercent int  // lost messages in percent
+	lossPercent int  // chance in percent that a message is lost, duplicated, or loses its answer
 	granted     int
 }
 
@@ -45,14 +45,14 @@
 	isolated  bool // partitioned from the other nodes
 }
 
-func (w *grantWorld) draw(below int) int {
+func (w *grantSimulation) draw(below int) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.random.IntN(below)
 }
 
 // start starts a process at an address; it replaces the previous one.
-func (w *grantWorld) start(index int) {
+func (w *grantSimulation) start(index int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if old := w.nodes[index]; old != nil {
@@ -62,7 +62,7 @@
 	node := &grantNode{}
 	self := budget.Holder{Process: fmt.Sprint("p", w.started), Address: fmt.Sprint(index)}
 	table := nodeStore{w.table, w, node}
-	peers := worldPeers{w, node}
+	peers := simulationPeers{w, node}
 	node.directory = New(Options{
 		Store: table, Self: self, Peers: peers, Grants: peers, Logger: &log.Logger{Handler: discard.New()},
 		CountGrant: func(outcome GrantOutcome) {
@@ -83,13 +83,13 @@
 // nodeStore is one node's connection to the store.
 type nodeStore struct {
 	*storetest.Table
-	world *grantWorld
-	node  *grantNode
+	simulation *grantSimulation
+	node       *grantNode
 }
 
 func (s nodeStore) refused() bool {
-	s.world.mutex.Lock()
-	defer s.world.mutex.Unlock()
+	s.simulation.mutex.Lock()
+	defer s.simulation.mutex.Unlock()
 	return s.node.denied
 }
 
@@ -117,15 +117,15 @@
 	return s.Table.Watch(ctx, table, after, wait)
 }
 
-// worldPeers sends messages from one node.
-type worldPeers struct {
-	world *grantWorld
-	from  *grantNode
+// simulationPeers sends messages from one node.
+type simulationPeers struct {
+	simulation *grantSimulation
+	from       *grantNode
 }
 
 // send delivers one message. The message may be lost or duplicated, and its answer may be lost.
-func send[A any](ctx context.Context, p worldPeers, address string, ask func(*grantNode) A) (answer A, err error) {
-	w := p.world
+func send[A any](ctx context.Context, p simulationPeers, address string, ask func(*grantNode) A) (answer A, err error) {
+	w := p.simulation
 	w.mutex.Lock()
 	var to *grantNode
 	for index, node := range w.nodes {
@@ -152,17 +152,17 @@
 }
 
 // Locate implements Peers.
-func (p worldPeers) Locate(ctx context.Context, address string, request Request) (Answer, error) {
+func (p simulationPeers) Locate(ctx context.Context, address string, request Request) (Answer, error) {
 	return send(ctx, p, address, func(to *grantNode) Answer { return to.directory.Answer(request) })
 }
 
 // Grant implements GrantPeers.
-func (p worldPeers) Grant(ctx context.Context, address string, request GrantRequest) (GrantAnswer, error) {
+func (p simulationPeers) Grant(ctx context.Context, address string, request GrantRequest) (GrantAnswer, error) {
 	return send(ctx, p, address, func(to *grantNode) GrantAnswer { return to.directory.AnswerGrant(request) })
 }
 
 // HandOver implements budget.Peers.
-func (p worldPeers) HandOver(ctx context.Context, address string, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
+func (p simulationPeers) HandOver(ctx context.Context, address string, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
 	return send(ctx, p, address, func(to *grantNode) budget.HandOverAnswer { return to.book.HandOver(ctx, request) })
 }
 
@@ -172,7 +172,7 @@
 }
 
 // turn runs a turn of a program on a node.
-func (w *grantWorld) turn(index int, name string, of *program) {
+func (w *grantSimulation) turn(index int, name string, of *program) {
 	w.mutex.Lock()
 	node := w.nodes[index]
 	w.mutex.Unlock()
@@ -192,7 +192,7 @@
 }
 
 // injectFault injects a random fault, restart or recovery.
-func (w *grantWorld) injectFault() {
+func (w *grantSimulation) injectFault() {
 	index := w.draw(len(w.nodes))
 	change := func(do func()) {
 		w.mutex.Lock()
@@ -238,7 +238,7 @@
 		faulty := rapid.IntRange(0, 40).Draw(r, "faults in 100")
 		var failure error
 		synctest.Test(t, func(t *testing.T) {
-			w := &grantWorld{t: t, table: storetest.New(), random: rand.New(rand.NewPCG(seed, 2)), nodes: make([]*grantNode, 3)}
+			w := &grantSimulation{t: t, table: storetest.New(), random: rand.New(rand.NewPCG(seed, 2)), nodes: make([]*grantNode, 3)}
 			failure = w.run(size, faulty)
 			granted += w.granted
 		})
@@ -252,7 +252,7 @@
 	t.Logf("%d grants", granted)
 }
 
-func (w *grantWorld) run(size, faulty int) error {
+func (w *grantSimulation) run(size, faulty int) error {
 	w.table.SetFault(func(string, bool) storetest.Fault {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
--- a/internal/directory/layout.go
+++ b/internal/directory/layout.go
@@ -26,16 +26,17 @@
 
 func (l Layout) count() int { return max(1, len(l.regions)) }
 
-// SlotIn returns the slot of a region that a hash falls into. A region that is not in the layout
+// SlotIn returns the slot that a hash falls into, within a region. A region that is not in the layout
 // shares the slots of one that is; the choice is the same on all nodes.
 func (l Layout) SlotIn(region string, hash uint64) int {
 	return l.index(region)*slotsPerRegion + SlotOf(hash)
 }
 
-// Spread returns the slot that a hash falls into, in the region selected by turn modulo the number
-// of regions. Consecutive values of turn are spread over all regions.
-func (l Layout) Spread(turn, hash uint64) int {
-	return int(turn%uint64(l.count()))*slotsPerRegion + SlotOf(hash)
+// Spread returns the slot that a hash falls into, within the region number selector modulo the number
+// of regions. It is for keys that have one slot over all regions instead of one per region;
+// consecutive selectors spread them over the regions.
+func (l Layout) Spread(selector, hash uint64) int {
+	return int(selector%uint64(l.count()))*slotsPerRegion + SlotOf(hash)
 }
 
 // RegionOf returns the region of a slot; empty if the layout has no named regions.
--- a/internal/directory/lease.go
+++ b/internal/directory/lease.go
@@ -10,13 +10,13 @@
 )
 
 // Hints need no proof of ownership, but lending does: two owners of one slot would lend the same
-// part of a limit twice. An owner may lend only for leaseDuration after it sent a request in which the store
-// confirmed its ownership. A process that takes a slot over from one that may still be running
-// waits for leaseDuration before it lends. Both measure with their own monotonic clock, so an owner
-// that resumes after a pause finds its lease expired.
+// part of a limit twice. When the store confirms an ownership, the owner may lend for leaseDuration,
+// counted from when it sent the request. A process that takes a slot over from one that may still be
+// running waits for leaseDuration before it lends. Both measure with their own monotonic clock, so an
+// owner that resumes after a pause finds its lease expired.
 
 // leaseDuration is how long a confirmed ownership lets the owner lend. It outlasts most outages of the
-// store, and bounds the time without lending after an owner fails.
+// store. It is also how long the slot lends nothing after it was taken over from a failed owner.
 const leaseDuration = 4 * time.Second
 
 // LongestLease is how long a process that lost a slot without noticing may go on lending.
@@ -27,14 +27,14 @@
 	number      uint64    // increases with each acquisition by this process
 	lendFrom    time.Time // earliest time to lend; earlier owners' leases have expired by then
 	confirmedAt time.Time // send time of the last request that confirmed the ownership; zero if none
-	before      Bequest
+	before      Bequest   // what earlier owners may have lent
 	acquiredAt  time.Time // when this process acquired the slot
 	// granted holds the grants made, by program.
 	granted map[string]grantRecord
 }
 
-// Bequest is what a new owner must assume its predecessors to have lent. Ordinary lending is
-// assumed always and needs no record in the store.
+// Bequest is what a new owner must assume its predecessors to have lent. It always
+// assumes ordinary lending, up to a part of each limit, which needs no record in the store.
 type Bequest struct {
 	All    bool     // the full limit of every tenant
 	Raised []string // tenants whose full limit may be lent
@@ -48,8 +48,8 @@
 	Number uint64    // identifies the ownership; differs if the slot was lost and acquired again
 	Since  time.Time // start of the lease; earlier owners lend nothing from then on
 	Until  time.Time // end of the lease unless it is renewed
-	Before Bequest
-	Raised []string // tenants whose full limit may be lent, as recorded in the store
+	Before Bequest   // what earlier owners may have lent
+	Raised []string  // tenants whose full limit may be lent, as recorded in the store
 }
 
 // Valid reports whether the owner may lend at time now.
@@ -125,8 +125,8 @@
 	d.Proven(proven, sent)
 }
 
-// updateOwnership begins or ends this process's ownership of a slot after its row has changed. The caller
-// must hold d.mutex.
+// updateOwnership begins or ends this process's ownership of a slot after its row has changed from
+// before. The caller must hold d.mutex.
 func (d *Directory) updateOwnership(slot int, before owner) {
 	if d.owners[slot].Process != d.options.Self.Process {
 		delete(d.ownerships, slot)
@@ -159,10 +159,11 @@
 	clear(d.ownerships)
 }
 
-// Settle updates the row of one slot that this process has owned for so long that all loans of its
-// predecessors have expired. It reports whether there was such a slot.
+// Settle clears Unsettled in the row of one slot that this process has owned for so long that all
+// loans of its predecessors have expired. It reports whether there was such a slot, also if the
+// write failed.
 func (d *Directory) Settle(ctx context.Context) bool {
-	slot, ok := d.unsettled()
+	slot, ok := d.slotToSettle()
 	if !ok {
 		return false
 	}
@@ -170,20 +171,20 @@
 	return true
 }
 
-func (d *Directory) unsettled() (int, bool) {
+func (d *Directory) slotToSettle() (int, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for slot := range d.ownerships {
-		if d.owners[slot].lending.All && d.settles(slot) {
+		if d.owners[slot].lending.All && d.priorLoansExpired(slot) {
 			return slot, true
 		}
 	}
 	return 0, false
 }
 
-// settles reports whether all loans made before this process owned the slot have expired. The
+// priorLoansExpired reports whether all loans made before this process owned the slot have expired. The
 // caller must hold d.mutex.
-func (d *Directory) settles(slot int) bool {
+func (d *Directory) priorLoansExpired(slot int) bool {
 	held, ok := d.ownerships[slot]
 	return ok && time.Since(held.lendFrom) > d.options.LentFor
 }
@@ -208,9 +209,9 @@
 }
 
 // rewrite updates the row of a slot that this process owns, with the raised tenants changed by
-// change. Rewrites are serialized, so that none overwrites another's change. event is the log
+// update. Rewrites are serialized, so that none overwrites another's change. event is the log
 // message on success.
-func (d *Directory) rewrite(ctx context.Context, slot int, change func(raised []string) []string, event string) (written bool) {
+func (d *Directory) rewrite(ctx context.Context, slot int, update func(raised []string) []string, event string) (written bool) {
 	select {
 	case d.rewriteLock <- struct{}{}:
 	case <-ctx.Done():
@@ -224,8 +225,8 @@
 	}
 	known := d.owners[slot].lending
 	next := rowOf(d.options.Self)
-	next.Raised = change(known.Raised)
-	next.Unsettled = known.All && !d.settles(slot)
+	next.Raised = update(known.Raised)
+	next.Unsettled = known.All && !d.priorLoansExpired(slot)
 	d.mutex.Unlock()
 	written, err := d.put(ctx, slot, next, event)
 	if err != nil && ctx.Err() == nil {
--- a/internal/directory/lease_test.go
+++ b/internal/directory/lease_test.go
@@ -15,7 +15,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// confirmClaims checks a node's claims in the store and reports the result to its directory, as a server does.
+// confirmClaims checks a node's claims in the store and reports the result to its directory, as a
+// server does.
 func (c *cluster) confirmClaims(d *Directory) {
 	claims, sent := d.Claims(), time.Now()
 	_, err := c.table.Commit(context.Background(), store.Transaction{Conditions: claims})
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -18,8 +18,8 @@
 // regionZones has two zones in each of three regions.
 var regionZones = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 
-// newRegionalCluster starts nodes in three regions: node i is in region i modulo 3, and the nodes of a region
-// alternate between its zones.
+// newRegionalCluster starts nodes in three regions: node i is in region i modulo 3, and the nodes of
+// a region alternate between its zones.
 func newRegionalCluster(nodes int) *cluster {
 	c := newCluster(0)
 	c.places, c.zones = locality.NewMap(regionZones), map[string]string{}
@@ -113,9 +113,9 @@
 		c.mutex.Lock()
 		c.partitionedRegion = ""
 		c.mutex.Unlock()
-		looks := c.table.Watches()
+		watches := c.table.Watches()
 		time.Sleep(time.Second)
-		require.LessOrEqual(t, c.table.Watches()-looks, 6, "at most half of the nodes read the store")
+		require.LessOrEqual(t, c.table.Watches()-watches, 6, "at most half of the nodes read the store")
 	})
 }
 
--- a/internal/directory/slots.go
+++ b/internal/directory/slots.go
@@ -26,11 +26,11 @@
 const (
 	// startJitter is the window over which nodes that start together begin to claim slots.
 	startJitter = time.Second
-	// claimInterval is the mean interval between a node's claims while slots are vacant. It lets
-	// the other nodes claim their share.
+	// claimInterval plus minRefreshInterval is the mean interval between a node's claims while slots
+	// are vacant. It lets the other nodes claim their share.
 	claimInterval = 100 * time.Millisecond
-	// pollInterval is the mean interval between reads of the slots without any sign of change. It
-	// also bounds how long an owner that lost a slot may go without noticing.
+	// pollInterval is the mean interval between reads of the slots without any sign of change. An
+	// owner that lost a slot may take as long to notice.
 	pollInterval = 20 * time.Second
 	// retryDelay is the mean delay after a failed read. A stale view only costs hints, so the
 	// delay is long enough to spare a store in trouble.
@@ -43,8 +43,9 @@
 	// over, and takeoverMinFailures the minimum number of unanswered requests.
 	takeoverDelay       = 3 * time.Second
 	takeoverMinFailures = 2
-	// probeTimeout is the timeout of the last probe before a takeover. It is long, so that slow
-	// nodes do not lose their slots: a slot that changes owners lends nothing for longer than a probe takes.
+	// probeTimeout is the timeout of the last probe before a takeover. It is long, so that slow nodes
+	// keep their slots: waiting for a probe costs less than a takeover, after which the slot lends
+	// nothing for leaseDuration.
 	probeTimeout = time.Second
 	// connectedWindow is how recently some owner must have answered before this node takes over an
 	// unresponsive owner's slot. A node without any answers may itself be partitioned.
@@ -235,8 +236,9 @@
 	return true
 }
 
-// ownerAlive probes the owner of a slot and reports whether it confirmed its ownership. It also reports
-// true if ctx ended first, so that the slot is not claimed.
+// ownerAlive probes the owner of a slot and reports whether it confirmed its ownership. It also
+// reports true if ctx ended first, so that the slot is not claimed. A vacant slot, or one of an
+// earlier process at this address, is not probed and has no live owner.
 func (d *Directory) ownerAlive(ctx context.Context, slot int) bool {
 	d.mutex.Lock()
 	known := d.owners[slot]
@@ -302,9 +304,9 @@
 	}
 }
 
-// probeOtherRegion probes the owner of a slot in another region if an owner in this region has failed and
-// no owner has answered recently. It lets the last node of a region find out whether the node
-// itself is partitioned.
+// probeOtherRegion probes the owner of a slot in another region if an owner in this region has failed
+// and no owner has answered recently. It lets the last node of a region find out whether it is
+// itself partitioned.
 func (d *Directory) probeOtherRegion(ctx context.Context) {
 	if slot, ok := d.otherRegionSlot(); ok {
 		d.ownerAlive(ctx, slot)
--- a/internal/directory/turns.go
+++ b/internal/directory/turns.go
@@ -54,8 +54,8 @@
 	go d.ask(context.Background(), Request{Program: program, From: d.options.Self, Ran: turn})
 }
 
-// RanBy returns the other process that ran a turn of a program. The result is a hint. It is false if
-// this process ran the turn, or if the slot's owner has no record, is unknown or does not answer.
+// RanBy returns the other process that ran a turn of a program, as a hint. It returns false if this
+// process ran the turn, or if the slot's owner has no record, is unknown or does not answer.
 func (d *Directory) RanBy(ctx context.Context, program, turn string) (budget.Holder, bool) {
 	answer := d.ask(ctx, Request{Program: program, From: d.options.Self, After: turn})
 	return answer.RanBy, answer.RanBy.Process != "" && answer.RanBy != d.options.Self
