--- a/internal/follow/churn.go
+++ b/internal/follow/churn.go
@@ -101,7 +101,7 @@
 	}
 	f.churning = churning
 	f.options.Logger.WithField("table", f.options.Table).WithField("reread", churning).WithField("every_ms", f.rereadInterval().Milliseconds()).
-		Info("switched between the feed and rereading the table")
+		Info("changed how the table is followed: by rereading it at intervals if reread is true, else by its feed")
 }
 
 // reread reads the part again, and switches back to the feed if few rows have changed since.
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,4 +1,4 @@
-// Package follow keeps a local copy of a table up to date. It reads the rows once, then long-polls
+// Package follow keeps a local copy of a store table up to date. It reads the rows once, then long-polls
 // the table for changes. A read that is older than the copy is discarded.
 package follow
 
@@ -39,7 +39,8 @@
 	Replace func(Reading)
 	// Change applies changed rows.
 	Change func(rows []store.Row)
-	// Lost is called when the table stops and starts responding; may be nil.
+	// Lost is called with true when the table stops responding, and with false when it responds
+	// again; may be nil.
 	Lost func(lost bool)
 	// Fresh is how soon after trouble with the table the copy must be up to date again; 0 means no
 	// requirement. A lost response is noticed only when the poll times out, so polls are shorter
@@ -56,8 +57,9 @@
 	Logger log.Interface
 }
 
-// Reading is a snapshot of a table, or of a part of it. A row that is not in it did not exist at
-// Version or, if Whole is false, may be outside the part.
+// Reading is a snapshot of a table, or of a part of it. Version is the table's version when the read
+// began; rows may be newer. A row that is not in Rows did not exist at Version, has been removed
+// since or, if Whole is false, may be outside the part.
 type Reading struct {
 	Rows    []store.Row
 	Version store.Version
@@ -81,7 +83,7 @@
 
 	mutex          sync.Mutex      // guards the fields below, and serializes calls of Replace and Change
 	version        store.Version   // newest version applied
-	loaded         bool            // the initial read is complete
+	loaded         bool            // the rows have been read, and need not be read anew
 	span           span            // the part of the table that is kept
 	requested      map[string]bool // rows outside the part that are kept because they were asked for
 	requestedOrder []string        // the same rows, oldest request first
@@ -176,7 +178,7 @@
 }
 
 // errStale reports a response that is older than the known state.
-var errStale = errors.New("the table returned a state older than the known one; it will be read again")
+var errStale = errors.New("the table returned a state older than the known one; read it again")
 
 // readWhole reads all pages that follow page, which may be empty, and applies each as it arrives.
 // Changes made after the first page was read are delivered by the feed next.
@@ -248,7 +250,7 @@
 	switch {
 	case ctx.Err() != nil:
 	case errors.Is(err, store.ErrHistoryGone):
-		entry.Warn("the table's change history is gone; reading the whole table again")
+		entry.Warn("the table's change history is gone; reading the table again")
 	case err != nil && f.lostSince.IsZero():
 		f.lostSince = time.Now()
 		f.notifyLost(true)
--- a/internal/follow/part.go
+++ b/internal/follow/part.go
@@ -28,9 +28,9 @@
 	sampleRows = 64
 	// maxWholeRows is the number of rows up to which a table is kept whole, about 0.2 MB of workers.
 	maxWholeRows = 600
-	// minPartRows is the minimum number of rows of a part. The part grows by minGrowRows or by half its
-	// size, whichever is larger. With 10,000 workers of two services in five zones, 96 rows include
-	// about 17 model workers and two others in the node's own zone.
+	// minPartRows is the minimum number of rows of a part, except during churn. The part grows by
+	// minGrowRows or by half its size, whichever is larger. With 10,000 workers of two services in
+	// five zones, 96 rows include about 17 model workers and two others in the node's own zone.
 	minPartRows = 96
 	minGrowRows = 48
 	// maxDrawAttempts limits the attempts to find a position that has rows after it.
@@ -64,7 +64,7 @@
 	}
 }
 
-// until returns the name at which the next page must end; empty means the end of the table.
+// until returns the name before which the next page must end; empty means the end of the table.
 func (s span) until() string {
 	if s.wrapped {
 		return s.from
@@ -202,7 +202,7 @@
 	return rows
 }
 
-// filterKept returns the changed rows that belong to the part or were asked for. The caller must hold
+// filterKept returns the changed rows that belong to the part or were requested. The caller must hold
 // f.mutex.
 func (f *Follower) filterKept(rows []store.Row) []store.Row {
 	if f.options.Part == nil || f.span.whole {
@@ -236,7 +236,8 @@
 }
 
 // AskAt calls Ask with a position derived from text. All processes get the same position for the same
-// text. It returns ErrNoNamePattern if no position with rows was found.
+// text. It returns ErrNoNamePattern if the table has not been read in part yet, or if no position with
+// rows was found.
 func (f *Follower) AskAt(ctx context.Context, text string, limit int) ([]store.Row, error) {
 	pattern := f.names.Load()
 	if pattern == nil {
@@ -254,8 +255,8 @@
 	return nil, ErrNoNamePattern
 }
 
-// applyRequested applies requested rows. It returns false if the page is older than the known state, since
-// changes of its rows may have been skipped.
+// applyRequested applies requested rows. It returns false, and applies none, if the page is older than
+// the known state, since changes of its rows may have been skipped, or if the table must be read anew.
 func (f *Follower) applyRequested(page store.Page) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
