--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -22,49 +22,49 @@
 
 // Headers of the peer protocol, in canonical form.
 const (
-	headerKey      = "X-Cloverwheel-Key"
-	headerVersion  = "X-Cloverwheel-Version"
-	headerDeadline = "X-Cloverwheel-Deadline" // milliseconds left
-	headerAnswer   = "X-Cloverwheel-Answer"   // hash of the response schema that the caller knows
+	headerKey            = "X-Cloverwheel-Key"
+	headerVersion        = "X-Cloverwheel-Version"
+	headerDeadline       = "X-Cloverwheel-Deadline" // milliseconds until the caller's deadline
+	headerResponseSchema = "X-Cloverwheel-Answer"   // hash of the response schema that the caller has cached
 )
 
-// Paths of the peer protocol; the method's name follows.
+// Path prefixes of the peer protocol; the method name follows.
 const (
 	pathCall   = "/peer/call/"
 	pathStream = "/peer/stream/"
 )
 
-// Health checks of connections, so that one to a machine that vanished without
-// closing it is given up.
+// HTTP/2 keepalive pings detect connections to a machine that disappeared
+// without closing them.
 const (
 	pingAfterSilence = 10 * time.Second
 	pingTimeout      = 5 * time.Second
 )
 
-// Windows of HTTP/2 flow control in bytes: one stream's share of memory while
-// its receiver is slow, and that of a whole connection.
+// HTTP/2 flow control windows in bytes. They bound the memory that one stream,
+// and one connection, can occupy while its receiver is slow.
 const (
 	streamWindow     = 1 << 20
 	connectionWindow = 64 << 20
 )
 
-// maxConcurrentStreams bounds the calls on one connection; more of them open
-// further connections.
+// maxConcurrentStreams limits the requests on one connection. Further requests
+// open additional connections.
 const maxConcurrentStreams = 1000
 
-// HTTPTransport calls other nodes over HTTP/2.
+// HTTPTransport implements Transport over HTTP/2.
 type HTTPTransport struct {
-	options  Options
-	scheme   string
-	lines    sync.Map // Address → *line
-	metrics  *metrics
-	calls    atomic.Int64
-	streams  atomic.Int64
-	versions sync.Map // Address → the version in which it is called, where that was agreed
-	answers  sync.Map // method → hash of its last response's schema, for headerAnswer
+	options         Options
+	scheme          string
+	nodes           sync.Map // Address → *nodeTransport
+	metrics         *metrics
+	calls           atomic.Int64
+	streams         atomic.Int64
+	versions        sync.Map // Address → negotiated protocol version (int)
+	responseSchemas sync.Map // method → formatted hash of its last response schema, sent in headerResponseSchema
 }
 
-// NewHTTPTransport returns a transport that opens connections as needed.
+// NewHTTPTransport returns a transport that opens connections on demand.
 func NewHTTPTransport(options Options) *HTTPTransport {
 	options = options.withDefaults()
 	t := &HTTPTransport{options: options, scheme: "http", metrics: newMetrics("client", options.Registerer)}
@@ -74,18 +74,18 @@
 	return t
 }
 
-// newGeneration returns a transport that has no connection yet.
-func (t *HTTPTransport) newGeneration() *generation {
-	g := &generation{
-		guard:  t.options.Guard,
-		dialer: net.Dialer{Timeout: t.options.DialTimeout},
-		after:  t.options.QuietTime,
-		began:  time.Now(),
+// newTrackedTransport returns an HTTP transport that has no connections yet.
+func (t *HTTPTransport) newTrackedTransport() *trackedTransport {
+	tracked := &trackedTransport{
+		guard:     t.options.Guard,
+		dialer:    net.Dialer{Timeout: t.options.DialTimeout},
+		quietTime: t.options.QuietTime,
+		createdAt: time.Now(),
 	}
 	protocols := &http.Protocols{}
-	g.transport = &http.Transport{
+	tracked.transport = &http.Transport{
 		Protocols:          protocols,
-		DialContext:        g.dial,
+		DialContext:        tracked.dial,
 		IdleConnTimeout:    t.options.IdleTimeout,
 		DisableCompression: true,
 		HTTP2: &http.HTTP2Config{
@@ -97,18 +97,18 @@
 	}
 	if t.options.TLS == nil {
 		protocols.SetUnencryptedHTTP2(true)
-		return g
+		return tracked
 	}
 	protocols.SetHTTP2(true)
-	g.transport.TLSClientConfig = t.options.TLS.clientConfig()
-	g.transport.TLSHandshakeTimeout = t.options.DialTimeout
-	return g
+	tracked.transport.TLSClientConfig = t.options.TLS.clientConfig()
+	tracked.transport.TLSHandshakeTimeout = t.options.DialTimeout
+	return tracked
 }
 
-// Close gives up idle connections.
+// Close closes idle connections. Requests in progress are not affected.
 func (t *HTTPTransport) Close() {
-	t.lines.Range(func(_, known any) bool {
-		known.(*line).closeIdle()
+	t.nodes.Range(func(_, known any) bool {
+		known.(*nodeTransport).closeIdle()
 		return true
 	})
 }
@@ -117,7 +117,7 @@
 func (t *HTTPTransport) Call(ctx context.Context, to Address, method string, request []byte) ([]byte, error) {
 	if t.calls.Add(1) > int64(t.options.MaxCalls) {
 		t.calls.Add(-1)
-		return nil, tooMany(to, t.options.MaxCalls)
+		return nil, overloadedError(to, t.options.MaxCalls)
 	}
 	defer t.calls.Add(-1)
 	answer, err := t.call(ctx, to, method, request)
@@ -132,33 +132,33 @@
 	}
 	defer response.Body.Close()
 	if response.ContentLength > int64(t.options.MaxResponse) {
-		return nil, tooLarge("response", uint64(response.ContentLength), t.options.MaxResponse).WithRan(fault.RanYes)
+		return nil, tooLargeError("response", uint64(response.ContentLength), t.options.MaxResponse).WithRan(fault.RanYes)
 	}
 	if response.ContentLength < 0 {
-		return nil, unreachable(to, fault.RanUnknown)
+		return nil, unavailableError(to, fault.RanUnknown)
 	}
 	answer, err := readSized(response.Body, int(response.ContentLength))
 	if err != nil {
-		return nil, unreachable(to, fault.RanUnknown)
+		return nil, unavailableError(to, fault.RanUnknown)
 	}
 	t.metrics.received.WithLabelValues(method).Add(float64(len(answer)))
-	whole, hash, known := restore(answer)
+	whole, hash, known := restoreSchema(answer)
 	if !known {
-		return nil, unreachable(to, fault.RanUnknown)
+		return nil, unavailableError(to, fault.RanUnknown)
 	}
-	t.learnAnswer(method, hash)
+	t.cacheResponseSchema(method, hash)
 	return whole, nil
 }
 
-// learnAnswer remembers the schema of a method's responses, so that the next
-// ones can come without it.
-func (t *HTTPTransport) learnAnswer(method string, hash uint64) {
+// cacheResponseSchema stores the hash of a method's response schema, so that the
+// server can omit the schema from later responses.
+func (t *HTTPTransport) cacheResponseSchema(method string, hash uint64) {
 	if hash == 0 {
 		return
 	}
 	formatted := formatHash(hash)
-	if last, ok := t.answers.Load(method); !ok || last.(string) != formatted {
-		t.answers.Store(method, formatted)
+	if last, ok := t.responseSchemas.Load(method); !ok || last.(string) != formatted {
+		t.responseSchemas.Store(method, formatted)
 	}
 }
 
@@ -166,7 +166,7 @@
 func (t *HTTPTransport) Stream(ctx context.Context, to Address, method string, request []byte, receive func([]byte) error) error {
 	if t.streams.Add(1) > int64(t.options.MaxStreams) {
 		t.streams.Add(-1)
-		return tooMany(to, t.options.MaxStreams)
+		return overloadedError(to, t.options.MaxStreams)
 	}
 	defer t.streams.Add(-1)
 	err := t.stream(ctx, to, method, request, receive)
@@ -183,7 +183,7 @@
 	}
 	defer response.Body.Close()
 	reader := bufio.NewReader(response.Body)
-	var schema []byte // of the last item that came whole
+	var schema []byte // of the last item received with its schema
 	for {
 		kind, payload, err := readFrame(reader, t.options.MaxItem)
 		if err != nil {
@@ -193,7 +193,7 @@
 		switch kind {
 		case frameItem:
 			if len(payload) > 0 && payloadKind(payload[0]) == payloadSchema {
-				schema, _, _ = splitSchema(payload) // Decode reports a bad one
+				schema, _, _ = splitSchema(payload) // Decode reports a malformed schema
 			}
 			if err := receive(payload); err != nil {
 				return err
@@ -207,36 +207,38 @@
 		case frameFault:
 			return decodeFault(to, payload)
 		default:
-			return unreachable(to, fault.RanUnknown)
+			return unavailableError(to, fault.RanUnknown)
 		}
 	}
 }
 
-// streamFailure keeps a typed refusal and types every other failure.
+// streamFailure keeps a fault.TooLarge error and reports any other failure as
+// fault.Unavailable.
 func streamFailure(to Address, err error) error {
 	if fault.Is(err, fault.TooLarge) {
 		return fault.From(err).WithRan(fault.RanUnknown)
 	}
-	return unreachable(to, fault.RanUnknown)
+	return unavailableError(to, fault.RanUnknown)
 }
 
-// send posts the request, without its schema where the peer knows it, and
-// returns the response once its status is 200.
+// send posts the request and returns the response if its status is 200. The
+// schema is omitted at first and sent on status 428. After status 426 the request
+// is sent again in the negotiated protocol version.
 func (t *HTTPTransport) send(ctx context.Context, to Address, path, method string, request []byte) (*http.Response, error) {
 	if len(request) > t.options.MaxRequest {
-		return nil, tooLarge("request", uint64(len(request)), t.options.MaxRequest)
+		return nil, tooLargeError("request", uint64(len(request)), t.options.MaxRequest)
 	}
 	if ctx.Err() != nil {
-		return nil, unreachable(to, fault.RanNo)
+		return nil, unavailableError(to, fault.RanNo)
 	}
-	short, hash := elide(request)
+	short, hash := elideSchema(request)
 	response, err := t.post(ctx, to, path, method, short)
 	if err == nil && hash != 0 && response.StatusCode == http.StatusPreconditionRequired {
 		_ = response.Body.Close()
 		response, err = t.post(ctx, to, path, method, request)
 	}
-	if err == nil && t.agree(to, response) && response.StatusCode == http.StatusUpgradeRequired {
-		_ = response.Body.Close() // refused before it was read
+	if err == nil && t.negotiateVersion(to, response) && response.StatusCode == http.StatusUpgradeRequired {
+		_ = response.Body.Close() // the server rejects a version before it reads the body
 		response, err = t.post(ctx, to, path, method, request)
 	}
 	if err != nil {
@@ -249,21 +251,21 @@
 	return nil, readFault(to, response)
 }
 
-// post sends one HTTP request and returns the response whatever its status.
+// post sends one HTTP request and returns the response with any status.
 func (t *HTTPTransport) post(ctx context.Context, to Address, path, method string, payload []byte) (*http.Response, error) {
 	body := &requestBody{}
 	response, err := t.roundTrip(ctx, to, func(ctx context.Context) *http.Request {
 		request := t.newRequest(ctx, to, path+method, payload, body)
-		if hash, ok := t.answers.Load(method); ok {
-			request.Header[headerAnswer] = []string{hash.(string)}
+		if hash, ok := t.responseSchemas.Load(method); ok {
+			request.Header[headerResponseSchema] = []string{hash.(string)}
 		}
 		return request
 	})
 	if err != nil && errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, unreachable(to, body.ran()).WithHint(HintRefused)
+		return nil, unavailableError(to, body.ran()).WithHint(HintRefused)
 	}
 	if err != nil {
-		return nil, unreachable(to, body.ran())
+		return nil, unavailableError(to, body.ran())
 	}
 	t.metrics.sent.WithLabelValues(method).Add(float64(len(payload)))
 	return response, nil
@@ -271,7 +273,7 @@
 
 func (t *HTTPTransport) newRequest(ctx context.Context, to Address, path string, payload []byte, body *requestBody) *http.Request {
 	header := make(http.Header, 4)
-	header[headerVersion] = []string{strconv.Itoa(t.agreed(to))}
+	header[headerVersion] = []string{strconv.Itoa(t.versionFor(to))}
 	if key := t.options.Keys.own(); key != "" {
 		header[headerKey] = []string{key}
 	}
@@ -292,9 +294,9 @@
 	return request.WithContext(ctx)
 }
 
-// requestBody remembers whether any byte of the body was handed to the
-// network. The server handles a request only when it has the whole body, so a
-// body that was never read proves that the request did not run.
+// requestBody records whether any byte of the body was read for sending. The
+// server runs a request only after it has received the whole body, so a body that
+// was never read proves that the request did not run.
 type requestBody struct {
 	read atomic.Bool
 }
@@ -330,17 +332,17 @@
 // Close implements io.Closer.
 func (r *bodyReader) Close() error { return nil }
 
-// readFault reads the typed error in a response that is not 200.
+// readFault decodes the typed error of a response whose status is not 200.
 func readFault(to Address, response *http.Response) error {
 	if response.StatusCode == http.StatusUnauthorized {
-		return refusedKey(to)
+		return unauthorizedError(to)
 	}
 	if response.ContentLength <= 0 || response.ContentLength > maxFault {
-		return unreachable(to, fault.RanUnknown)
+		return unavailableError(to, fault.RanUnknown)
 	}
 	payload, err := readSized(response.Body, int(response.ContentLength))
 	if err != nil {
-		return unreachable(to, fault.RanUnknown)
+		return unavailableError(to, fault.RanUnknown)
 	}
 	return decodeFault(to, payload)
 }
@@ -348,16 +350,16 @@
 func decodeFault(to Address, payload []byte) error {
 	var typed fault.Error
 	if err := Decode(payload, &typed); err != nil {
-		return eris.Wrap(unreachable(to, fault.RanUnknown), "undecodable error")
+		return eris.Wrap(unavailableError(to, fault.RanUnknown), "decode typed error")
 	}
 	return &typed
 }
 
-func refusedKey(to Address) *fault.Error {
-	return fault.Newf(fault.Unauthorized, "give all nodes the same peer key", "node at %s refused this node's key", to)
+func unauthorizedError(to Address) *fault.Error {
+	return fault.Newf(fault.Unauthorized, "give all nodes the same peer key", "node at %s rejected this node's key", to)
 }
 
-func tooMany(to Address, limit int) *fault.Error {
-	return fault.Newf(fault.Overloaded, "come back later", "%d messages to other nodes are in progress, next for %s", limit, to).
+func overloadedError(to Address, limit int) *fault.Error {
+	return fault.Newf(fault.Overloaded, "retry later", "%d messages to other nodes are in progress, next for %s", limit, to).
 		WithRetryAfter(overloadRetryAfter)
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -17,20 +17,20 @@
 type payloadKind byte
 
 const (
-	// payloadPlain is followed by one self-contained gob stream. It carries
-	// types with interface fields, whose descriptors depend on the value.
+	// payloadPlain is followed by one self-contained gob stream. It is used for
+	// types with interface fields, whose type descriptors depend on the value.
 	payloadPlain payloadKind = 1
-	// payloadSchema is followed by the size and bytes of the gob descriptors of
-	// the message's type, its schema, and then by the value alone.
+	// payloadSchema is followed by the length and bytes of the gob type
+	// descriptors (the schema), and then by the encoded value alone.
 	payloadSchema payloadKind = 2
 )
 
-// Bounds of what a codec keeps between messages.
+// Limits on the state that is kept between messages.
 const (
-	maxIdleCoders  = 32       // for each type, in each direction
-	maxKeptBuffer  = 64 << 10 // bytes; a coder that grew beyond is dropped
-	maxSchemas     = 16       // descriptors remembered for each received type
-	maxSchemaBytes = 16 << 10
+	maxIdleCoders   = 32       // for each type and direction
+	maxReusedBuffer = 64 << 10 // bytes; coders with larger buffers are not reused
+	maxSchemas      = 16       // cached for each received type
+	maxSchemaBytes  = 16 << 10
 )
 
 var (
@@ -38,8 +38,8 @@
 	decoders sync.Map // reflect.Type → *decoderPool
 )
 
-// Encode returns value in gob. Compiling a type is most of gob's cost, so
-// encoders that have already sent the type's descriptors are reused.
+// Encode returns value encoded with gob. Most of the cost of gob is compiling the
+// type, so encoders that have already sent the type descriptors are reused.
 func Encode(value any) ([]byte, error) {
 	reflected := reflect.Indirect(reflect.ValueOf(value))
 	if !reflected.IsValid() {
@@ -48,7 +48,8 @@
 	return encoderPoolOf(reflected.Type()).encode(reflected)
 }
 
-// Decode reads one encoded value from payload into target, a pointer.
+// Decode decodes one encoded value from payload into target, a pointer. Its error
+// is a fault.Invalid.
 func Decode(payload []byte, target any) error {
 	if err := decode(payload, target); err != nil {
 		return fault.Newf(fault.Invalid, "run the same version on all nodes", "undecodable peer message: %v", err)
@@ -68,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		if !soleMessage(value) {
+		if !isSingleMessage(value) {
 			return eris.New("value is not one gob message")
 		}
 		return decoderPoolOf(reflect.TypeOf(target)).decode(schema, value, target)
@@ -77,11 +78,11 @@
 	}
 }
 
-// soleMessage reports whether value is exactly one gob message by its length
-// prefix, so that it cannot bring descriptors which would outlive it in a reused
-// decoder. gob writes a length below 128 as one byte, and a larger one
-// big-endian behind the negated count of its bytes.
-func soleMessage(value []byte) bool {
+// isSingleMessage reports whether value is exactly one gob message according to its
+// length prefix. Otherwise it could carry type descriptors that would remain in a
+// reused decoder. gob writes a length below 128 as one byte, and a larger one
+// big-endian after the negated count of its bytes.
+func isSingleMessage(value []byte) bool {
 	if len(value) == 0 {
 		return false
 	}
@@ -99,7 +100,7 @@
 	return length == len(value)-1-width
 }
 
-// splitSchema parts a payload of kind payloadSchema.
+// splitSchema splits a payloadSchema payload into schema and value.
 func splitSchema(payload []byte) (schema, value []byte, err error) {
 	size, width := binary.Uvarint(payload[1:])
 	if width <= 0 || size > maxSchemaBytes || size > uint64(len(payload)-1-width) {
@@ -119,19 +120,19 @@
 	return append(payload, value...)
 }
 
-// prime settles the gob numbers of a type. Handlers are registered in the same
-// order on all nodes of one version, so their schemas are equal byte for byte.
-func prime(kind reflect.Type) *encoderPool {
-	for kind.Kind() == reflect.Pointer {
-		kind = kind.Elem()
+// registerType assigns the gob type numbers of a type. All nodes of one version
+// register handlers in the same order, so their schemas are equal byte for byte.
+func registerType(goType reflect.Type) *encoderPool {
+	for goType.Kind() == reflect.Pointer {
+		goType = goType.Elem()
 	}
-	return encoderPoolOf(kind)
+	return encoderPoolOf(goType)
 }
 
-// encoderPool holds encoders that have sent the descriptors of one type.
+// encoderPool holds encoders that have already sent the descriptors of one type.
 type encoderPool struct {
-	kind   reflect.Type
-	schema []byte // nil when messages are plain
+	goType reflect.Type
+	schema []byte // nil: messages are encoded as payloadPlain
 	idle   freeList[*primedEncoder]
 }
 
@@ -140,31 +141,31 @@
 	encoder *gob.Encoder
 }
 
-func encoderPoolOf(kind reflect.Type) *encoderPool {
-	if known, ok := encoders.Load(kind); ok {
+func encoderPoolOf(goType reflect.Type) *encoderPool {
+	if known, ok := encoders.Load(goType); ok {
 		return known.(*encoderPool)
 	}
-	pool := &encoderPool{kind: kind, schema: schemaOf(kind)}
+	pool := &encoderPool{goType: goType, schema: schemaOf(goType)}
 	if pool.schema != nil {
 		knownSchemas.add(pool.schema)
 	}
-	known, _ := encoders.LoadOrStore(kind, pool)
+	known, _ := encoders.LoadOrStore(goType, pool)
 	return known.(*encoderPool)
 }
 
-// schemaOf returns the descriptors that gob sends ahead of the first value, or
-// nil for a type whose descriptors depend on the value.
-func schemaOf(kind reflect.Type) []byte {
-	if holdsInterface(kind, map[reflect.Type]bool{}) {
+// schemaOf returns the type descriptors that gob sends before the first value, or
+// nil if they depend on the value or are too large.
+func schemaOf(goType reflect.Type) []byte {
+	if containsInterface(goType, map[reflect.Type]bool{}) {
 		return nil
 	}
-	primed, err := newPrimedEncoder(kind)
+	primed, err := newPrimedEncoder(goType)
 	if err != nil {
 		return nil
 	}
 	both := bytes.Clone(primed.buffer.Bytes())
 	primed.buffer.Reset()
-	if err := primed.encoder.EncodeValue(reflect.New(kind).Elem()); err != nil {
+	if err := primed.encoder.EncodeValue(reflect.New(goType).Elem()); err != nil {
 		return nil
 	}
 	schema := both[:len(both)-primed.buffer.Len()]
@@ -174,12 +175,12 @@
 	return schema
 }
 
-// newPrimedEncoder returns an encoder whose buffer holds the descriptors and a
-// zero value.
-func newPrimedEncoder(kind reflect.Type) (*primedEncoder, error) {
+// newPrimedEncoder returns an encoder whose buffer holds the type descriptors and
+// a zero value.
+func newPrimedEncoder(goType reflect.Type) (*primedEncoder, error) {
 	primed := &primedEncoder{}
 	primed.encoder = gob.NewEncoder(&primed.buffer)
-	err := primed.encoder.EncodeValue(reflect.New(kind).Elem())
+	err := primed.encoder.EncodeValue(reflect.New(goType).Elem())
 	return primed, err
 }
 
@@ -187,7 +188,7 @@
 	if p.schema == nil {
 		return encodePlain(value)
 	}
-	primed, err := p.take()
+	primed, err := p.get()
 	if err != nil {
 		return nil, eris.Wrap(err, "prime peer encoder")
 	}
@@ -196,20 +197,20 @@
 		return nil, eris.Wrap(err, "encode peer message")
 	}
 	payload := joinSchema(p.schema, primed.buffer.Bytes())
-	p.giveBack(primed)
+	p.put(primed)
 	return payload, nil
 }
 
-func (p *encoderPool) take() (*primedEncoder, error) {
-	if primed, ok := p.idle.take(); ok {
+func (p *encoderPool) get() (*primedEncoder, error) {
+	if primed, ok := p.idle.get(); ok {
 		return primed, nil
 	}
-	return newPrimedEncoder(p.kind)
+	return newPrimedEncoder(p.goType)
 }
 
-func (p *encoderPool) giveBack(primed *primedEncoder) {
-	if primed.buffer.Cap() <= maxKeptBuffer {
-		p.idle.giveBack(primed)
+func (p *encoderPool) put(primed *primedEncoder) {
+	if primed.buffer.Cap() <= maxReusedBuffer {
+		p.idle.put(primed)
 	}
 }
 
@@ -222,7 +223,8 @@
 	return buffer.Bytes(), nil
 }
 
-// decoderPool holds decoders of one target type, by the schema they have read.
+// decoderPool holds decoders for one target type, grouped by the schema that they
+// have already read.
 type decoderPool struct {
 	mutex   sync.RWMutex
 	schemas map[string]*freeList[*primedDecoder]
@@ -233,17 +235,17 @@
 	decoder *gob.Decoder
 }
 
-func decoderPoolOf(kind reflect.Type) *decoderPool {
-	if known, ok := decoders.Load(kind); ok {
+func decoderPoolOf(goType reflect.Type) *decoderPool {
+	if known, ok := decoders.Load(goType); ok {
 		return known.(*decoderPool)
 	}
-	known, _ := decoders.LoadOrStore(kind, &decoderPool{schemas: map[string]*freeList[*primedDecoder]{}})
+	known, _ := decoders.LoadOrStore(goType, &decoderPool{schemas: map[string]*freeList[*primedDecoder]{}})
 	return known.(*decoderPool)
 }
 
 func (p *decoderPool) decode(schema, value []byte, target any) error {
 	idle := p.idleFor(schema)
-	primed, ok := idle.take()
+	primed, ok := idle.get()
 	if !ok {
 		primed = &primedDecoder{}
 		primed.decoder = gob.NewDecoder(&primed.reader)
@@ -256,14 +258,14 @@
 	if primed.reader.Len() > 0 {
 		return eris.New("bytes after the value")
 	}
-	if len(value) <= maxKeptBuffer {
+	if len(value) <= maxReusedBuffer {
 		primed.reader.Reset(nil)
-		idle.giveBack(primed)
+		idle.put(primed)
 	}
 	return nil
 }
 
-// idleFor returns the pool for a schema, or nil if too many are known already.
+// idleFor returns the free list for a schema, or nil if maxSchemas are cached.
 func (p *decoderPool) idleFor(schema []byte) *freeList[*primedDecoder] {
 	p.mutex.RLock()
 	idle := p.schemas[string(schema)]
@@ -280,13 +282,13 @@
 	return idle
 }
 
-// freeList keeps a bounded number of idle coders. A nil list keeps none.
+// freeList holds up to maxIdleCoders idle coders. A nil list holds none.
 type freeList[T any] struct {
 	mutex sync.Mutex
 	idle  []T
 }
 
-func (l *freeList[T]) take() (coder T, ok bool) {
+func (l *freeList[T]) get() (coder T, ok bool) {
 	if l == nil {
 		return coder, false
 	}
@@ -301,7 +303,7 @@
 	return coder, true
 }
 
-func (l *freeList[T]) giveBack(coder T) {
+func (l *freeList[T]) put(coder T) {
 	if l == nil {
 		return
 	}
@@ -317,23 +319,23 @@
 	binaryMarshalerType = reflect.TypeFor[encoding.BinaryMarshaler]()
 )
 
-// holdsInterface reports whether gob would meet an interface value in kind.
-func holdsInterface(kind reflect.Type, seen map[reflect.Type]bool) bool {
-	if seen[kind] || marshalsItself(kind) {
+// containsInterface reports whether gob would encode an interface value in goType.
+func containsInterface(goType reflect.Type, seen map[reflect.Type]bool) bool {
+	if seen[goType] || hasCustomMarshaler(goType) {
 		return false
 	}
-	seen[kind] = true
-	switch kind.Kind() {
+	seen[goType] = true
+	switch goType.Kind() {
 	case reflect.Interface:
 		return true
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		return holdsInterface(kind.Elem(), seen)
+		return containsInterface(goType.Elem(), seen)
 	case reflect.Map:
-		return holdsInterface(kind.Key(), seen) || holdsInterface(kind.Elem(), seen)
+		return containsInterface(goType.Key(), seen) || containsInterface(goType.Elem(), seen)
 	case reflect.Struct:
-		for i := range kind.NumField() {
-			field := kind.Field(i)
-			if field.IsExported() && holdsInterface(field.Type, seen) {
+		for i := range goType.NumField() {
+			field := goType.Field(i)
+			if field.IsExported() && containsInterface(field.Type, seen) {
 				return true
 			}
 		}
@@ -341,7 +343,7 @@
 	return false
 }
 
-func marshalsItself(kind reflect.Type) bool {
-	pointer := reflect.PointerTo(kind)
+func hasCustomMarshaler(goType reflect.Type) bool {
+	pointer := reflect.PointerTo(goType)
 	return pointer.Implements(gobEncoderType) || pointer.Implements(binaryMarshalerType)
 }
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -49,14 +49,14 @@
 	})
 }
 
-// TestCodecAgreesWithPlainGob compares reused coders with gob itself.
-func TestCodecAgreesWithPlainGob(t *testing.T) {
+// TestCodecMatchesPlainGob: reused coders must decode the same values as plain gob.
+func TestCodecMatchesPlainGob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := drawTree(2).Draw(t, "value")
 		payload, err := Encode(value)
 		require.NoError(t, err)
-		short, _ := elide(payload)
-		whole, _, known := restore(short)
+		short, _ := elideSchema(payload)
+		whole, _, known := restoreSchema(short)
 		require.True(t, known)
 		assert.Equal(t, payload, whole)
 		var decoded, plain tree
@@ -68,7 +68,9 @@
 	})
 }
 
-func TestCodecCarriesInterfacesAndRefusesNothingness(t *testing.T) {
+// TestCodecHandlesInterfacesAndRejectsNil: interface fields must survive a round trip, and values that gob
+// cannot encode must be an error.
+func TestCodecHandlesInterfacesAndRejectsNil(t *testing.T) {
 	gob.Register(question{})
 	payload, err := Encode(boxed{Content: question{Text: "x"}})
 	require.NoError(t, err)
@@ -83,6 +85,7 @@
 	}
 }
 
+// TestCodecIsSafeInParallel: concurrent use must not mix up the pooled coders.
 func TestCodecIsSafeInParallel(t *testing.T) {
 	var group sync.WaitGroup
 	for i := range 4 * maxIdleCoders {
@@ -97,20 +100,20 @@
 	group.Wait()
 }
 
-// TestSchemaIsLearnt meets a server that does not know a message's schema.
-func TestSchemaIsLearnt(t *testing.T) {
+// TestSchemaIsResent: a server without the cached schema must get it in a second attempt.
+func TestSchemaIsResent(t *testing.T) {
 	options := Options{Keys: NewKeys("secret")}
 	address := startServer(t, options, echoMux())
 	client := newClient(t, options)
 	_, err := Invoke[reply](t.Context(), client, address, "echo", question{Text: "x"})
 	require.NoError(t, err)
-	schema := prime(reflect.TypeFor[question]()).schema
+	schema := registerType(reflect.TypeFor[question]()).schema
 	hash := knownSchemas.add(schema)
 	knownSchemas.byHash.Delete(hash)
 
 	payload, err := Encode(question{Text: "y"})
 	require.NoError(t, err)
-	short, _ := elide(payload)
+	short, _ := elideSchema(payload)
 	response, err := client.post(t.Context(), address, pathCall, "echo", short)
 	require.NoError(t, err)
 	_ = response.Body.Close()
@@ -122,8 +125,7 @@
 	assert.Equal(t, schema, knownSchemas.find(hash))
 }
 
-// FuzzDecode checks that no input panics and that a rejected or accepted input
-// never spoils the decoders that later messages reuse.
+// FuzzDecode: no input may panic or corrupt the decoders that later messages reuse.
 func FuzzDecode(f *testing.F) {
 	good, err := Encode(reply{Text: "tomatoes", Count: 3})
 	require.NoError(f, err)
@@ -142,7 +144,7 @@
 	f.Add([]byte{byte(payloadPlain), 0xf8, 0x7f, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, input []byte) {
-		whole, _, known := restore(input)
+		whole, _, known := restoreSchema(input)
 		if known {
 			var anything reply
 			if err := Decode(whole, &anything); err != nil {
@@ -157,8 +159,8 @@
 	})
 }
 
-// TestCodecWorksInSeveralBubbles shares coders between virtual clocks, which may
-// not share channels.
+// TestCodecWorksInSeveralBubbles: coders reused across synctest bubbles must not share
+// channels, which synctest forbids.
 func TestCodecWorksInSeveralBubbles(t *testing.T) {
 	for range 2 {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/peer/processor_test.go
+++ b/internal/peer/cputime_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// processorTime is the user and system time that this process has used.
-func processorTime(t testing.TB) time.Duration {
+// cpuTime returns the user and system CPU time that this process has used.
+func cpuTime(t testing.TB) time.Duration {
 	var usage syscall.Rusage
 	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
--- a/internal/peer/http_test.go
+++ b/internal/peer/http_test.go
@@ -25,13 +25,13 @@
 	Count int
 }
 
-// startServer serves handlers on loopback until the test ends.
+// startServer serves handlers on a loopback address until the test ends.
 func startServer(t testing.TB, options Options, handlers *Mux) Address {
 	t.Helper()
 	return serveOn(t, NewServer(options, handlers))
 }
 
-// serveOn lets a server serve on loopback until the test ends.
+// serveOn runs server on a loopback address until the test ends.
 func serveOn(t testing.TB, server *Server) Address {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,7 +78,9 @@
 	return handlers
 }
 
-func TestHTTPCarriesAnswersAndTypedErrors(t *testing.T) {
+// TestHTTPReturnsResponsesAndTypedErrors: a typed error must arrive with all its fields, and a panic or an
+// unknown method must be a typed error, too.
+func TestHTTPReturnsResponsesAndTypedErrors(t *testing.T) {
 	options := Options{Keys: NewKeys("secret")}
 	address := startServer(t, options, echoMux())
 	client := newClient(t, options)
@@ -99,6 +101,7 @@
 	assert.Equal(t, fault.Invalid, fault.CodeOf(err))
 }
 
+// TestHTTPStreamsEveryItemAndTheOutcome: no item may be lost or reordered, and the handler's error must arrive.
 func TestHTTPStreamsEveryItemAndTheOutcome(t *testing.T) {
 	options := Options{Keys: NewKeys("secret")}
 	address := startServer(t, options, echoMux())
@@ -116,7 +119,8 @@
 	}
 }
 
-func TestHTTPStreamEndsHandlerWhenReceiverGoes(t *testing.T) {
+// TestHTTPStreamCancelsHandlerWhenReceiverFails: a failed receiver must not leave the handler running.
+func TestHTTPStreamCancelsHandlerWhenReceiverFails(t *testing.T) {
 	options := Options{Keys: NewKeys("secret")}
 	handlers := NewMux()
 	ended := make(chan error, 1)
@@ -136,7 +140,8 @@
 	assert.ErrorIs(t, <-ended, context.Canceled)
 }
 
-func TestHTTPRefusesStrangersAndOtherVersions(t *testing.T) {
+// TestHTTPRejectsUnknownKeysAndVersions: requests without an accepted key or version must not run.
+func TestHTTPRejectsUnknownKeysAndVersions(t *testing.T) {
 	accepted := NewKeys("new", "old")
 	address := startServer(t, Options{Keys: accepted}, echoMux())
 	call := func(key string) error {
@@ -151,17 +156,18 @@
 		assert.Equal(t, fault.RanNo, fault.From(err).Ran)
 	}
 	accepted.Set("new")
-	assert.Equal(t, fault.Unauthorized, fault.CodeOf(call("old")), "a dropped key is refused at once")
+	assert.Equal(t, fault.Unauthorized, fault.CodeOf(call("old")), "a removed key is rejected at once")
 
 	client := newClient(t, Options{Keys: accepted})
 	request := client.newRequest(t.Context(), address, pathCall+"echo", []byte{1}, &requestBody{})
 	request.Header[headerVersion] = []string{"0"}
-	response, err := client.lineTo(address).generation().transport.RoundTrip(request)
+	response, err := client.nodeTransportFor(address).active().transport.RoundTrip(request)
 	require.NoError(t, err)
 	defer response.Body.Close()
 	assert.Equal(t, http.StatusUpgradeRequired, response.StatusCode)
 }
 
+// TestHTTPEnforcesSizes: both sides must reject messages over their size limits.
 func TestHTTPEnforcesSizes(t *testing.T) {
 	keys := NewKeys("secret")
 	small := Options{Keys: keys, MaxRequest: 256, MaxResponse: 256, MaxItem: 256}
@@ -198,12 +204,13 @@
 	}
 }
 
+// TestHTTPCapsAndPassesDeadlines: the handler must get the caller's deadline, capped by MaxDeadline.
 func TestHTTPCapsAndPassesDeadlines(t *testing.T) {
 	options := Options{Keys: NewKeys("secret"), MaxDeadline: 20 * time.Second}
 	address := startServer(t, options, echoMux())
 	client := newClient(t, options)
-	for asked, most := range map[time.Duration]int{10 * time.Second: 9, time.Hour: 19} {
-		ctx, cancel := context.WithTimeout(t.Context(), asked)
+	for timeout, most := range map[time.Duration]int{10 * time.Second: 9, time.Hour: 19} {
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		answer, err := Invoke[reply](ctx, client, address, "deadline", question{})
 		cancel()
 		require.NoError(t, err)
@@ -212,7 +219,8 @@
 	}
 }
 
-func TestHTTPSaysWhetherTheRequestRan(t *testing.T) {
+// TestHTTPReportsWhetherTheRequestRan: RanNo must be reported only if the request certainly did not run.
+func TestHTTPReportsWhetherTheRequestRan(t *testing.T) {
 	options := Options{Keys: NewKeys("secret")}
 	handlers := NewMux()
 	arrived := make(chan struct{}, 1)
@@ -228,16 +236,16 @@
 	require.NoError(t, err)
 	require.NoError(t, closed.Close())
 	_, err = Invoke[reply](t.Context(), client, Address(closed.Addr().String()), "hang", question{})
-	assert.Equal(t, fault.RanNo, fault.From(err).Ran, "nobody listens")
+	assert.Equal(t, fault.RanNo, fault.From(err).Ran, "nothing listens")
 	assert.Equal(t, HintRefused, fault.From(err).Hint)
 	_, err = Invoke[reply](t.Context(), client, "127.0.0.1:99999", "hang", question{})
-	assert.Equal(t, fault.RanNo, fault.From(err).Ran, "it cannot be dialled from here")
-	assert.Empty(t, fault.From(err).Hint, "nobody has refused it")
+	assert.Equal(t, fault.RanNo, fault.From(err).Ran, "the address is invalid")
+	assert.Empty(t, fault.From(err).Hint, "no machine refused the connection")
 
 	over, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err = Invoke[reply](over, client, address, "hang", question{})
-	assert.Equal(t, fault.RanNo, fault.From(err).Ran, "given up before it was sent")
+	assert.Equal(t, fault.RanNo, fault.From(err).Ran, "canceled before it was sent")
 
 	during, cancel := context.WithCancel(t.Context())
 	go func() {
@@ -246,10 +254,11 @@
 	}()
 	_, err = Invoke[reply](during, client, address, "hang", question{})
 	assert.Equal(t, fault.Unavailable, fault.CodeOf(err))
-	assert.Equal(t, fault.RanUnknown, fault.From(err).Ran, "given up while it ran")
+	assert.Equal(t, fault.RanUnknown, fault.From(err).Ran, "canceled while it ran")
 }
 
-func TestHTTPRefusesOverloadAsNotRun(t *testing.T) {
+// TestHTTPRejectsOverloadAsNotRun: a call over the limit must be rejected as not run, and its slot released.
+func TestHTTPRejectsOverloadAsNotRun(t *testing.T) {
 	server := Options{Keys: NewKeys("secret"), MaxCalls: 1}
 	handlers := echoMux()
 	arrived := make(chan struct{})
@@ -274,11 +283,11 @@
 	close(release)
 	require.NoError(t, <-done)
 	_, err = Invoke[reply](t.Context(), client, address, "echo", question{})
-	assert.NoError(t, err, "the place is free again")
+	assert.NoError(t, err, "the slot is released")
 }
 
-// FuzzReadFrame checks that no input makes the frame reader exceed its limit,
-// and that what it accepts is what appendFrame writes.
+// FuzzReadFrame: the frame reader must not exceed its limit, and accepted frames must
+// survive a round trip through appendFrame.
 func FuzzReadFrame(f *testing.F) {
 	f.Add(appendFrame(nil, frameItem, []byte("item")))
 	f.Add(appendFrame(nil, frameEnd, nil))
@@ -302,6 +311,7 @@
 	})
 }
 
+// BenchmarkCall measures the time, allocations and CPU time of a call.
 func BenchmarkCall(b *testing.B) {
 	options := Options{Keys: NewKeys("secret")}
 	address := startServer(b, options, echoMux())
@@ -310,7 +320,7 @@
 		b.Run(fmt.Sprintf("parallel=%d", parallelism), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetParallelism(parallelism)
-			before := processorTime(b)
+			before := cpuTime(b)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					if _, err := Invoke[reply](b.Context(), client, address, "echo", question{Text: "sukuma"}); err != nil {
@@ -319,11 +329,12 @@
 					}
 				}
 			})
-			b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 		})
 	}
 }
 
+// BenchmarkStreamItem measures the cost of one stream item.
 func BenchmarkStreamItem(b *testing.B) {
 	options := Options{Keys: NewKeys("secret")}
 	handlers := NewMux()
@@ -338,7 +349,7 @@
 	address := startServer(b, options, handlers)
 	client := newClient(b, options)
 	b.ReportAllocs()
-	before := processorTime(b)
+	before := cpuTime(b)
 	received := 0
 	err := InvokeStream(b.Context(), client, address, "items", reply{Count: b.N}, func(reply) error {
 		received++
@@ -346,5 +357,5 @@
 	})
 	require.NoError(b, err)
 	require.Equal(b, b.N, received)
-	b.ReportMetric(float64(processorTime(b)-before)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
--- a/internal/peer/memory.go
+++ b/internal/peer/memory.go
@@ -10,40 +10,39 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// Verdict is what a MemoryNetwork does to one message.
+// Verdict is the fault injected into one message. The zero value injects none.
 type Verdict struct {
-	Delay      time.Duration // added before delivery
-	Drop       bool          // the request never arrives
-	DropAnswer bool          // the request takes effect, its answer is lost
+	Delay      time.Duration // delays delivery
+	Drop       bool          // the request is lost
+	DropAnswer bool          // the request runs, but its response is lost
 	Duplicate  bool          // the request is delivered twice
 }
 
-// MemoryNetwork connects the Muxes of many nodes in one process. Judge decides
-// the fate of each message, so tests can cut, delay, duplicate and lose. No lock
-// is held while a message is judged, so hundreds of nodes do not wait for each
-// other.
+// MemoryNetwork connects the Muxes of many nodes in one process. The function set
+// with SetJudge can delay, drop or duplicate each message. No lock is held while it
+// runs, so that hundreds of nodes do not contend.
 type MemoryNetwork struct {
-	nodes sync.Map // Address → *Mux
-	judge atomic.Pointer[judge]
+	nodes  sync.Map // Address → *Mux
+	faults atomic.Pointer[faultFunc]
 }
 
-type judge func(from, to Address, method string) Verdict
+type faultFunc func(from, to Address, method string) Verdict
 
-// NewMemoryNetwork returns a network without nodes or faults.
+// NewMemoryNetwork returns a network without nodes and without faults.
 func NewMemoryNetwork() *MemoryNetwork { return &MemoryNetwork{} }
 
-// SetJudge replaces the fault decision, which many goroutines call at once; nil
-// means no faults.
+// SetJudge sets the function that decides on the fault of each message; nil injects
+// no faults. The function is called concurrently.
 func (n *MemoryNetwork) SetJudge(decide func(from, to Address, method string) Verdict) {
 	if decide == nil {
-		n.judge.Store(nil)
+		n.faults.Store(nil)
 		return
 	}
-	stored := judge(decide)
-	n.judge.Store(&stored)
+	stored := faultFunc(decide)
+	n.faults.Store(&stored)
 }
 
-// Attach makes mux reachable at address; a nil mux detaches it, as a crash does.
+// Attach makes mux reachable at address. A nil mux detaches the address, like a crash.
 func (n *MemoryNetwork) Attach(address Address, mux *Mux) {
 	if mux == nil {
 		n.nodes.Delete(address)
@@ -52,14 +51,14 @@
 	n.nodes.Store(address, mux)
 }
 
-// Transport returns the transport of the node at from.
+// Transport returns a transport that sends messages from the given address.
 func (n *MemoryNetwork) Transport(from Address) Transport {
 	return &memoryTransport{network: n, from: from}
 }
 
 func (n *MemoryNetwork) route(from, to Address, method string) (*Mux, Verdict) {
 	var verdict Verdict
-	if decide := n.judge.Load(); decide != nil {
+	if decide := n.faults.Load(); decide != nil {
 		verdict = (*decide)(from, to, method)
 	}
 	mux, ok := n.nodes.Load(to)
@@ -85,10 +84,10 @@
 	}
 	answer, err := mux.ServeCall(ctx, method, request)
 	if verdict.DropAnswer {
-		return nil, lost(ctx, to)
+		return nil, lostMessage(ctx, to)
 	}
 	if ctx.Err() != nil {
-		return nil, unreachable(to, fault.RanUnknown)
+		return nil, unavailableError(to, fault.RanUnknown)
 	}
 	return answer, err
 }
@@ -103,44 +102,44 @@
 	defer cancel()
 	err = mux.ServeStream(ctx, method, request, func(item []byte) error {
 		if current, _ := t.network.route(t.from, to, method); current != mux {
-			return unreachable(to, fault.RanUnknown)
+			return unavailableError(to, fault.RanUnknown)
 		}
 		return receive(item)
 	})
 	if verdict.DropAnswer {
-		return lost(ctx, to)
+		return lostMessage(ctx, to)
 	}
 	return err
 }
 
-// deliver waits out the verdict's delay and finds the receiver.
+// deliver applies the delay or loss of a request and returns the receiver's Mux.
 func (t *memoryTransport) deliver(ctx context.Context, to Address, method string) (*Mux, Verdict, error) {
 	mux, verdict := t.network.route(t.from, to, method)
 	if verdict.Delay > 0 {
 		if err := wait.For(ctx, verdict.Delay); err != nil {
-			return nil, verdict, unreachable(to, fault.RanNo)
+			return nil, verdict, unavailableError(to, fault.RanNo)
 		}
 	}
 	if verdict.Drop {
-		return nil, verdict, lost(ctx, to)
+		return nil, verdict, lostMessage(ctx, to)
 	}
 	if mux == nil {
-		return nil, verdict, unreachable(to, fault.RanNo).WithHint(HintRefused)
+		return nil, verdict, unavailableError(to, fault.RanNo).WithHint(HintRefused)
 	}
 	return mux, verdict, nil
 }
 
-// lost waits, as a caller without an answer does, until ctx ends.
-func lost(ctx context.Context, to Address) error {
+// lostMessage blocks until ctx ends, as for a caller that receives no response.
+func lostMessage(ctx context.Context, to Address) error {
 	<-ctx.Done()
-	return unreachable(to, fault.RanUnknown)
+	return unavailableError(to, fault.RanUnknown)
 }
 
-// HintRefused is the hint of fault.Unavailable where the other machine answered
-// that nothing listens at the address. Local causes, such as too many open files,
-// never carry it.
+// HintRefused is the hint of a fault.Unavailable whose cause is a refused
+// connection: the remote machine is up, but nothing listens at the address. Local
+// failures, such as too many open files, do not carry it.
 const HintRefused = "connection refused"
 
-func unreachable(to Address, ran fault.Ran) *fault.Error {
+func unavailableError(to Address, ran fault.Ran) *fault.Error {
 	return fault.Newf(fault.Unavailable, "try another node", "node at %s is unreachable", to).WithRan(ran)
 }
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -6,11 +6,11 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// metrics counts the messages of one side of the transport.
+// metrics holds the counters of the client or server side of the transport.
 type metrics struct {
-	messages *prometheus.CounterVec // by method and code; the code of success is "ok"
-	sent     *prometheus.CounterVec // by method
-	received *prometheus.CounterVec // by method
+	messages *prometheus.CounterVec // by method and code; "ok" on success
+	sent     *prometheus.CounterVec // payload bytes by method
+	received *prometheus.CounterVec // payload bytes by method
 	active   prometheus.Gauge
 }
 
@@ -49,7 +49,7 @@
 	m.messages.WithLabelValues(method, code).Inc()
 }
 
-// registerTLS shows whether the certificate files are in order.
+// registerTLS registers gauges for certificate reload failures and expiry.
 func registerTLS(t *TLS, registerer prometheus.Registerer) {
 	if t == nil || registerer == nil {
 		return
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
-// Defaults of Options.
+// Defaults of Options; sizes are in bytes.
 const (
 	DefaultMaxRequest  = 32 << 20
 	DefaultMaxResponse = 32 << 20
@@ -29,24 +29,24 @@
 // Options configures both sides of the HTTP transport. Zero fields take the
 // defaults above. All nodes of a cluster should use the same limits.
 type Options struct {
-	Keys *Keys // shared keys; required unless TLS is given
-	TLS  *TLS  // mutual TLS; nil means HTTP/2 without encryption
-
-	MaxRequest  int // bytes of one encoded request
-	MaxResponse int // bytes of one encoded response
-	MaxItem     int // bytes of one encoded stream item
-	MaxCalls    int // calls in progress, for each side
-	MaxStreams  int // streams in progress, for each side
-
-	MaxDeadline time.Duration // longest time that a server works on a call
-	MaxStream   time.Duration // longest time that a server works on a stream
-	DialTimeout time.Duration // for opening one connection
+	Keys *Keys // shared keys; required unless TLS is set
+	TLS  *TLS  // mutual TLS; nil: unencrypted HTTP/2
+
+	MaxRequest  int // size of an encoded request in bytes
+	MaxResponse int // size of an encoded response in bytes
+	MaxItem     int // size of an encoded stream item in bytes
+	MaxCalls    int // concurrent calls, per side
+	MaxStreams  int // concurrent streams, per side
+
+	MaxDeadline time.Duration // server-side limit on the duration of a call
+	MaxStream   time.Duration // server-side limit on the duration of a stream
+	DialTimeout time.Duration // for opening a connection
 	IdleTimeout time.Duration // after which an unused connection is closed
-	QuietTime   time.Duration // without a byte while calls wait, before connections are doubted; 0: DialTimeout
+	QuietTime   time.Duration // without received data while calls wait, before connections are checked; 0: DialTimeout
 
-	Versions Versions // that this side speaks; zero: Spoken
+	Versions Versions // supported protocol versions; zero: SupportedVersions
 
-	Guard silence.Guard // finds connections that have fallen silent
+	Guard silence.Guard // detects unresponsive connections
 
 	Log        log.Interface         // nil discards
 	Registerer prometheus.Registerer // nil registers nothing
@@ -67,7 +67,7 @@
 		o.Log = &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
 	}
 	if o.Versions == (Versions{}) {
-		o.Versions = Spoken
+		o.Versions = SupportedVersions
 	}
 	if o.Keys == nil {
 		o.Keys = NewKeys()
@@ -81,9 +81,9 @@
 	}
 }
 
-// Keys is the set of shared keys that nodes prove themselves with. It may be
-// replaced while calls run, so keys rotate without a stop: first add the new
-// key behind the old one on all nodes, then put it in front, then drop the old.
+// Keys is a set of shared keys with which nodes authenticate. It may be replaced
+// while calls run. To rotate a key without downtime, append the new key on all
+// nodes, then move it to the front, then remove the old one.
 type Keys struct {
 	current atomic.Pointer[keySet]
 }
@@ -93,15 +93,16 @@
 	digests [][sha256.Size]byte
 }
 
-// NewKeys returns a set that sends the first key and accepts all of them.
+// NewKeys returns a set that sends the first key and accepts all of them. Empty
+// keys are ignored.
 func NewKeys(keys ...string) *Keys {
 	k := &Keys{}
 	k.Set(keys...)
 	return k
 }
 
-// Set replaces the keys; the first one is sent, all of them are accepted. An
-// empty set sends no key and accepts only peers that TLS has verified.
+// Set replaces the keys. The first one is sent, all of them are accepted. An empty
+// set sends no key and accepts only peers with a certificate verified by TLS.
 func (k *Keys) Set(keys ...string) {
 	set := &keySet{}
 	for _, key := range keys {
@@ -116,13 +117,13 @@
 	k.current.Store(set)
 }
 
-// own returns the key that this node sends.
+// own returns the key that this node sends, or "" if there is none.
 func (k *Keys) own() string { return k.current.Load().own }
 
-// empty reports whether there is no key at all.
+// empty reports whether the set holds no key.
 func (k *Keys) empty() bool { return len(k.current.Load().digests) == 0 }
 
-// accepts compares in constant time whether key is one of the set.
+// accepts reports whether key is in the set. It compares in constant time.
 func (k *Keys) accepts(key string) bool {
 	digest := sha256.Sum256([]byte(key))
 	matches := 0
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -7,13 +7,13 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// Address is the IP number and port of a node's internal listener.
+// Address is the host:port of a node's internal listener; the host is an IP address.
 type Address string
 
-// Transport moves encoded messages to other nodes. Errors that the remote
-// handler returned arrive as *fault.Error. A transport failure arrives as
-// fault.Unavailable with RanNo when the request surely never reached the peer
-// and with RanUnknown otherwise.
+// Transport sends encoded messages to other nodes. Errors returned by the remote
+// handler arrive as *fault.Error. A transport failure is reported as
+// fault.Unavailable, with RanNo if the request certainly did not reach the peer and
+// with RanUnknown otherwise.
 type Transport interface {
 	// Call sends one request and waits for one response.
 	Call(ctx context.Context, to Address, method string, request []byte) ([]byte, error)
@@ -22,15 +22,15 @@
 	Stream(ctx context.Context, to Address, method string, request []byte, receive func(item []byte) error) error
 }
 
-// CallHandler answers one encoded request.
+// CallHandler handles one encoded request and returns the encoded response.
 type CallHandler func(ctx context.Context, request []byte) ([]byte, error)
 
-// StreamHandler answers one encoded request by any number of items. send
-// blocks while the receiver is slow and fails once it is gone.
+// StreamHandler handles one encoded request and sends any number of items. send
+// blocks while the receiver is slow and fails once it has disconnected.
 type StreamHandler func(ctx context.Context, request []byte, send func(item []byte) error) error
 
-// Mux holds the handlers of one node by method name. Registration must end
-// before serving starts.
+// Mux holds the handlers of one node by method name. All handlers must be
+// registered before serving starts.
 type Mux struct {
 	calls   map[string]CallHandler
 	streams map[string]StreamHandler
@@ -41,7 +41,7 @@
 	return &Mux{calls: map[string]CallHandler{}, streams: map[string]StreamHandler{}}
 }
 
-// ServeCall runs the handler of method, as a transport's server side does.
+// ServeCall runs the handler of method. An unknown method is a fault.Invalid.
 func (m *Mux) ServeCall(ctx context.Context, method string, request []byte) ([]byte, error) {
 	handler, ok := m.calls[method]
 	if !ok {
@@ -50,7 +50,8 @@
 	return handler(ctx, request)
 }
 
-// ServeStream runs the streaming handler of method.
+// ServeStream runs the streaming handler of method. An unknown method is a
+// fault.Invalid.
 func (m *Mux) ServeStream(ctx context.Context, method string, request []byte, send func([]byte) error) error {
 	handler, ok := m.streams[method]
 	if !ok {
@@ -63,10 +64,10 @@
 	return fault.Newf(fault.Invalid, "run the same version on all nodes", "unknown peer method %q", method)
 }
 
-// Handle registers a typed request handler.
+// Handle registers a typed request handler for method.
 func Handle[Request, Response any](m *Mux, method string, handle func(context.Context, Request) (Response, error)) {
-	prime(reflect.TypeFor[Request]())
-	prime(reflect.TypeFor[Response]())
+	registerType(reflect.TypeFor[Request]())
+	registerType(reflect.TypeFor[Response]())
 	m.calls[method] = func(ctx context.Context, payload []byte) ([]byte, error) {
 		var request Request
 		if err := Decode(payload, &request); err != nil {
@@ -80,10 +81,10 @@
 	}
 }
 
-// HandleStream registers a typed streaming handler.
+// HandleStream registers a typed streaming handler for method.
 func HandleStream[Request, Item any](m *Mux, method string, handle func(context.Context, Request, func(Item) error) error) {
-	prime(reflect.TypeFor[Request]())
-	prime(reflect.TypeFor[Item]())
+	registerType(reflect.TypeFor[Request]())
+	registerType(reflect.TypeFor[Item]())
 	m.streams[method] = func(ctx context.Context, payload []byte, send func([]byte) error) error {
 		var request Request
 		if err := Decode(payload, &request); err != nil {
@@ -99,7 +100,7 @@
 	}
 }
 
-// Invoke calls method at to and returns its typed response.
+// Invoke calls method on the node at to and returns its typed response.
 func Invoke[Response, Request any](ctx context.Context, t Transport, to Address, method string, request Request) (Response, error) {
 	var response Response
 	payload, err := Encode(request)
@@ -113,7 +114,8 @@
 	return response, Decode(answer, &response)
 }
 
-// InvokeStream calls a streaming method and passes each typed item to receive.
+// InvokeStream calls a streaming method on the node at to and passes each typed
+// item to receive. An error of receive ends the stream and is returned.
 func InvokeStream[Item, Request any](ctx context.Context, t Transport, to Address, method string, request Request, receive func(Item) error) error {
 	payload, err := Encode(request)
 	if err != nil {
--- a/internal/peer/respond.go
+++ b/internal/peer/respond.go
@@ -13,16 +13,16 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// writeFault answers with a typed error.
+// writeFault sends a typed error as the response.
 func writeFault(w http.ResponseWriter, status int, typed *fault.Error) {
 	payload := encodeFault(typed)
 	w.Header().Set("Content-Length", strconv.Itoa(len(payload)))
 	w.WriteHeader(status)
-	_, _ = w.Write(payload) // a failure reaches the caller as a broken response
+	_, _ = w.Write(payload) // on failure the caller sees a truncated response
 }
 
-// encodeFault never fails: its type holds nothing that gob refuses. A message
-// too long to send is shortened.
+// encodeFault encodes a typed error. A message that is too long is truncated, and
+// its hint is dropped.
 func encodeFault(typed *fault.Error) []byte {
 	if len(typed.Message)+len(typed.Hint) > maxFault/2 {
 		shortened := *typed
@@ -37,24 +37,24 @@
 	return payload
 }
 
-// itemWriter writes and flushes the items of one streamed response.
+// itemWriter writes and flushes the items of a streamed response.
 type itemWriter struct {
 	writer  http.ResponseWriter
 	flusher *http.ResponseController
 	limit   int
 	buffer  []byte
-	schema  []byte // of the last item sent whole
-	sent    int    // bytes of payload
+	schema  []byte // of the last item sent with its schema
+	sent    int    // payload bytes
 }
 
 func newItemWriter(w http.ResponseWriter, limit int) *itemWriter {
 	return &itemWriter{writer: w, flusher: http.NewResponseController(w), limit: limit}
 }
 
-// send passes one item on; it blocks while the receiver is slow.
+// send writes one item. It blocks while the receiver is slow.
 func (i *itemWriter) send(item []byte) error {
 	if len(item) > i.limit {
-		return tooLarge("stream item", uint64(len(item)), i.limit).WithRan(fault.RanUnknown)
+		return tooLargeError("stream item", uint64(len(item)), i.limit).WithRan(fault.RanUnknown)
 	}
 	if len(item) == 0 || payloadKind(item[0]) != payloadSchema {
 		return i.write(frameItem, item)
@@ -79,16 +79,16 @@
 	return eris.Wrap(i.flusher.Flush(), "flush stream item")
 }
 
-// finish ends the stream with the handler's outcome.
+// finish writes the last frame, which reports the handler's result.
 func (i *itemWriter) finish(err error) {
 	if err == nil {
-		_ = i.write(frameEnd, nil) // a failure reaches the caller as a broken stream
+		_ = i.write(frameEnd, nil) // on failure the caller sees a truncated stream
 		return
 	}
 	_ = i.write(frameFault, encodeFault(fault.From(err)))
 }
 
-// newErrorLog passes the lines of net/http on to the structured log.
+// newErrorLog returns a logger for net/http that writes to the structured log.
 func newErrorLog(target log.Interface) *stdlog.Logger {
 	return stdlog.New(lineLogger{target}, "", 0)
 }
--- a/internal/peer/schema.go
+++ b/internal/peer/schema.go
@@ -9,28 +9,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// payloadElided is followed by the hash of a schema that the receiver knows
-// and then by the value alone. Only the HTTP transport uses it, on the wire.
+// payloadElided is followed by the hash of a schema that the receiver has cached,
+// and then by the encoded value alone. Only the HTTP transport uses it.
 const payloadElided payloadKind = 3
 
-// schemaHashSize is the length of a schema's hash in bytes.
+// schemaHashSize is the length of a schema hash in bytes.
 const schemaHashSize = 8
 
-// maxKnownSchemas bounds the schemas remembered by this process.
+// maxKnownSchemas limits the number of schemas cached by this process.
 const maxKnownSchemas = 4096
 
-// schemaSet remembers schemas by hash. Nodes of one version register the same
-// handlers in the same order, so they know each other's schemas from the start;
-// those of other versions are learnt from the first whole message.
-type schemaSet struct {
+// schemaCache holds schemas by hash. Nodes of the same version register the same
+// handlers in the same order, so they share their schemas from the start. Schemas
+// of other versions are cached when the first message with its schema arrives.
+type schemaCache struct {
 	byHash sync.Map // uint64 → []byte
 	count  atomic.Int64
 }
 
-var knownSchemas schemaSet
+var knownSchemas schemaCache
 
-// add remembers a schema and returns its hash.
-func (s *schemaSet) add(schema []byte) uint64 {
+// add caches a schema, if there is room, and returns its hash.
+func (s *schemaCache) add(schema []byte) uint64 {
 	hash := xxhash.Sum64(schema)
 	if _, known := s.byHash.Load(hash); known || s.count.Load() >= maxKnownSchemas {
 		return hash
@@ -41,8 +41,8 @@
 	return hash
 }
 
-// find returns the schema with a hash, or nil.
-func (s *schemaSet) find(hash uint64) []byte {
+// find returns the schema with the given hash, or nil.
+func (s *schemaCache) find(hash uint64) []byte {
 	schema, ok := s.byHash.Load(hash)
 	if !ok {
 		return nil
@@ -50,9 +50,9 @@
 	return schema.([]byte)
 }
 
-// elide replaces the schema in a payload by its hash; a payload without a
-// schema comes back as it is, with hash 0.
-func elide(payload []byte) (short []byte, hash uint64) {
+// elideSchema replaces the schema in a payload by its hash. A payload without a
+// schema is returned unchanged, with hash 0.
+func elideSchema(payload []byte) (short []byte, hash uint64) {
 	if len(payload) == 0 || payloadKind(payload[0]) != payloadSchema {
 		return payload, 0
 	}
@@ -67,9 +67,9 @@
 	return append(short, value...), hash
 }
 
-// restore is the reverse of elide. It reports false for an unknown schema, and
-// learns the schema of a payload that has one.
-func restore(payload []byte) (whole []byte, hash uint64, known bool) {
+// restoreSchema is the reverse of elideSchema. known is false if the schema is not
+// cached. The schema of a payload that includes one is added to the cache.
+func restoreSchema(payload []byte) (whole []byte, hash uint64, known bool) {
 	if len(payload) == 0 {
 		return payload, 0, true
 	}
@@ -77,7 +77,7 @@
 	case payloadSchema:
 		schema, _, err := splitSchema(payload)
 		if err != nil {
-			return payload, 0, true // Decode reports it
+			return payload, 0, true // Decode reports the error
 		}
 		return payload, knownSchemas.add(schema), true
 	case payloadElided:
@@ -95,12 +95,12 @@
 	}
 }
 
-// formatHash writes a schema's hash for a header.
+// formatHash formats a schema hash for a header.
 func formatHash(hash uint64) string { return strconv.FormatUint(hash, 36) }
 
-// WireSize is the length of an encoded message on a connection whose ends know
-// the schema already, in bytes, without the headers of HTTP.
+// WireSize is the size of an encoded message in bytes when both sides have cached
+// its schema, without HTTP headers.
 func WireSize(payload []byte) int {
-	short, _ := elide(payload)
+	short, _ := elideSchema(payload)
 	return len(short)
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,14 +16,14 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// overloadRetryAfter is when a caller refused for overload should come back.
+// overloadRetryAfter is the retry delay suggested to callers rejected for overload.
 const overloadRetryAfter = 100 * time.Millisecond
 
-// maxHeaderBytes bounds the headers of one request.
+// maxHeaderBytes limits the size of a request's headers.
 const maxHeaderBytes = 16 << 10
 
-// Server passes the calls of other nodes to a Mux. It refuses strangers before
-// it reads anything of their request's body.
+// Server dispatches requests from other nodes to a Mux. It rejects unauthenticated
+// requests before it reads the body.
 type Server struct {
 	options Options
 	mux     *Mux
@@ -33,7 +33,7 @@
 	streams atomic.Int64
 }
 
-// NewServer returns a server for the handlers in handlers.
+// NewServer returns a server that dispatches requests to handlers.
 func NewServer(options Options, handlers *Mux) *Server {
 	options = options.withDefaults()
 	protocols := &http.Protocols{}
@@ -62,15 +62,15 @@
 	return s
 }
 
-// Handler returns the HTTP handler, for use on another listener.
+// Handler returns the HTTP handler, for use with another listener or server.
 func (s *Server) Handler() http.Handler {
 	router := mux.NewRouter()
-	router.HandleFunc(pathCall+"{method}", s.guard(s.serveCall)).Methods(http.MethodPost)
-	router.HandleFunc(pathStream+"{method}", s.guard(s.serveStream)).Methods(http.MethodPost)
+	router.HandleFunc(pathCall+"{method}", s.authorize(s.serveCall)).Methods(http.MethodPost)
+	router.HandleFunc(pathStream+"{method}", s.authorize(s.serveStream)).Methods(http.MethodPost)
 	return router
 }
 
-// Serve accepts connections until Shutdown or Close, after which it returns nil.
+// Serve accepts connections until Shutdown or Close is called, and then returns nil.
 func (s *Server) Serve(listener net.Listener) error {
 	err := s.serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -86,29 +86,31 @@
 	return s.http.Serve(listener)
 }
 
-// Shutdown takes no new connections and waits for calls in progress until ctx ends.
+// Shutdown stops accepting connections and waits for requests in progress until
+// ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// Close cuts all connections.
+// Close closes all connections at once.
 func (s *Server) Close() error { return s.http.Close() }
 
-// guard refuses strangers and other protocol versions.
-func (s *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// authorize rejects unauthenticated requests and unsupported protocol versions.
+func (s *Server) authorize(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !s.authentic(r) {
+		if !s.authenticated(r) {
 			s.options.Log.WithField("remote", r.RemoteAddr).Warn("peer_refused_key")
 			w.WriteHeader(http.StatusUnauthorized)
 			return
 		}
-		if s.refusesVersion(w, r) {
+		if s.rejectVersion(w, r) {
 			return
 		}
 		next(w, r)
 	}
 }
 
-// authentic accepts a known key; without any keys, TLS has verified the peer.
-func (s *Server) authentic(r *http.Request) bool {
+// authenticated reports whether the request carries an accepted key. If no keys are
+// configured, a verified TLS client certificate is required instead.
+func (s *Server) authenticated(r *http.Request) bool {
 	if s.options.Keys.empty() {
 		return s.options.TLS != nil && r.TLS != nil && len(r.TLS.VerifiedChains) > 0
 	}
@@ -116,7 +118,7 @@
 }
 
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
-	release, ok := s.enter(w, &s.calls, s.options.MaxCalls)
+	release, ok := s.admit(w, &s.calls, s.options.MaxCalls)
 	if !ok {
 		return
 	}
@@ -129,30 +131,30 @@
 	ctx, cancel := context.WithTimeout(r.Context(), timeLeft(r, s.options.MaxDeadline))
 	defer cancel()
 	answer, err := s.runCall(ctx, method, request)
-	s.metrics.done(s.knownMethod(method), err)
+	s.metrics.done(s.methodLabel(method), err)
 	if err != nil {
 		writeFault(w, http.StatusUnprocessableEntity, fault.From(err))
 		return
 	}
-	if short, hash := elide(answer); hash != 0 && formatHash(hash) == firstValue(r.Header, headerAnswer) {
+	if short, hash := elideSchema(answer); hash != 0 && formatHash(hash) == firstValue(r.Header, headerResponseSchema) {
 		answer = short
 	}
-	s.metrics.sent.WithLabelValues(s.knownMethod(method)).Add(float64(len(answer)))
+	s.metrics.sent.WithLabelValues(s.methodLabel(method)).Add(float64(len(answer)))
 	w.Header()["Content-Length"] = []string{strconv.Itoa(len(answer))}
-	_, _ = w.Write(answer) // a failure reaches the caller as a broken response
+	_, _ = w.Write(answer) // on failure the caller sees a truncated response
 }
 
 func (s *Server) runCall(ctx context.Context, method string, request []byte) (answer []byte, err error) {
-	defer s.recovered(method, &err)
+	defer s.recoverPanic(method, &err)
 	answer, err = s.mux.ServeCall(ctx, method, request)
 	if err == nil && len(answer) > s.options.MaxResponse {
-		return nil, tooLarge("response", uint64(len(answer)), s.options.MaxResponse).WithRan(fault.RanYes)
+		return nil, tooLargeError("response", uint64(len(answer)), s.options.MaxResponse).WithRan(fault.RanYes)
 	}
 	return answer, err
 }
 
 func (s *Server) serveStream(w http.ResponseWriter, r *http.Request) {
-	release, ok := s.enter(w, &s.streams, s.options.MaxStreams)
+	release, ok := s.admit(w, &s.streams, s.options.MaxStreams)
 	if !ok {
 		return
 	}
@@ -166,21 +168,21 @@
 	defer cancel()
 	stream := newItemWriter(w, s.options.MaxItem)
 	err := s.runStream(ctx, method, request, stream.send)
-	s.metrics.done(s.knownMethod(method), err)
-	s.metrics.sent.WithLabelValues(s.knownMethod(method)).Add(float64(stream.sent))
+	s.metrics.done(s.methodLabel(method), err)
+	s.metrics.sent.WithLabelValues(s.methodLabel(method)).Add(float64(stream.sent))
 	stream.finish(err)
 }
 
 func (s *Server) runStream(ctx context.Context, method string, request []byte, send func([]byte) error) (err error) {
-	defer s.recovered(method, &err)
+	defer s.recoverPanic(method, &err)
 	return s.mux.ServeStream(ctx, method, request, send)
 }
 
-// enter takes one of limit places, or refuses the request as not run.
-func (s *Server) enter(w http.ResponseWriter, active *atomic.Int64, limit int) (release func(), ok bool) {
+// admit reserves one of limit slots, or rejects the request as overloaded.
+func (s *Server) admit(w http.ResponseWriter, active *atomic.Int64, limit int) (release func(), ok bool) {
 	if active.Add(1) > int64(limit) {
 		active.Add(-1)
-		writeFault(w, http.StatusServiceUnavailable, fault.Newf(fault.Overloaded, "come back later or try another node",
+		writeFault(w, http.StatusServiceUnavailable, fault.Newf(fault.Overloaded, "retry later or try another node",
 			"%d peer messages are in progress", limit).WithRetryAfter(overloadRetryAfter))
 		return nil, false
 	}
@@ -191,32 +193,32 @@
 	}, true
 }
 
-// readRequest reads the whole body, whose size must be announced and allowed.
+// readRequest reads the whole body. Its length must be declared and within the limit.
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	if r.ContentLength <= 0 {
 		writeFault(w, http.StatusLengthRequired, fault.New(fault.Invalid, "peer request without a length", "run the same version on all nodes"))
 		return nil, false
 	}
 	if r.ContentLength > int64(s.options.MaxRequest) {
-		writeFault(w, http.StatusRequestEntityTooLarge, tooLarge("request", uint64(r.ContentLength), s.options.MaxRequest))
+		writeFault(w, http.StatusRequestEntityTooLarge, tooLargeError("request", uint64(r.ContentLength), s.options.MaxRequest))
 		return nil, false
 	}
 	request, err := readSized(r.Body, int(r.ContentLength))
 	if err != nil {
-		writeFault(w, http.StatusBadRequest, fault.New(fault.Invalid, "peer request was cut short", "send it again"))
+		writeFault(w, http.StatusBadRequest, fault.New(fault.Invalid, "peer request body was truncated", "send the request again"))
 		return nil, false
 	}
-	s.metrics.received.WithLabelValues(s.knownMethod(mux.Vars(r)["method"])).Add(float64(len(request)))
-	whole, _, known := restore(request)
+	s.metrics.received.WithLabelValues(s.methodLabel(mux.Vars(r)["method"])).Add(float64(len(request)))
+	whole, _, known := restoreSchema(request)
 	if !known {
-		writeFault(w, http.StatusPreconditionRequired, fault.New(fault.Invalid, "unknown peer schema", "send the message whole"))
+		writeFault(w, http.StatusPreconditionRequired, fault.New(fault.Invalid, "unknown peer schema", "send the message with its schema"))
 		return nil, false
 	}
 	return whole, true
 }
 
-// recovered turns a handler's panic into a typed error.
-func (s *Server) recovered(method string, err *error) {
+// recoverPanic turns a handler's panic into a typed error.
+func (s *Server) recoverPanic(method string, err *error) {
 	cause := recover()
 	if cause == nil {
 		return
@@ -226,15 +228,16 @@
 		WithRan(fault.RanUnknown)
 }
 
-// knownMethod keeps the metrics' label set bounded.
-func (s *Server) knownMethod(method string) string {
+// methodLabel returns the metric label for a method. Unregistered methods share one
+// label, so that the number of time series stays bounded.
+func (s *Server) methodLabel(method string) string {
 	if s.mux.calls[method] == nil && s.mux.streams[method] == nil {
 		return "unknown"
 	}
 	return method
 }
 
-// timeLeft reads the caller's deadline, capped by limit.
+// timeLeft returns the time until the caller's deadline, at most limit.
 func timeLeft(r *http.Request, limit time.Duration) time.Duration {
 	milliseconds, err := strconv.ParseInt(firstValue(r.Header, headerDeadline), 10, 64)
 	if err != nil || milliseconds <= 0 || milliseconds > limit.Milliseconds() {
@@ -243,7 +246,7 @@
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// firstValue is http.Header.Get for a key that is already canonical.
+// firstValue is http.Header.Get for a key that is already in canonical form.
 func firstValue(header http.Header, key string) string {
 	if values := header[key]; len(values) > 0 {
 		return values[0]
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -12,12 +12,13 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// reloadInterval is how often certificate files are looked at for changes.
+// reloadInterval is how often the certificate files are checked for changes.
 const reloadInterval = 5 * time.Second
 
-// TLS holds this node's certificate and the authorities that it trusts. The
-// files are read again when they change, so certificates rotate without a stop.
-// During a change of authority the file should hold the old and the new one.
+// TLS holds this node's certificate and the certificate authorities that it
+// trusts. Changed files are reloaded, so certificates can be rotated without a
+// restart. While the authority is being replaced, the file should contain both the
+// old and the new one.
 type TLS struct {
 	certificateFile string
 	keyFile         string
@@ -31,8 +32,9 @@
 	failure     error
 }
 
-// LoadTLS reads PEM files: this node's certificate and key, and the
-// authorities that other nodes' certificates must descend from.
+// LoadTLS reads three PEM files: this node's certificate, its key, and the
+// authorities that must have issued other nodes' certificates. Its error is a
+// fault.Invalid.
 func LoadTLS(certificateFile, keyFile, authorityFile string) (*TLS, error) {
 	t := &TLS{certificateFile: certificateFile, keyFile: keyFile, authorityFile: authorityFile}
 	if err := t.reload(); err != nil {
@@ -41,15 +43,15 @@
 	return t, nil
 }
 
-// Failure returns why the last reload failed, nil if it went well. Until the
-// files are mended the previous certificates stay in use.
+// Failure returns the error of the last reload, or nil if it succeeded. After a
+// failed reload the previous certificates stay in use.
 func (t *TLS) Failure() error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.failure
 }
 
-// current returns the certificate and authorities, reloaded if files changed.
+// current returns the certificate and authorities, and reloads them if files changed.
 func (t *TLS) current() (*tls.Certificate, *x509.CertPool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -59,14 +61,14 @@
 	return t.certificate, t.authorities
 }
 
-// reload reads the files if one of them changed since the last success.
+// reload reads the files if one of them changed since the last successful load.
 func (t *TLS) reload() error {
 	t.checked = time.Now()
 	var changed [3]time.Time
 	for i, file := range []string{t.certificateFile, t.keyFile, t.authorityFile} {
 		info, err := os.Stat(file)
 		if err != nil {
-			return eris.Wrap(err, "look at TLS file")
+			return eris.Wrap(err, "stat TLS file")
 		}
 		changed[i] = info.ModTime()
 	}
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// serverConfig demands and verifies a client certificate on each connection.
+// serverConfig requires and verifies a client certificate on each connection.
 func (t *TLS) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -107,9 +109,9 @@
 	}
 }
 
-// clientConfig shows this node's certificate and verifies the server's against
-// the current authorities. Addresses are IP numbers, so the certificate must
-// descend from an authority but need not name the address.
+// clientConfig presents this node's certificate and verifies the server's against
+// the current authorities. Nodes are addressed by IP, so the certificate must be
+// issued by a trusted authority but need not name the address.
 func (t *TLS) clientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -118,7 +120,7 @@
 			certificate, _ := t.current()
 			return certificate, nil
 		},
-		InsecureSkipVerify: true, // VerifyConnection below verifies instead
+		InsecureSkipVerify: true, // VerifyConnection below checks the chain
 		VerifyConnection:   t.verifyServer,
 	}
 }
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -21,7 +21,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// authority issues certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -41,8 +41,7 @@
 	return &authority{certificate: certificate, key: key}
 }
 
-// issue writes a node's certificate and key, and the trusted authorities, into
-// directory.
+// issue writes a node's certificate and key, and the trusted authorities, to directory.
 func (a *authority) issue(t *testing.T, directory string, trusted ...*authority) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -80,31 +79,34 @@
 	return err
 }
 
+// TestTLSAdmitsOnlyVerifiedNodes: nodes without a certificate of a trusted authority must be rejected, as
+// clients and as servers.
 func TestTLSAdmitsOnlyVerifiedNodes(t *testing.T) {
 	own, foreign := newAuthority(t), newAuthority(t)
-	trusted, stranger := t.TempDir(), t.TempDir()
+	trusted, untrusted := t.TempDir(), t.TempDir()
 	own.issue(t, trusted, own)
-	foreign.issue(t, stranger, own, foreign)
+	foreign.issue(t, untrusted, own, foreign)
 	options := Options{TLS: loadTLS(t, trusted)}
 	address := startServer(t, options, echoMux())
 
 	assert.NoError(t, echoOver(t, options, address))
-	assert.Equal(t, fault.Unavailable, fault.CodeOf(echoOver(t, Options{TLS: loadTLS(t, stranger)}, address)), "a foreign certificate")
+	assert.Equal(t, fault.Unavailable, fault.CodeOf(echoOver(t, Options{TLS: loadTLS(t, untrusted)}, address)), "a foreign certificate")
 	assert.Error(t, echoOver(t, Options{}, address), "no TLS at all")
 
 	bare, err := tls.Dial("tcp", string(address), &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"h2"}})
-	if err == nil { // a client learns of its refusal when it reads
+	if err == nil { // with TLS 1.3 the client sees the rejection when it reads
 		defer bare.Close()
 		_, err = bare.Read(make([]byte, 1))
 	}
 	assert.ErrorContains(t, err, "certificate required")
 
-	pretender := startServer(t, Options{TLS: loadTLS(t, stranger)}, echoMux())
-	err = echoOver(t, options, pretender)
-	assert.Equal(t, fault.RanNo, fault.From(err).Ran, "a server that is a stranger gets no request")
+	impostor := startServer(t, Options{TLS: loadTLS(t, untrusted)}, echoMux())
+	err = echoOver(t, options, impostor)
+	assert.Equal(t, fault.RanNo, fault.From(err).Ran, "an untrusted server receives no request")
 }
 
-func TestTLSWithKeysDemandsBoth(t *testing.T) {
+// TestTLSWithKeysRequiresBoth: a verified certificate must not replace the key.
+func TestTLSWithKeysRequiresBoth(t *testing.T) {
 	own := newAuthority(t)
 	directory := t.TempDir()
 	own.issue(t, directory, own)
@@ -114,24 +116,26 @@
 	assert.Equal(t, fault.Unauthorized, fault.CodeOf(echoOver(t, Options{TLS: verified}, address)))
 }
 
-func TestTLSChangesAuthorityWithoutAStop(t *testing.T) {
-	old, fresh := newAuthority(t), newAuthority(t)
+// TestTLSRotatesAuthorityWithoutRestart: changed files must be reloaded, and unreadable ones must not
+// replace the certificates in use.
+func TestTLSRotatesAuthorityWithoutRestart(t *testing.T) {
+	old, replacement := newAuthority(t), newAuthority(t)
 	server, client := t.TempDir(), t.TempDir()
 	old.issue(t, server, old)
-	fresh.issue(t, client, old, fresh)
+	replacement.issue(t, client, old, replacement)
 	registry := prometheus.NewRegistry()
 	serving := Options{TLS: loadTLS(t, server), Registerer: registry}
 	address := startServer(t, serving, echoMux())
 	calling := Options{TLS: loadTLS(t, client)}
 	require.Error(t, echoOver(t, calling, address), "the new authority is not trusted yet")
 
-	old.issue(t, server, old, fresh)
-	lookAgain(t, serving.TLS, server)
+	old.issue(t, server, old, replacement)
+	forceReload(t, serving.TLS, server)
 	assert.NoError(t, echoOver(t, calling, address))
 
 	require.NoError(t, os.WriteFile(filepath.Join(server, "cert.pem"), []byte("spoilt"), 0o600))
-	lookAgain(t, serving.TLS, server)
-	assert.NoError(t, echoOver(t, calling, address), "the last good files stay in use")
+	forceReload(t, serving.TLS, server)
+	assert.NoError(t, echoOver(t, calling, address), "the last valid files stay in use")
 	assert.Error(t, serving.TLS.Failure())
 	gathered, err := registry.Gather()
 	require.NoError(t, err)
@@ -146,8 +150,8 @@
 	assert.Equal(t, fault.Invalid, fault.CodeOf(err))
 }
 
-// lookAgain makes the files look changed and the interval over.
-func lookAgain(t *testing.T, loaded *TLS, directory string) {
+// forceReload changes the modification time of a file and lets the reload interval elapse.
+func forceReload(t *testing.T, loaded *TLS, directory string) {
 	changed := time.Now().Add(time.Minute)
 	require.NoError(t, os.Chtimes(filepath.Join(directory, "cert.pem"), changed, changed))
 	loaded.mutex.Lock()
--- a/internal/peer/versions.go
+++ b/internal/peer/versions.go
@@ -9,26 +9,25 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// Versions is a range of versions of the protocol between nodes. Nodes are replaced one after the
-// other, so builds of two ranges talk to each other for a while: they use the newest version that
-// both speak. Fields that are added to a message need no new version; a build passes over those that
-// it does not know. A message whose meaning changes does.
+// Versions is an inclusive range of protocol versions. During a rolling upgrade nodes with different
+// ranges call each other and use the newest version that both support. A field added to a message
+// needs no new version, since decoders skip unknown fields. A change in the meaning of a message does.
 type Versions struct {
 	Oldest int
 	Newest int
 }
 
-// Spoken is the range of this build. Oldest may rise once no build is in use any more that speaks
-// nothing newer.
-var Spoken = Versions{Oldest: 1, Newest: 1}
+// SupportedVersions is the range of this build. Oldest may be raised once no build that supports only
+// older versions is in use.
+var SupportedVersions = Versions{Oldest: 1, Newest: 1}
 
-// headerVersions tells the range of the answerer, where it is not that of the caller's version alone.
+// headerVersions carries the server's range, if the request's version is not the server's newest.
 const headerVersions = "X-Cloverwheel-Versions"
 
-// Includes reports whether a version is in the range.
+// Includes reports whether version is in the range.
 func (v Versions) Includes(version int) bool { return version >= v.Oldest && version <= v.Newest }
 
-// Common is the newest version that both ranges include; 0: there is none.
+// Common returns the newest version in both ranges, or 0 if there is none.
 func (v Versions) Common(other Versions) int {
 	newest := min(v.Newest, other.Newest)
 	if newest < max(v.Oldest, other.Oldest) {
@@ -40,7 +39,7 @@
 // String implements fmt.Stringer.
 func (v Versions) String() string { return fmt.Sprintf("%d-%d", v.Oldest, v.Newest) }
 
-// parseVersions reads what String writes; ok is false for other texts.
+// parseVersions parses the format of String; ok is false for any other text.
 func parseVersions(text string) (versions Versions, ok bool) {
 	oldest, newest, ok := strings.Cut(text, "-")
 	if !ok {
@@ -52,47 +51,47 @@
 	return versions, errs[0] == nil && errs[1] == nil && versions.Oldest >= 1 && versions.Oldest <= versions.Newest
 }
 
-// agreed is the version in which a node is called: the newest of this build until that node has
-// told its range.
-func (t *HTTPTransport) agreed(to Address) int {
+// versionFor returns the protocol version for requests to a node: the newest one of this build until
+// another has been negotiated.
+func (t *HTTPTransport) versionFor(to Address) int {
 	if version, ok := t.versions.Load(to); ok {
 		return version.(int)
 	}
 	return t.options.Versions.Newest
 }
 
-// agree takes over the range that a node tells. It reports whether the node is to be called in
-// another version than it was. A node that refuses a version and tells nothing is of a build that
-// spoke one version alone.
-func (t *HTTPTransport) agree(to Address, response *http.Response) (changed bool) {
-	told, ok := parseVersions(response.Header.Get(headerVersions))
+// negotiateVersion reads the version range in a response. It reports whether later requests to the
+// node use a different version. A node that rejects a version without sending a range is assumed to
+// support only the oldest version of this build.
+func (t *HTTPTransport) negotiateVersion(to Address, response *http.Response) (changed bool) {
+	supported, ok := parseVersions(response.Header.Get(headerVersions))
 	if !ok && response.StatusCode != http.StatusUpgradeRequired {
 		return false
 	}
 	if !ok {
-		told = Versions{Oldest: t.options.Versions.Oldest, Newest: t.options.Versions.Oldest}
+		supported = Versions{Oldest: t.options.Versions.Oldest, Newest: t.options.Versions.Oldest}
 	}
-	version := t.options.Versions.Common(told)
-	if version == 0 || version == t.agreed(to) {
+	version := t.options.Versions.Common(supported)
+	if version == 0 || version == t.versionFor(to) {
 		return false
 	}
 	t.versions.Store(to, version)
 	return true
 }
 
-// refusesVersion answers a call in a version that this build does not speak. A caller in an older
-// version than could be learns of that, too.
-func (s *Server) refusesVersion(w http.ResponseWriter, r *http.Request) bool {
-	given := firstValue(r.Header, headerVersion)
-	version, err := strconv.Atoi(given)
-	spoken := s.options.Versions
-	if err != nil || version != spoken.Newest {
-		w.Header().Set(headerVersions, spoken.String())
+// rejectVersion rejects requests in an unsupported version and reports whether it did. A request in a
+// version other than the newest is answered with the supported range.
+func (s *Server) rejectVersion(w http.ResponseWriter, r *http.Request) bool {
+	requested := firstValue(r.Header, headerVersion)
+	version, err := strconv.Atoi(requested)
+	supported := s.options.Versions
+	if err != nil || version != supported.Newest {
+		w.Header().Set(headerVersions, supported.String())
 	}
-	if err == nil && spoken.Includes(version) {
+	if err == nil && supported.Includes(version) {
 		return false
 	}
-	writeFault(w, http.StatusUpgradeRequired, fault.Newf(fault.Invalid, "run builds side by side whose ranges of versions overlap",
-		"peer protocol version %q meets versions %s", given, spoken))
+	writeFault(w, http.StatusUpgradeRequired, fault.Newf(fault.Invalid, "run builds whose protocol version ranges overlap",
+		"peer protocol version %q is not in the supported range %s", requested, supported))
 	return true
 }
--- a/internal/peer/versions_test.go
+++ b/internal/peer/versions_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// seenVersions notes in which versions a server was called.
-type seenVersions struct {
+// versionRecorder records the protocol versions of the requests that a server receives.
+type versionRecorder struct {
 	mutex sync.Mutex
 	all   []string
 }
 
-func (s *seenVersions) note(next http.Handler) http.Handler {
+func (s *versionRecorder) note(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		s.all = append(s.all, firstValue(r.Header, headerVersion))
@@ -23,46 +23,47 @@
 	})
 }
 
-// oldBuild answers as builds do that speak one version alone and tell nothing of it.
+// oldBuild behaves like builds that support only version 1 and send no range.
 func oldBuild(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if firstValue(r.Header, headerVersion) != "1" {
 			w.WriteHeader(http.StatusUpgradeRequired)
 			return
 		}
-		next.ServeHTTP(&silentHeader{ResponseWriter: w}, r)
+		next.ServeHTTP(&rangeOmitter{ResponseWriter: w}, r)
 	})
 }
 
-// silentHeader leaves out what old builds do not send.
-type silentHeader struct{ http.ResponseWriter }
+// rangeOmitter removes the version range header, which old builds do not send.
+type rangeOmitter struct{ http.ResponseWriter }
 
-func (s *silentHeader) WriteHeader(status int) {
+func (s *rangeOmitter) WriteHeader(status int) {
 	s.Header().Del(headerVersions)
 	s.ResponseWriter.WriteHeader(status)
 }
 
 // Flush implements http.Flusher.
-func (s *silentHeader) Flush() { _ = http.NewResponseController(s.ResponseWriter).Flush() }
+func (s *rangeOmitter) Flush() { _ = http.NewResponseController(s.ResponseWriter).Flush() }
 
-// TestNodesOfTwoBuildsAgreeOnAVersion: at the first message, and for all that follow.
-func TestNodesOfTwoBuildsAgreeOnAVersion(t *testing.T) {
+// TestNodesNegotiateAVersion: nodes with different ranges must use the newest common version from
+// the first call on, and fail if there is none.
+func TestNodesNegotiateAVersion(t *testing.T) {
 	for name, test := range map[string]struct {
 		client, server Versions
 		old            bool
-		called         []string // versions of three calls
+		called         []string // versions of the requests that three calls send
 		served         bool
 	}{
 		"the same build":              {Versions{1, 1}, Versions{1, 1}, false, []string{"1", "1", "1"}, true},
 		"a newer node is called":      {Versions{1, 1}, Versions{1, 2}, false, []string{"1", "1", "1"}, true},
 		"an older node is called":     {Versions{1, 2}, Versions{1, 1}, false, []string{"2", "1", "1", "1"}, true},
-		"one that knows no ranges":    {Versions{1, 2}, Versions{1, 1}, true, []string{"2", "1", "1", "1"}, true},
+		"a node that sends no range":  {Versions{1, 2}, Versions{1, 1}, true, []string{"2", "1", "1", "1"}, true},
 		"two builds apart":            {Versions{2, 3}, Versions{1, 2}, false, []string{"3", "2", "2", "2"}, true},
 		"too far apart":               {Versions{3, 4}, Versions{1, 2}, false, []string{"4", "4", "4"}, false},
 		"an older build calls newest": {Versions{1, 2}, Versions{2, 3}, false, []string{"2", "2", "2"}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			seen := &seenVersions{}
+			seen := &versionRecorder{}
 			server := NewServer(Options{Keys: NewKeys("k"), Versions: test.server}, echoMux())
 			handler := server.Handler()
 			if test.old {
@@ -83,9 +84,9 @@
 	}
 }
 
-// TestNodeIsCalledInTheNewVersionOnceItIsReplaced by a build that speaks it.
-func TestNodeIsCalledInTheNewVersionOnceItIsReplaced(t *testing.T) {
-	seen := &seenVersions{}
+// TestReplacedNodeIsCalledInTheNewVersion: after a node is upgraded, calls must use the newer version.
+func TestReplacedNodeIsCalledInTheNewVersion(t *testing.T) {
+	seen := &versionRecorder{}
 	old := NewServer(Options{Keys: NewKeys("k"), Versions: Versions{1, 1}}, echoMux()).Handler()
 	replaced := NewServer(Options{Keys: NewKeys("k"), Versions: Versions{1, 2}}, echoMux()).Handler()
 	present := old
@@ -103,7 +104,8 @@
 	require.Equal(t, []string{"2", "1", "1", "1", "2"}, seen.all)
 }
 
-func TestVersionsAreRead(t *testing.T) {
+// TestParseVersions: malformed ranges must be rejected.
+func TestParseVersions(t *testing.T) {
 	for text, want := range map[string]Versions{"1-1": {1, 1}, "2-12": {2, 12}} {
 		got, ok := parseVersions(text)
 		require.True(t, ok)
