--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -1,7 +1,7 @@
-// Package httpconn keeps HTTP/1.1 connections to one address and decides which
-// of them may be used again. net/http's own client hides its connections; here
-// a connection on which anything odd was seen must never carry a request again,
-// and it must be known whether any byte of a request was written.
+// Package httpconn pools HTTP/1.1 connections to one address and decides which of
+// them can be reused. net/http's client hides its connections; here a connection
+// with any irregularity must not be reused, and callers must be able to tell
+// whether any byte of a request was written.
 package httpconn
 
 import (
@@ -21,53 +21,54 @@
 	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
-// ErrNotWritten is in the chain of errors of requests of which no byte was sent.
-var ErrNotWritten = errors.New("nothing was written; another worker may be tried")
+// ErrNotWritten is in the chain of errors of requests of which no byte was written.
+var ErrNotWritten = errors.New("nothing was written; the request can be sent to another worker")
 
-// ErrCrowded is in the chain of errors of connections that the peer reset at once:
-// it has as many as it takes. ErrNotWritten is there too.
-var ErrCrowded = errors.New("the worker takes no further connections")
+// ErrCrowded is in the chain of errors of new connections that the peer reset at once,
+// because it has reached its connection limit. ErrNotWritten is in the chain, too.
+var ErrCrowded = errors.New("worker has reached its connection limit; retry later or use another worker")
 
 const (
-	// settleTime is how long a new connection is watched before it is used: a peer
-	// that has too many resets it at once, and a request written to it meanwhile
-	// might have run for all one knows.
+	// settleTime is how long a new connection is observed before use. A peer at its
+	// connection limit resets it at once, and if a request had been written by then,
+	// it would be unknown whether it ran.
 	settleTime = 5 * time.Millisecond
-	// shortestIdle is how short idle connections are kept to a peer that resets
-	// new ones, so that other nodes find room.
+	// shortestIdle is the minimum idle timeout for a peer that resets new connections.
+	// Closing idle connections early leaves room for other nodes.
 	shortestIdle = 50 * time.Millisecond
-	// regrowth is the share by which that time grows with each sound connection.
-	regrowth = 20
+	// idleGrowthDivisor sets how fast the idle timeout recovers: by 1/idleGrowthDivisor
+	// with each accepted connection.
+	idleGrowthDivisor = 20
 )
 
-// Buffer sizes of a connection, in bytes.
+// Buffer sizes of a connection in bytes.
 const (
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
 )
 
-// keepAliveMargin is how long before the peer's announced end an idle
-// connection is no longer used, so that requests do not cross its close.
+// keepAliveMargin is how long before the peer's keep-alive timeout an idle
+// connection is discarded, so that a request does not race with the peer's close.
 const keepAliveMargin = 400 * time.Millisecond
 
-// Options of a Pool.
+// Options configures a Pool.
 type Options struct {
 	Address     string
 	DialTimeout time.Duration
-	MaxIdle     int           // idle connections kept
-	IdleTimeout time.Duration // where the peer announces nothing
-	LongestIdle time.Duration // whatever it announces; 0: IdleTimeout
-	OnDial      func()        // counts new connections; may be nil
-	// OnConnected is told how long a connection that came up took to open; may be nil.
+	MaxIdle     int           // maximum number of idle connections
+	IdleTimeout time.Duration // if the peer sends no Keep-Alive timeout
+	LongestIdle time.Duration // upper limit on the Keep-Alive timeout; at least IdleTimeout
+	OnDial      func()        // called for each connection attempt; may be nil
+	// OnConnected is called with the time that a successful connection attempt took; may be nil.
 	OnConnected func(took time.Duration)
-	OnLook      func()      // counts calls of Reach; may be nil
-	OnBytes     ByteCounter // nil: bytes are not counted
-	// Guard finds connections that have fallen silent.
+	OnLook      func()      // called by each Reach; may be nil
+	OnBytes     ByteCounter // counts sent and received bytes; may be nil
+	// Guard detects unresponsive connections.
 	Guard silence.Guard
-	// Prompt: the peer answers well within the time that calls are given, so one that
-	// ends without a word on a connection that was used before tells of a silent connection.
+	// Prompt says that the peer normally answers well within the deadlines of calls. A call
+	// that times out on a previously working connection then marks it as unresponsive.
 	Prompt bool
-	// Dial opens a connection; nil dials Address by TCP.
+	// Dial opens a connection; nil dials Address over TCP.
 	Dial func(ctx context.Context) (net.Conn, error)
 }
 
@@ -75,9 +76,9 @@
 type Pool struct {
 	options Options
 	mutex   sync.Mutex
-	idle    []*conn       // the longest unused first
-	limit   time.Duration // that a connection stays idle; shorter while the peer is crowded
-	pruning bool          // a look at the idle connections is due
+	idle    []*conn       // least recently used first
+	limit   time.Duration // on the idle time of a connection; lowered while the peer rejects connections
+	pruning bool          // a call of prune is scheduled
 	closed  bool
 }
 
@@ -87,59 +88,59 @@
 	return &Pool{options: options, limit: options.LongestIdle}
 }
 
-// Address is where the pool's connections lead.
+// Address returns the address of the pool's connections.
 func (p *Pool) Address() string { return p.options.Address }
 
 // conn is a connection that carries one request at a time.
 type conn struct {
 	net.Conn
-	reader    *bufio.Reader
-	writer    *bufio.Writer
-	keepAlive time.Duration
-	expires   time.Time
-	answered  bool      // it has carried an answer
-	used      bool      // it had before the present request
-	heard     time.Time // when the peer was last heard on it, if it is idle
-	stretched bool      // the peer was given the time to read a long message
+	reader          *bufio.Reader
+	writer          *bufio.Writer
+	keepAlive       time.Duration
+	expires         time.Time
+	answered        bool      // it has carried a complete response
+	answeredBefore  bool      // answered was true when the current request was sent
+	lastReceived    time.Time // when the peer last sent data on it; set when it becomes idle
+	timeoutExtended bool      // the guard's timeout was extended for a long message
 }
 
-// Answer is a response whose body must be read or discarded, then closed.
+// Answer is a response whose body must be read or discarded. Close must be called.
 type Answer struct {
 	*http.Response
-	pool    *Pool
-	conn    *conn
-	stop    func() bool
-	done    bool
-	spoiled atomic.Bool
+	pool        *Pool
+	conn        *conn
+	stop        func() bool
+	done        bool
+	notReusable atomic.Bool
 }
 
-// Send writes the request and reads the head of its answer. The end of ctx
-// closes the connection, also while the body is read. If nothing was written,
-// the error's chain holds ErrNotWritten.
+// Send writes the request and reads the response head. When ctx ends, the connection
+// is closed, also while the body is read. If no byte was written, ErrNotWritten is in
+// the error's chain.
 func (p *Pool) Send(ctx context.Context, request *http.Request) (*Answer, error) {
-	c, err := p.take(ctx)
+	c, err := p.acquire(ctx)
 	if err != nil {
 		return nil, errors.Join(ErrNotWritten, err)
 	}
-	if ctx.Err() != nil { // nobody waits for the answer any more
+	if ctx.Err() != nil { // the caller no longer waits for the response
 		p.put(c)
 		return nil, errors.Join(ErrNotWritten, ctx.Err())
 	}
 	sent := time.Now()
-	p.stretch(c, request.ContentLength)
+	p.extendTimeout(c, request.ContentLength)
 	watchOf(ctx).start(c)
 	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	response, err := c.exchange(request)
 	if err != nil {
 		stop()
 		c.Conn.Close()
-		return nil, p.judge(ctx, c, sent, err)
+		return nil, p.noteFailure(ctx, c, sent, err)
 	}
 	response.Body = &body{ReadCloser: response.Body, pool: p, conn: c, sent: sent}
 	return &Answer{Response: response, pool: p, conn: c, stop: stop}, nil
 }
 
-// exchange writes the request and reads the head of its answer.
+// exchange writes the request and reads the response head.
 func (c *conn) exchange(request *http.Request) (*http.Response, error) {
 	if err := c.write(request); err != nil {
 		return nil, err
@@ -154,28 +155,28 @@
 	return c.writer.Flush()
 }
 
-// Spoil makes sure that the connection is not used again.
-func (a *Answer) Spoil() { a.spoiled.Store(true) }
+// Spoil prevents the connection from being reused.
+func (a *Answer) Spoil() { a.notReusable.Store(true) }
 
-// Close ends the exchange. Only a connection whose answer was read to its
-// proper end, with nothing after it, is kept.
+// Close ends the exchange. The connection is reused only if readWhole is true, the
+// response allows it, and no further data was received.
 func (a *Answer) Close(readWhole bool) {
 	if a.done {
 		return
 	}
 	a.done = true
-	if !a.stop() || !readWhole || a.spoiled.Load() || a.Response.Close || a.conn.reader.Buffered() > 0 {
+	if !a.stop() || !readWhole || a.notReusable.Load() || a.Response.Close || a.conn.reader.Buffered() > 0 {
 		a.conn.Conn.Close()
 		return
 	}
 	if limit, ok := keepAliveOf(a.Header); ok {
 		a.conn.keepAlive = limit
 	}
-	a.conn.answered, a.conn.heard = true, time.Now()
+	a.conn.answered, a.conn.lastReceived = true, time.Now()
 	a.pool.put(a.conn)
 }
 
-// keepAliveOf reads the timeout of a Keep-Alive header.
+// keepAliveOf returns the timeout in a Keep-Alive header, or false if there is none.
 func keepAliveOf(header http.Header) (time.Duration, bool) {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -190,14 +191,14 @@
 	return 0, false
 }
 
-func (p *Pool) take(ctx context.Context) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context) (*conn, error) {
 	for {
 		c := p.pop()
 		if c == nil {
 			return p.dial(ctx)
 		}
-		if time.Now().Before(c.expires) && quiet(c.Conn) {
-			c.used = c.answered
+		if time.Now().Before(c.expires) && isIdle(c.Conn) {
+			c.answeredBefore = c.answered
 			return c, nil
 		}
 		c.Conn.Close()
@@ -216,7 +217,7 @@
 	return c
 }
 
-// Ready reports whether an idle connection is at hand.
+// Ready reports whether an idle connection is available.
 func (p *Pool) Ready() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -231,7 +232,7 @@
 	begun := time.Now()
 	raw, err := p.connect(ctx)
 	if errors.Is(err, syscall.ECONNRESET) {
-		p.noteFresh(false)
+		p.adjustIdleLimit(false)
 		return nil, errors.Join(ErrCrowded, err)
 	}
 	if err != nil {
@@ -241,17 +242,17 @@
 		p.options.OnConnected(time.Since(begun))
 	}
 	p.options.Guard.Protect(raw, time.Since(begun))
-	if !p.settles(raw) {
+	if !p.acceptedByPeer(raw) {
 		raw.Close()
 		return nil, ErrCrowded
 	}
 	reads, writes := p.counted(raw)
 	return &conn{
-		Conn:      raw,
-		reader:    bufio.NewReaderSize(reads, readBuffer),
-		writer:    bufio.NewWriterSize(pooledCopy{writes}, writeBuffer),
-		keepAlive: p.options.IdleTimeout,
-		heard:     time.Now(),
+		Conn:         raw,
+		reader:       bufio.NewReaderSize(reads, readBuffer),
+		writer:       bufio.NewWriterSize(pooledCopy{writes}, writeBuffer),
+		keepAlive:    p.options.IdleTimeout,
+		lastReceived: time.Now(),
 	}, nil
 }
 
@@ -263,23 +264,24 @@
 	return dialer.DialContext(ctx, "tcp", p.options.Address)
 }
 
-// settles watches a new connection for a moment and reports whether it stays.
-func (p *Pool) settles(fresh net.Conn) bool {
+// acceptedByPeer observes a new connection for settleTime and reports whether the peer
+// keeps it open.
+func (p *Pool) acceptedByPeer(fresh net.Conn) bool {
 	if _, ok := fresh.(syscall.Conn); !ok {
-		return true // nothing can be learnt without reading
+		return true // its state cannot be checked without reading
 	}
 	time.Sleep(settleTime)
-	stays := quiet(fresh)
-	p.noteFresh(stays)
-	return stays
+	accepted := isIdle(fresh)
+	p.adjustIdleLimit(accepted)
+	return accepted
 }
 
-// noteFresh notes whether the peer had a place for a new connection.
-func (p *Pool) noteFresh(stays bool) {
+// adjustIdleLimit adapts the idle timeout to whether the peer accepted a new connection.
+func (p *Pool) adjustIdleLimit(accepted bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if stays {
-		p.limit = min(p.limit+p.limit/regrowth, p.options.LongestIdle)
+	if accepted {
+		p.limit = min(p.limit+p.limit/idleGrowthDivisor, p.options.LongestIdle)
 	} else {
 		p.limit = max(p.limit/2, min(shortestIdle, p.options.IdleTimeout))
 	}
@@ -297,8 +299,8 @@
 	p.schedulePrune()
 }
 
-// schedulePrune looks at the idle connections again when the first is over. The
-// caller holds the mutex.
+// schedulePrune schedules prune for when the first idle connection expires. The caller
+// must hold the mutex.
 func (p *Pool) schedulePrune() {
 	if p.pruning || len(p.idle) == 0 {
 		return
@@ -307,8 +309,7 @@
 	time.AfterFunc(max(time.Until(p.idle[0].expires), shortestIdle), p.prune)
 }
 
-// prune closes the connections that were idle for too long: the peer may need
-// their places.
+// prune closes expired idle connections, so that the peer can accept others.
 func (p *Pool) prune() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -327,8 +328,8 @@
 	p.schedulePrune()
 }
 
-// Reach opens a connection and keeps it, or tells why none came up. A peer that has no
-// place for the connection is there: that is no error.
+// Reach opens a connection and keeps it idle, or returns why that failed. A peer at its
+// connection limit is reachable: that is no error.
 func (p *Pool) Reach(ctx context.Context) error {
 	if p.options.OnLook != nil {
 		p.options.OnLook()
@@ -344,7 +345,7 @@
 	return nil
 }
 
-// Close drops all idle connections.
+// Close closes all idle connections. Connections in use are closed when they are returned.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -355,13 +356,13 @@
 	p.idle = nil
 }
 
-// Next reads past this answer's body, of at most limit bytes, and returns the
-// next answer that comes on the same connection, which is not used again.
+// Next skips the rest of this answer's body, of at most limit bytes, and returns the
+// next response on the same connection, which is not reused afterwards.
 func (a *Answer) Next(limit int64) (*Answer, error) {
 	a.done = true
 	_, err := io.CopyN(io.Discard, a.Body, limit)
 	if err == nil {
-		err = errors.New("the answer is too long to be read past")
+		err = errors.New("response body exceeds the limit for skipping it")
 	}
 	if errors.Is(err, io.EOF) {
 		var response *http.Response
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// peer answers the requests of one connection after another by scripts: what it
-// writes for each request, in turn. Then it closes or waits.
+// peer starts a server that answers each connection with one script: a response for each
+// request in turn, where "" closes the connection. After the script it waits for the client.
 func peer(t *testing.T, scripts ...[]string) (address string, accepted func() int) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -79,7 +79,8 @@
 	return NewPool(Options{Address: address, DialTimeout: time.Second, MaxIdle: 4, IdleTimeout: time.Minute})
 }
 
-func TestSoundConnectionsAreUsedAgain(t *testing.T) {
+// TestIntactConnectionsAreReused: complete exchanges must not open new connections.
+func TestIntactConnectionsAreReused(t *testing.T) {
 	address, accepted := peer(t, []string{ok, ok, ok})
 	p := pool(address)
 	for range 3 {
@@ -89,18 +90,19 @@
 	require.Equal(t, 1, accepted())
 }
 
-func TestOddConnectionsAreNotUsedAgain(t *testing.T) {
+// TestIrregularConnectionsAreNotReused: a connection with an irregular response must be discarded.
+func TestIrregularConnectionsAreNotReused(t *testing.T) {
 	for name, first := range map[string]string{
-		"more than an answer":     ok + ok,
-		"the peer says close":     "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
-		"no time is left by it":   "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok",
-		"it ended after the head": "",
-		"not an answer":           "GARBAGE\r\n\r\n",
-		"a body cut off":          "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
+		"data after the response":    ok + ok,
+		"Connection: close":          "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
+		"keep-alive timeout of zero": "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nContent-Length: 2\r\n\r\nok",
+		"closed without a response":  "",
+		"malformed response":         "GARBAGE\r\n\r\n",
+		"truncated body":             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok",
 	} {
 		t.Run(name, func(t *testing.T) {
 			script := []string{first, ok}
-			if first == "" || name == "a body cut off" {
+			if first == "" || name == "truncated body" {
 				script = []string{first, ""}[:1]
 			}
 			address, accepted := peer(t, append(script, ""), []string{ok})
@@ -119,11 +121,12 @@
 	}
 }
 
-func TestBytesThatComeLaterSpoilAnIdleConnection(t *testing.T) {
+// TestUnexpectedDataPreventsReuse: data received on an idle connection must not be taken as the next response.
+func TestUnexpectedDataPreventsReuse(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	late, wrote := make(chan struct{}), make(chan struct{})
+	sendLate, wrote := make(chan struct{}), make(chan struct{})
 	go func() {
 		connection, err := listener.Accept()
 		if err != nil {
@@ -131,7 +134,7 @@
 		}
 		_, _ = http.ReadRequest(bufio.NewReader(connection))
 		_, _ = io.WriteString(connection, ok)
-		<-late
+		<-sendLate
 		_, _ = io.WriteString(connection, ok)
 		close(wrote)
 		second, err := listener.Accept()
@@ -143,15 +146,16 @@
 	p := pool(listener.Addr().String())
 	_, err = exchange(t, p)
 	require.NoError(t, err)
-	close(late)
+	close(sendLate)
 	<-wrote
-	require.Eventually(t, func() bool { return !quiet(p.idle[0].Conn) }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !isIdle(p.idle[0].Conn) }, 5*time.Second, time.Millisecond)
 	answer, err := exchange(t, p)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusCreated, answer.StatusCode)
 }
 
-func TestNextAnswerOnTheSameConnection(t *testing.T) {
+// TestNextReadsFollowingResponse: Next must skip a body and return the following response.
+func TestNextReadsFollowingResponse(t *testing.T) {
 	address, accepted := peer(t, []string{"HTTP/1.1 200 OK\r\nX: other\r\nContent-Length: 5\r\n\r\nother" + ok}, []string{ok})
 	p := pool(address)
 	answer, err := p.Send(t.Context(), get())
@@ -164,10 +168,11 @@
 	next.Close(true)
 	_, err = exchange(t, p)
 	require.NoError(t, err)
-	require.Equal(t, 2, accepted(), "the connection is not used again")
+	require.Equal(t, 2, accepted(), "the connection is not reused")
 }
 
-func TestWhatWasNotWrittenIsKnown(t *testing.T) {
+// TestUnwrittenRequestIsReported: ErrNotWritten must be reported only if no byte was written.
+func TestUnwrittenRequestIsReported(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -181,7 +186,8 @@
 	require.False(t, errors.Is(err, ErrNotWritten))
 }
 
-func TestEndOfContextClosesTheConnection(t *testing.T) {
+// TestCanceledContextClosesConnection: a canceled request must not leave its connection open.
+func TestCanceledContextClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -203,8 +209,9 @@
 	<-closed
 }
 
-// TestNothingIsWrittenForACallerThatLeft: not even when a connection is there.
-func TestNothingIsWrittenForACallerThatLeft(t *testing.T) {
+// TestNothingIsWrittenForCanceledCaller: a canceled request must not be written, even if an
+// idle connection is available.
+func TestNothingIsWrittenForCanceledCaller(t *testing.T) {
 	address, accepted := peer(t, []string{ok, ok})
 	p := pool(address)
 	_, err := exchange(t, p)
@@ -215,12 +222,12 @@
 	require.ErrorIs(t, err, ErrNotWritten)
 	_, err = exchange(t, p)
 	require.NoError(t, err)
-	require.Equal(t, 1, accepted(), "the connection is as it was")
+	require.Equal(t, 1, accepted(), "the connection is still usable")
 }
 
-// TestCrowdedPeerIsKnownBeforeAnythingIsWritten: a peer that resets new connections
-// has run nothing, and its idle connections are let go sooner.
-func TestCrowdedPeerIsKnownBeforeAnythingIsWritten(t *testing.T) {
+// TestConnectionLimitIsDetectedBeforeWriting: if the peer resets new connections, nothing may be
+// written, and the idle timeout must be lowered.
+func TestConnectionLimitIsDetectedBeforeWriting(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -241,17 +248,17 @@
 		require.ErrorIs(t, err, ErrNotWritten)
 	}
 	require.Equal(t, shortestIdle, p.limit)
-	require.NoError(t, p.Reach(t.Context()), "a peer without a place is there")
+	require.NoError(t, p.Reach(t.Context()), "a peer at its connection limit is reachable")
 	listener.Close()
 	require.Error(t, p.Reach(t.Context()))
 }
 
-// TestPeerTellsHowLongConnectionsRest: where it says so, they rest longer than where it
-// does not, up to a bound.
-func TestPeerTellsHowLongConnectionsRest(t *testing.T) {
+// TestKeepAliveHeaderSetsIdleTime: the idle time must follow the peer's Keep-Alive timeout, up to
+// LongestIdle.
+func TestKeepAliveHeaderSetsIdleTime(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		keepAlive time.Duration // announced; 0: not
+		keepAlive time.Duration // sent by the peer; 0: none
 		rests     time.Duration
 	}{
 		{"not announced", 0, 4*time.Second - keepAliveMargin},
@@ -276,6 +283,7 @@
 	}
 }
 
+// TestIdleConnectionsAreClosed: expired idle connections must be closed without further requests.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	address, accepted := peer(t, []string{ok, ok, ok})
 	p := NewPool(Options{Address: address, DialTimeout: time.Second, MaxIdle: 4, IdleTimeout: shortestIdle})
@@ -291,8 +299,8 @@
 	require.Equal(t, 2, accepted())
 }
 
-// TestOnlyConnectionsThatComeUpAreMeasured: a time-out is no measurement.
-func TestOnlyConnectionsThatComeUpAreMeasured(t *testing.T) {
+// TestOnlySuccessfulDialsAreMeasured: a failed attempt must not be reported to OnConnected.
+func TestOnlySuccessfulDialsAreMeasured(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var measured []time.Duration
 		up := false
@@ -302,7 +310,7 @@
 			Dial: func(context.Context) (net.Conn, error) {
 				time.Sleep(24 * time.Millisecond)
 				if !up {
-					return nil, errors.New("nobody is there")
+					return nil, errors.New("host is unreachable")
 				}
 				one, _ := net.Pipe()
 				return one, nil
--- a/internal/httpconn/copy.go
+++ b/internal/httpconn/copy.go
@@ -6,13 +6,13 @@
 	"sync"
 )
 
-// copyBytes is the size of the buffers through which bodies are written.
+// copyBytes is the size in bytes of the buffers for writing bodies.
 const copyBytes = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBytes]byte) }}
 
-// pooledCopy is a connection that copies from readers through a buffer that is used
-// again. A TCP connection alone makes one of the same size for each body.
+// pooledCopy is a connection that copies from readers through pooled buffers. A plain
+// TCP connection would allocate a buffer of the same size for each body.
 type pooledCopy struct{ net.Conn }
 
 // ReadFrom implements io.ReaderFrom.
@@ -22,5 +22,5 @@
 	return io.CopyBuffer(writerOnly{p.Conn}, reader, buffer[:])
 }
 
-// writerOnly hides what else a connection can do.
+// writerOnly hides the other methods of a connection, so that io.CopyBuffer uses its buffer.
 type writerOnly struct{ io.Writer }
--- a/internal/httpconn/copy_test.go
+++ b/internal/httpconn/copy_test.go
@@ -12,8 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ownCopy is a connection that makes a buffer of its own for what it copies, as one
-// over TCP does.
+// ownCopy is a connection that allocates its own buffer in ReadFrom, as a TCP connection does.
 type ownCopy struct {
 	net.Conn
 	copied *int
@@ -25,9 +24,9 @@
 	return io.Copy(writerOnly{o.Conn}, reader)
 }
 
-// TestLongBodiesTakeNoBufferEach: they are written whole, and not by the connection's
-// own copying.
-func TestLongBodiesTakeNoBufferEach(t *testing.T) {
+// TestBodiesUsePooledBuffers: bodies must be written completely, and not through the
+// connection's own ReadFrom.
+func TestBodiesUsePooledBuffers(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	received := make(chan []byte, 1)
--- a/internal/httpconn/count.go
+++ b/internal/httpconn/count.go
@@ -5,11 +5,11 @@
 	"net"
 )
 
-// ByteCounter is told of bytes that went over connections. It must be safe for
-// concurrent use.
+// ByteCounter is called with the number of bytes sent and received on a connection. It
+// must be safe for concurrent use.
 type ByteCounter func(sent, received int)
 
-// countedReader counts what is read from a connection.
+// countedReader counts the bytes read from a connection.
 type countedReader struct {
 	io.Reader
 	count ByteCounter
@@ -22,7 +22,7 @@
 	return read, err
 }
 
-// countedConn counts what is written to a connection.
+// countedConn counts the bytes written to a connection.
 type countedConn struct {
 	net.Conn
 	count ByteCounter
@@ -35,7 +35,8 @@
 	return written, err
 }
 
-// counted returns the two directions of a connection, counted where that is asked for.
+// counted returns the reader and writer of a connection, with byte counting if
+// Options.OnBytes is set.
 func (p *Pool) counted(raw net.Conn) (io.Reader, net.Conn) {
 	if p.options.OnBytes == nil {
 		return raw, raw
--- a/internal/httpconn/quiet.go
+++ b/internal/httpconn/idle.go
@@ -5,10 +5,9 @@
 	"syscall"
 )
 
-// quiet reports whether an idle connection is open and has nothing to read:
-// bytes that wait on it belong to no request, and an end means that the peer
-// has closed it.
-func quiet(connection net.Conn) bool {
+// isIdle reports whether a connection is open and has no data to read. Unread data
+// belongs to no request, and end of file means that the peer has closed the connection.
+func isIdle(connection net.Conn) bool {
 	raw, ok := connection.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/httpconn/silent_test.go
+++ b/internal/httpconn/unresponsive_test.go
@@ -16,70 +16,70 @@
 	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
-// deafening is a peer whose open connections can be made silent: what comes on them is
-// taken and never answered, while new ones work.
-type deafening struct {
+// stallingServer is a peer whose open connections can be stalled: it still reads from them
+// but never answers, while new connections work.
+type stallingServer struct {
 	address string
 	mutex   sync.Mutex
-	open    []chan struct{} // closed for connections that are silent
+	open    []chan struct{} // closed for stalled connections
 	dials   int
 }
 
-func newDeafening(t *testing.T) *deafening {
+func newStallingServer(t *testing.T) *stallingServer {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	d := &deafening{address: listener.Addr().String()}
+	s := &stallingServer{address: listener.Addr().String()}
 	go func() {
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			silent := make(chan struct{})
-			d.mutex.Lock()
-			d.open = append(d.open, silent)
-			d.dials++
-			d.mutex.Unlock()
+			stalled := make(chan struct{})
+			s.mutex.Lock()
+			s.open = append(s.open, stalled)
+			s.dials++
+			s.mutex.Unlock()
 			t.Cleanup(func() { connection.Close() })
-			go d.serve(connection, silent)
+			go s.serve(connection, stalled)
 		}
 	}()
-	return d
+	return s
 }
 
-func (d *deafening) serve(connection net.Conn, silent chan struct{}) {
+func (s *stallingServer) serve(connection net.Conn, stalled chan struct{}) {
 	buffer := make([]byte, 4<<10)
 	for {
 		if _, err := connection.Read(buffer); err != nil {
 			return
 		}
 		select {
-		case <-silent:
+		case <-stalled:
 		default:
 			_, _ = io.WriteString(connection, ok)
 		}
 	}
 }
 
-// silence makes all open connections silent.
-func (d *deafening) silence() {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	for _, silent := range d.open {
-		close(silent)
+// stall stalls all open connections.
+func (s *stallingServer) stall() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	for _, stalled := range s.open {
+		close(stalled)
 	}
-	d.open = nil
+	s.open = nil
 }
 
-func (d *deafening) dialed() int {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.dials
+func (s *stallingServer) dialed() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.dials
 }
 
-// idle opens that many connections and leaves them idle.
-func idle(t *testing.T, p *Pool, count int) {
+// fillIdle opens count connections and leaves them idle.
+func fillIdle(t *testing.T, p *Pool, count int) {
 	t.Helper()
 	answers := make([]*Answer, count)
 	for index := range answers {
@@ -95,8 +95,8 @@
 	require.Len(t, p.idle, count)
 }
 
-// late sends a request that is not answered in time.
-func late(t *testing.T, p *Pool) error {
+// requireTimeout sends a request that times out and returns its error.
+func requireTimeout(t *testing.T, p *Pool) error {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Millisecond)
 	defer cancel()
@@ -105,15 +105,15 @@
 	return err
 }
 
-// TestOneSilentConnectionTellsOfTheOthers: a call pays for the silence of all, and the next
-// one is answered on a new connection.
-func TestOneSilentConnectionTellsOfTheOthers(t *testing.T) {
-	peer, givenUp := newDeafening(t), 0
+// TestUnresponsiveConnectionClosesOtherIdleOnes: after one timeout, the next request must use a
+// new connection instead of timing out on another old one.
+func TestUnresponsiveConnectionClosesOtherIdleOnes(t *testing.T) {
+	peer, givenUp := newStallingServer(t), 0
 	p := NewPool(Options{Address: peer.address, DialTimeout: time.Minute, MaxIdle: 4, IdleTimeout: time.Minute, Prompt: true,
 		Guard: silence.Guard{GivenUp: func() { givenUp++ }}})
-	idle(t, p, 3)
-	peer.silence()
-	require.ErrorIs(t, late(t, p), ErrSilent)
+	fillIdle(t, p, 3)
+	peer.stall()
+	require.ErrorIs(t, requireTimeout(t, p), ErrSilent)
 	require.Equal(t, 1, givenUp)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -122,23 +122,23 @@
 	require.Equal(t, 4, peer.dialed())
 }
 
-// TestSilenceOfANewConnectionIsThePeers: nothing is known then of old ones.
-func TestSilenceOfANewConnectionIsThePeers(t *testing.T) {
+// TestTimeoutOnNewConnectionIsNotErrSilent: a timeout on a new connection must not be ErrSilent.
+func TestTimeoutOnNewConnectionIsNotErrSilent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
 	p := NewPool(Options{Address: listener.Addr().String(), DialTimeout: time.Minute, MaxIdle: 4, IdleTimeout: time.Minute, Prompt: true})
-	require.NotErrorIs(t, late(t, p), ErrSilent)
+	require.NotErrorIs(t, requireTimeout(t, p), ErrSilent)
 }
 
-// TestSlowPeerKeepsItsConnections: where answers may take as long as the caller has, the end
-// of its time is no sign; nor is a caller that leaves.
+// TestSlowPeerKeepsItsConnections: without Prompt a timeout, and with it a canceled caller, must
+// not mark connections as unresponsive.
 func TestSlowPeerKeepsItsConnections(t *testing.T) {
-	peer := newDeafening(t)
+	peer := newStallingServer(t)
 	p := pool(peer.address)
-	idle(t, p, 3)
-	peer.silence()
-	require.NotErrorIs(t, late(t, p), ErrSilent)
+	fillIdle(t, p, 3)
+	peer.stall()
+	require.NotErrorIs(t, requireTimeout(t, p), ErrSilent)
 	require.Len(t, p.idle, 2)
 
 	p.options.Prompt = true
@@ -150,23 +150,23 @@
 	require.Len(t, p.idle, 1)
 }
 
-// TestConnectionHeardSinceIsKept: it has shown that it works after the silent one was used.
-func TestConnectionHeardSinceIsKept(t *testing.T) {
-	peer := newDeafening(t)
+// TestRecentlyActiveConnectionIsKept: a connection that has received data since must stay open.
+func TestRecentlyActiveConnectionIsKept(t *testing.T) {
+	peer := newStallingServer(t)
 	p := pool(peer.address)
-	idle(t, p, 2)
-	sound := p.idle[1]
-	sound.heard = time.Now().Add(time.Hour)
-	p.distrust(time.Now())
-	require.Equal(t, []*conn{sound}, p.idle)
+	fillIdle(t, p, 2)
+	active := p.idle[1]
+	active.lastReceived = time.Now().Add(time.Hour)
+	p.closeStale(time.Now())
+	require.Equal(t, []*conn{active}, p.idle)
 }
 
-// TestCallersWordOfSilenceCounts: it may know more than the pool.
-func TestCallersWordOfSilenceCounts(t *testing.T) {
-	peer := newDeafening(t)
+// TestCallerCanReportUnresponsiveConnection: ErrSilent as the cancellation cause must be honored.
+func TestCallerCanReportUnresponsiveConnection(t *testing.T) {
+	peer := newStallingServer(t)
 	p := pool(peer.address)
-	idle(t, p, 2)
-	peer.silence()
+	fillIdle(t, p, 2)
+	peer.stall()
 	ctx, cancel := context.WithCancelCause(t.Context())
 	time.AfterFunc(time.Millisecond, func() { cancel(ErrSilent) })
 	_, err := p.Send(ctx, get())
@@ -174,8 +174,7 @@
 	require.Empty(t, p.idle)
 }
 
-// brokenConn is a connection that the kernel gives up as silent when its answer, or the
-// rest of that, is waited for.
+// brokenConn is a connection whose reads fail with ETIMEDOUT after the given response data.
 type brokenConn struct {
 	net.Conn
 	answer *bytes.Reader
@@ -190,8 +189,8 @@
 
 func (b brokenConn) Write(data []byte) (int, error) { return len(data), nil }
 
-// TestConnectionThatTheKernelGivesUpIsCounted: in the midst of an answer, too.
-func TestConnectionThatTheKernelGivesUpIsCounted(t *testing.T) {
+// TestConnectionTimedOutByKernelIsCounted: before the response, and within its body.
+func TestConnectionTimedOutByKernelIsCounted(t *testing.T) {
 	for name, answer := range map[string]string{"before the answer": "", "within it": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"} {
 		t.Run(name, func(t *testing.T) {
 			givenUp := 0
@@ -208,9 +207,9 @@
 	}
 }
 
-// TestWatchTellsOfWhatHasNotArrived: of a connection that worked, when its peer takes in
-// nothing more. Of a new one it tells nothing: the peer may be gone.
-func TestWatchTellsOfWhatHasNotArrived(t *testing.T) {
+// TestWatchReportsUnacknowledgedData: only for a connection that worked before. On a new one the
+// peer itself may be down.
+func TestWatchReportsUnacknowledgedData(t *testing.T) {
 	for name, before := range map[string]int{"a new connection": 0, "one that worked": 1} {
 		t.Run(name, func(t *testing.T) {
 			listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -236,7 +235,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			ctx, watch := WithWatch(ctx)
-			require.False(t, watch.Silent(), "nothing is sent yet")
+			require.False(t, watch.Silent(), "nothing has been sent yet")
 			const length = 64 << 20 // more than the kernels hold
 			request := get()
 			request.Method, request.Body, request.ContentLength = http.MethodPost, io.NopCloser(bytes.NewReader(make([]byte, length))), length
@@ -259,12 +258,12 @@
 	}
 }
 
-// TestWatchOutlastsItsRequest: whoever still asks it disturbs no later request on the same
-// connection (run with -race).
+// TestWatchOutlastsItsRequest: a Watch used after its request must not race with later requests on
+// the same connection (run with -race).
 func TestWatchOutlastsItsRequest(t *testing.T) {
-	peer := newDeafening(t)
+	peer := newStallingServer(t)
 	p := NewPool(Options{Address: peer.address, DialTimeout: time.Minute, MaxIdle: 1, IdleTimeout: time.Minute})
-	idle(t, p, 1)
+	fillIdle(t, p, 1)
 	ctx, watch := WithWatch(t.Context())
 	answer, err := p.Send(ctx, get())
 	require.NoError(t, err)
@@ -279,6 +278,6 @@
 	require.NoError(t, err)
 	answer.Close(true)
 	for range 20 {
-		idle(t, p, 1)
+		fillIdle(t, p, 1)
 	}
 }
