--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -57,7 +57,7 @@
 	DialTimeout time.Duration
 	MaxIdle     int           // maximum number of idle connections
 	IdleTimeout time.Duration // if the peer sends no Keep-Alive timeout
-	LongestIdle time.Duration // upper limit on the Keep-Alive timeout; at least IdleTimeout
+	LongestIdle time.Duration // upper limit on the idle time; a value below IdleTimeout means IdleTimeout
 	OnDial      func()        // called for each connection attempt; may be nil
 	// OnConnected is called with the time that a successful connection attempt took; may be nil.
 	OnConnected func(took time.Duration)
@@ -100,11 +100,11 @@
 	expires         time.Time
 	answered        bool      // it has carried a complete response
 	answeredBefore  bool      // answered was true when the current request was sent
-	lastReceived    time.Time // when the peer last sent data on it; set when it becomes idle
+	lastReceived    time.Time // when the peer last sent data on it; set when it is opened and when it becomes idle
 	timeoutExtended bool      // the guard's timeout was extended for a long message
 }
 
-// Answer is a response whose body must be read or discarded. Close must be called.
+// Answer is a response. The caller must call Close, whether or not it has read the body.
 type Answer struct {
 	*http.Response
 	pool        *Pool
@@ -115,8 +115,8 @@
 }
 
 // Send writes the request and reads the response head. When ctx ends, the connection
-// is closed, also while the body is read. If no byte was written, ErrNotWritten is in
-// the error's chain.
+// is closed, also while the body is read. ErrNotWritten in the error's chain means that
+// no byte was written; without it, some may have been.
 func (p *Pool) Send(ctx context.Context, request *http.Request) (*Answer, error) {
 	c, err := p.acquire(ctx)
 	if err != nil {
@@ -356,13 +356,13 @@
 	p.idle = nil
 }
 
-// Next skips the rest of this answer's body, of at most limit bytes, and returns the
+// Next skips the rest of this answer's body, of fewer than limit bytes, and returns the
 // next response on the same connection, which is not reused afterwards.
 func (a *Answer) Next(limit int64) (*Answer, error) {
 	a.done = true
 	_, err := io.CopyN(io.Discard, a.Body, limit)
 	if err == nil {
-		err = errors.New("response body exceeds the limit for skipping it")
+		err = errors.New("response body is too long to be skipped")
 	}
 	if errors.Is(err, io.EOF) {
 		var response *http.Response
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -259,11 +259,11 @@
 	for _, c := range []struct {
 		name      string
 		keepAlive time.Duration // sent by the peer; 0: none
-		rests     time.Duration
+		want      time.Duration
 	}{
 		{"not announced", 0, 4*time.Second - keepAliveMargin},
 		{"announced", 10 * time.Second, 10*time.Second - keepAliveMargin},
-		{"announced beyond the bound", time.Hour, 15 * time.Second},
+		{"announced above LongestIdle", time.Hour, 15 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPool(Options{MaxIdle: 1, IdleTimeout: 4 * time.Second, LongestIdle: 15 * time.Second})
@@ -276,7 +276,7 @@
 			before := time.Now()
 			p.put(idle)
 			require.True(t, p.Ready())
-			require.InDelta(t, c.rests.Seconds(), idle.expires.Sub(before).Seconds(), 0.5)
+			require.InDelta(t, c.want.Seconds(), idle.expires.Sub(before).Seconds(), 0.5)
 			p.Close()
 			require.False(t, p.Ready())
 		})
--- a/internal/httpconn/unresponsive.go
+++ b/internal/httpconn/unresponsive.go
@@ -36,8 +36,8 @@
 // the smallest receive window of a new connection.
 const longMessage = 14 << 10
 
-// extendTimeout gives the peer time to read a long message. It stays in effect for the
-// connection.
+// extendTimeout gives the peer time to read a long message. The longer timeout
+// stays in effect for the rest of the connection's life.
 func (p *Pool) extendTimeout(c *conn, bytes int64) {
 	if bytes >= 0 && bytes < longMessage || c.timeoutExtended {
 		return
@@ -57,7 +57,7 @@
 	p.options.Guard.Count()
 	p.closeStale(sent)
 	if broken && !c.answeredBefore {
-		return err // the connection was new, so the peer itself is unresponsive
+		return err // the connection was new, so the peer itself may be unresponsive
 	}
 	return errors.Join(ErrSilent, err)
 }
--- a/internal/httpconn/unresponsive_test.go
+++ b/internal/httpconn/unresponsive_test.go
@@ -189,9 +189,10 @@
 
 func (b brokenConn) Write(data []byte) (int, error) { return len(data), nil }
 
-// TestConnectionTimedOutByKernelIsCounted: before the response, and within its body.
+// TestConnectionTimedOutByKernelIsCounted: a connection that the kernel timed out must be reported
+// to the guard, before the response and within its body.
 func TestConnectionTimedOutByKernelIsCounted(t *testing.T) {
-	for name, answer := range map[string]string{"before the answer": "", "within it": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"} {
+	for name, answer := range map[string]string{"before the response": "", "within its body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"} {
 		t.Run(name, func(t *testing.T) {
 			givenUp := 0
 			p := NewPool(Options{MaxIdle: 4, IdleTimeout: time.Minute, Guard: silence.Guard{GivenUp: func() { givenUp++ }},
@@ -207,8 +208,8 @@
 	}
 }
 
-// TestWatchReportsUnacknowledgedData: only for a connection that worked before. On a new one the
-// peer itself may be down.
+// TestWatchReportsUnacknowledgedData: a Watch must report unacknowledged data, but only on a
+// connection that worked before. On a new one the peer itself may be down.
 func TestWatchReportsUnacknowledgedData(t *testing.T) {
 	for name, before := range map[string]int{"a new connection": 0, "one that worked": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -267,9 +268,9 @@
 	ctx, watch := WithWatch(t.Context())
 	answer, err := p.Send(ctx, get())
 	require.NoError(t, err)
-	var asking sync.WaitGroup
-	defer asking.Wait()
-	asking.Go(func() {
+	var polling sync.WaitGroup
+	defer polling.Wait()
+	polling.Go(func() {
 		for range 1000 {
 			watch.Silent()
 		}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -360,6 +360,6 @@
 }
 
 func overloadedError(to Address, limit int) *fault.Error {
-	return fault.Newf(fault.Overloaded, "retry later", "%d messages to other nodes are in progress, next for %s", limit, to).
+	return fault.Newf(fault.Overloaded, "retry later", "limit of %d concurrent messages to other nodes is reached; the message to %s was not sent", limit, to).
 		WithRetryAfter(overloadRetryAfter)
 }
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -265,7 +265,7 @@
 	return nil
 }
 
-// idleFor returns the free list for a schema, or nil if maxSchemas are cached.
+// idleFor returns the free list for a schema, or nil for a new schema once maxSchemas are cached.
 func (p *decoderPool) idleFor(schema []byte) *freeList[*primedDecoder] {
 	p.mutex.RLock()
 	idle := p.schemas[string(schema)]
--- a/internal/peer/node_transport_test.go
+++ b/internal/peer/node_transport_test.go
@@ -247,7 +247,8 @@
 	require.Zero(t, givenUp.Load())
 }
 
-// TestNoteTimeout: only repeated timeouts without received data may mark a connection unresponsive.
+// TestNoteTimeout: without unacknowledged data, a connection may be considered unresponsive only after
+// repeated timeouts with no data received in between.
 func TestNoteTimeout(t *testing.T) {
 	newTracked := func() *trackedTransport {
 		return &trackedTransport{quietTime: time.Second, createdAt: time.Now().Add(-time.Hour)}
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -41,8 +41,8 @@
 	MaxDeadline time.Duration // server-side limit on the duration of a call
 	MaxStream   time.Duration // server-side limit on the duration of a stream
 	DialTimeout time.Duration // for opening a connection
-	IdleTimeout time.Duration // after which an unused connection is closed
-	QuietTime   time.Duration // without received data while calls wait, before connections are checked; 0: DialTimeout
+	IdleTimeout time.Duration // how long until an unused connection is closed
+	QuietTime   time.Duration // how long calls wait without received data before their connections are checked; 0: DialTimeout
 
 	Versions Versions // supported protocol versions; zero: SupportedVersions
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -183,7 +183,7 @@
 	if active.Add(1) > int64(limit) {
 		active.Add(-1)
 		writeFault(w, http.StatusServiceUnavailable, fault.Newf(fault.Overloaded, "retry later or try another node",
-			"%d peer messages are in progress", limit).WithRetryAfter(overloadRetryAfter))
+			"limit of %d concurrent peer messages is reached", limit).WithRetryAfter(overloadRetryAfter))
 		return nil, false
 	}
 	s.metrics.active.Inc()
