--- a/internal/store/expiry.go
+++ b/internal/store/expiry.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// Nothing in the table expires by itself. Rows of cloverwheel's own begin with
-// the time after which they may be removed, so that a sweep need not know what
-// they hold.
+// The table does not expire rows. Cloverwheel's own rows begin with the time after which
+// they may be removed, so that the sweep need not decode their payloads.
 
-// expiryBytes is the length of the time before a row's payload.
+// expiryBytes is the length of the expiry time in front of the payload: Unix time in
+// milliseconds, big-endian.
 const expiryBytes = 8
 
-// ErrNoExpiry is a value without a time before it.
-var ErrNoExpiry = errors.New("the row's value does not begin with the end of its life; remove the row")
+// ErrNoExpiry means that a value is too short to hold an expiry time.
+var ErrNoExpiry = errors.New("the row's value is too short to hold an expiry time; remove the row")
 
-// WithExpiry puts the end of a row's life before its payload.
+// WithExpiry returns the payload prefixed with the row's expiry time.
 func WithExpiry(expires time.Time, payload []byte) []byte {
 	value := make([]byte, 0, expiryBytes+len(payload))
 	value = binary.BigEndian.AppendUint64(value, uint64(expires.UnixMilli()))
 	return append(value, payload...)
 }
 
-// CutExpiry divides a value into the end of its row's life and its payload.
+// CutExpiry splits a value into its expiry time and its payload. It fails with ErrNoExpiry if
+// the value is too short.
 func CutExpiry(value []byte) (expires time.Time, payload []byte, err error) {
 	if len(value) < expiryBytes {
 		return time.Time{}, nil, ErrNoExpiry
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -14,79 +14,84 @@
 )
 
 const (
-	// gateFailures of different parts in a row, with no answer between them, close
-	// the gate: so many rarely meet by chance while only some parts are down.
-	gateFailures = 8
-	// A part that failed is closed for a time that doubles with each failure.
-	firstPartPause   = 100 * time.Millisecond
-	longestPartPause = 800 * time.Millisecond
-	// Most of the time that a call must have had before its end by its caller's time
-	// says something of the table: a caller that allows this much is not in a hurry.
-	enoughTime = 120 * time.Millisecond
+	// tripThreshold is the number of consecutive failures of different parts that trips the
+	// breaker for the whole table. It is high enough to tell an outage of the table from one
+	// of some parts.
+	tripThreshold = 8
+	// Bounds of the pause during which calls to a failed part are rejected. It doubles with
+	// each failure.
+	minPartPause = 100 * time.Millisecond
+	maxPartPause = 800 * time.Millisecond
+	// maxConclusiveTime is the longest time that a call must have run for its timeout to
+	// count as a failure of the table.
+	maxConclusiveTime = 120 * time.Millisecond
 )
 
-// ErrPartClosed is ErrNotDone at once, without a call: the part has just failed.
-var ErrPartClosed = fmt.Errorf("the part of the table has just failed: %w", ErrNotDone)
+// ErrPartClosed is an ErrNotDone returned without a call to the table, since recent calls to
+// the part failed.
+var ErrPartClosed = fmt.Errorf("recent calls to this part of the table failed: %w", ErrNotDone)
 
-// Gate keeps a node from pressing on a table that does not answer. A part that
-// failed is left alone for a moment, so that callers turn to another. After
-// failures of many parts in a row the gate closes: callers wait until it opens or
-// their own time is over, and meanwhile the gate probes the table by calls that no
-// caller can cut short (see probe). Watch passes freely: its callers come one at a
-// time and pause by themselves.
+// Gate is a circuit breaker around a Store. After a failure of a part, calls to it fail with
+// ErrPartClosed for a short time, so that callers use another part. After consecutive
+// failures of many parts the whole gate closes: callers wait until it opens or their
+// context ends, while the gate probes the table (see probe). An open gate lets calls
+// through, a closed gate blocks them. Watch is not guarded: its callers make one call at a
+// time and back off by themselves.
 type Gate struct {
 	Store
 	logger   log.Interface
-	way      wait.Estimate // how long the table takes to answer
+	latency  wait.Estimate // of calls to the table
 	mutex    sync.Mutex
-	closed   time.Time // when the gate closed
-	failures int
+	closedAt time.Time
+	failures int // consecutive failures of different parts
 	probes   probes
-	opened   chan struct{} // closed when the gate opens; nil while it is open
-	parts    map[string]*partGate
-	// throttled is when a writing call was last refused for the number of calls, in ns.
-	throttled atomic.Int64
+	opened   chan struct{}         // closed when the gate opens; nil while it is open
+	parts    map[string]*partPause // the parts that failed last
+	// lastThrottled is the time of the last commit that failed with ErrThrottled, in Unix
+	// nanoseconds; zero means never.
+	lastThrottled atomic.Int64
 }
 
-// ThrottledSince reports whether the table refused a writing call of this node for the number
-// of calls at or after a moment.
-func (g *Gate) ThrottledSince(moment time.Time) bool {
-	last := g.throttled.Load()
-	return last != 0 && !time.Unix(0, last).Before(moment)
+// ThrottledSince reports whether a commit of this node failed with ErrThrottled at or after
+// the given time.
+func (g *Gate) ThrottledSince(since time.Time) bool {
+	last := g.lastThrottled.Load()
+	return last != 0 && !time.Unix(0, last).Before(since)
 }
 
-// Bounds of the patience with a call, and how many times what is usual it is: a call
-// that takes a little longer than that is not made again.
+// Bounds of the patience with a call, and its ratio to the usual latency. The factor keeps
+// calls that are only a little slow from being repeated.
 const (
-	shortestPatience = 25 * time.Millisecond
-	longestPatience  = 450 * time.Millisecond
-	patienceTimes    = 2
+	minPatience    = 25 * time.Millisecond
+	maxPatience    = 450 * time.Millisecond
+	patienceFactor = 2
 )
 
-// Patience implements Paced.
+// Patience implements Paced. It follows the observed latency of the table.
 func (g *Gate) Patience() time.Duration {
-	return min(max(patienceTimes*g.way.Longest(0, longestPatience), shortestPatience), longestPatience)
+	return min(max(patienceFactor*g.latency.Longest(0, maxPatience), minPatience), maxPatience)
 }
 
-// partGate is a part that failed.
-type partGate struct {
+// partPause is the pause during which calls to a failed part are rejected.
+type partPause struct {
 	pause time.Duration
-	until time.Time
+	until time.Time // end of the pause
 }
 
-// Suspect reports whether the last calls have failed, whatever their parts.
+// Suspect reports whether the last calls failed, to whichever parts.
 func (g *Gate) Suspect() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.opened != nil || g.failures >= suspectFailures
+	return g.opened != nil || g.failures >= suspectThreshold
 }
 
-// Lost reports whether the last calls have failed; there is no other way.
+// Lost reports whether the table is unreachable. For a Gate it is the same as Suspect, since
+// there is no other path to the table.
 func (g *Gate) Lost() bool { return g.Suspect() }
 
-// NewGate returns an open gate before table, which logs when it closes and opens.
+// NewGate returns an open gate around table. It logs when it closes and opens.
 func NewGate(table Store, logger log.Interface) *Gate {
-	return &Gate{Store: table, logger: logger, parts: map[string]*partGate{}}
+	return &Gate{Store: table, logger: logger, parts: map[string]*partPause{}}
 }
 
 // Commit implements Store.
@@ -98,7 +103,7 @@
 	begun := time.Now()
 	version, err := g.Store.Commit(ctx, transaction)
 	if errors.Is(err, ErrThrottled) {
-		g.throttled.Store(time.Now().UnixNano())
+		g.lastThrottled.Store(time.Now().UnixNano())
 	}
 	g.leave(ctx, first.Part, begun, err)
 	return version, err
@@ -115,17 +120,17 @@
 	return page, err
 }
 
-// enter waits until the call may be made. Its error is ErrNotDone. While it waits, or
-// the table is in doubt, the table is probed where key is.
+// enter waits until the call may be made, and fails with ErrNotDone otherwise. While it waits
+// or the table is suspect, it probes the table with reads at key.
 func (g *Gate) enter(ctx context.Context, key Key) error {
 	opened, err := g.state(key.Part)
 	if opened == nil {
 		if err == nil && g.Suspect() {
-			g.probe(key) // the call itself may be broken off when another way answers
+			g.probe(key) // the call itself may be canceled when another path responds first
 		}
 		return err
 	}
-	tick := time.NewTicker(probeTick)
+	tick := time.NewTicker(probePollInterval)
 	defer tick.Stop()
 	for opened != nil {
 		g.probe(key)
@@ -140,8 +145,8 @@
 	return err
 }
 
-// state returns what to wait for if the whole gate is closed; else whether the
-// part is.
+// state returns a channel that is closed when the gate opens, if the whole gate is closed.
+// Otherwise it returns ErrPartClosed if calls to the part are paused.
 func (g *Gate) state(part string) (opened chan struct{}, err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -154,13 +159,13 @@
 	return nil, nil
 }
 
-// leave notes what came of a call that began at a moment. A call that its caller broke
-// off, or left less time than an answer is seen to take, says nothing. One that the table
-// refused for the number of calls says that the table and the part live.
+// leave records the result of a call that started at begun. Calls that the caller canceled, or
+// whose timeout was shorter than the usual latency, are ignored. ErrThrottled counts as a
+// success, since it shows that the table and the part respond.
 func (g *Gate) leave(ctx context.Context, part string, begun time.Time, err error) {
 	took := time.Since(begun)
 	if Answered(err) {
-		g.way.Observe(took)
+		g.latency.Observe(took)
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -171,30 +176,31 @@
 	case errors.Is(err, ErrThrottled):
 		delete(g.parts, part)
 		g.open("refusal")
-	case errors.Is(err, ErrOldConnection): // says nothing of the table
+	case errors.Is(err, ErrOldConnection): // not a failure of the table
 	case errors.Is(ctx.Err(), context.Canceled):
-	case ctx.Err() != nil && took < g.way.Longest(0, enoughTime):
+	case ctx.Err() != nil && took < g.latency.Longest(0, maxConclusiveTime):
 	case g.closePart(part):
 		g.failures++
 		g.close(err)
 	}
 }
 
-// close closes the whole gate after enough failures.
+// close closes the whole gate once tripThreshold failures are reached. The caller holds the
+// mutex.
 func (g *Gate) close(err error) {
-	if g.failures < gateFailures || g.opened != nil {
+	if g.failures < tripThreshold || g.opened != nil {
 		return
 	}
 	g.opened = make(chan struct{})
-	g.closed = time.Now()
-	g.probes.next, g.probes.sent = g.closed.Add(probePause), 0
+	g.closedAt = time.Now()
+	g.probes.next, g.probes.sent = g.closedAt.Add(probeInterval), 0
 	g.logger.WithError(err).WithField("failures", g.failures).
 		WithField("patience_ms", g.Patience().Milliseconds()).
-		Warn("table does not answer, calling it seldom")
+		Warn("table does not respond; holding calls back and probing it")
 }
 
-// open opens the whole gate, by the answer to a call or to a probe. All parts may be
-// tried again at once.
+// open opens the whole gate and ends the pauses of all parts. by names the kind of result
+// that caused it, for the log. The caller holds the mutex.
 func (g *Gate) open(by string) {
 	g.failures = 0
 	if g.opened == nil {
@@ -203,19 +209,20 @@
 	clear(g.parts)
 	close(g.opened)
 	g.opened = nil
-	g.logger.WithField("after_ms", time.Since(g.closed).Milliseconds()).
+	g.logger.WithField("after_ms", time.Since(g.closedAt).Milliseconds()).
 		WithField("by", by).WithField("probes", g.probes.sent).
-		WithField("patience_ms", g.Patience().Milliseconds()).Info("table answers again")
+		WithField("patience_ms", g.Patience().Milliseconds()).Info("table responds again; letting calls through")
 }
 
-// closePart closes a part for a while. It reports whether the part was sound.
+// closePart pauses calls to a part and reports whether the part had not failed before. The
+// caller holds the mutex.
 func (g *Gate) closePart(part string) bool {
 	failed, known := g.parts[part]
 	if !known {
-		failed = &partGate{pause: firstPartPause}
+		failed = &partPause{pause: minPartPause}
 		g.parts[part] = failed
 	} else if !time.Now().Before(failed.until) {
-		failed.pause = min(2*failed.pause, longestPartPause)
+		failed.pause = min(2*failed.pause, maxPartPause)
 	}
 	failed.until = time.Now().Add(failed.pause)
 	return !known
--- a/internal/store/hedge.go
+++ b/internal/store/hedge.go
@@ -7,19 +7,21 @@
 	"time"
 )
 
-// Paced is a Store that knows how soon it usually answers.
+// Paced is a Store that tracks its usual latency.
 type Paced interface {
-	// Patience is how long an answer is worth waiting for before another try.
+	// Patience returns how long to wait for a response before sending another attempt.
 	Patience() time.Duration
 }
 
-// defaultPatience is that of a Store that does not know.
+// defaultPatience applies to stores that are not Paced.
 const defaultPatience = 60 * time.Millisecond
 
-// hedgeSteps are the pauses between the tries of a hedged commit, in patiences.
-var hedgeSteps = []time.Duration{1, 4, 8}
+// hedgeDelays are the delays before the additional attempts of a hedged commit, as multiples
+// of the store's patience.
+var hedgeDelays = []time.Duration{1, 4, 8}
 
-// PatienceWith is how long an answer of a table is worth waiting for, but least at least.
+// PatienceWith returns how long to wait for a response from table before another attempt, at
+// least least.
 func PatienceWith(table Store, least time.Duration) time.Duration {
 	return max(least, patienceOf(table))
 }
@@ -31,47 +33,49 @@
 	return defaultPatience
 }
 
-// Pauses after a refused try.
+// Bounds of the pause after a failed attempt when no other attempt is in flight.
 const (
-	firstRetryPause   = 30 * time.Millisecond
-	longestRetryPause = 200 * time.Millisecond
+	minRetryPause = 30 * time.Millisecond
+	maxRetryPause = 200 * time.Millisecond
 )
 
-// CommitHedged commits a transaction whose effect its caller can recognise in
-// the rows of a Conflict. While no try has answered, it sends the same
-// transaction again on another connection, and takes the first answer that says
-// anything; that a part is closed is such an answer. After a try that the table refused for
-// the number of calls it pauses, and gives up if its caller's time ends before the pause. It
-// gives up when ctx ends. Its error is ErrNotDone only if no try can have had an effect.
+// CommitHedged commits a transaction with hedged requests: while no attempt has responded, it
+// sends the same transaction again on another connection, and returns the first conclusive
+// result. ErrPartClosed is conclusive. After ErrThrottled it backs off, and gives up if the
+// deadline of ctx comes before the next attempt. It also gives up when ctx ends. The error is
+// ErrNotDone only if no attempt can have had an effect.
+//
+// Since several attempts may reach the table, the caller must be able to recognize its own
+// write in the rows of a Conflict.
 func CommitHedged(ctx context.Context, table Store, transaction Transaction) (Version, error) {
 	return newHedge(table, transaction).run(ctx, true)
 }
 
-// CommitUnlessThrottled is CommitHedged for callers that pause by themselves, with Backoff: it
-// fails with ErrThrottled once no try is under way and one was refused for the number of calls.
+// CommitUnlessThrottled is CommitHedged for callers that back off by themselves, with Backoff:
+// it fails with ErrThrottled once an attempt was throttled and no other is in flight.
 func CommitUnlessThrottled(ctx context.Context, table Store, transaction Transaction) (Version, error) {
 	return newHedge(table, transaction).run(ctx, false)
 }
 
-// hedge are the tries of a hedged commit.
+// hedge is the state of a hedged commit.
 type hedge struct {
 	table       Store
 	transaction Transaction
 	results     chan commitResult
-	running     int
-	unsure      bool  // some try may have had an effect
-	doubt       error // of the first such try
+	inFlight    int
+	uncertain   bool  // some attempt may have had an effect
+	cause       error // of the first such attempt
 	retryPause  time.Duration
 	throttled   Backoff
 }
 
 func newHedge(table Store, transaction Transaction) *hedge {
-	return &hedge{table: table, transaction: transaction, results: make(chan commitResult), retryPause: firstRetryPause}
+	return &hedge{table: table, transaction: transaction, results: make(chan commitResult), retryPause: minRetryPause}
 }
 
-// launch begins a try.
+// launch starts an attempt.
 func (h *hedge) launch(ctx context.Context) {
-	h.running++
+	h.inFlight++
 	go func() {
 		version, err := h.table.Commit(ctx, h.transaction)
 		select {
@@ -81,14 +85,14 @@
 	}()
 }
 
-// run makes tries until one says something. pauses tells whether it goes on after a try that
-// was refused for the number of calls.
-func (h *hedge) run(ctx context.Context, pauses bool) (Version, error) {
+// run makes attempts until one is conclusive. retryThrottled says whether to retry after
+// ErrThrottled.
+func (h *hedge) run(ctx context.Context, retryThrottled bool) (Version, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h.launch(ctx)
 	patience := patienceOf(h.table)
-	timer := time.NewTimer(patience * hedgeSteps[0])
+	timer := time.NewTimer(patience * hedgeDelays[0])
 	defer timer.Stop()
 	for {
 		select {
@@ -96,59 +100,59 @@
 			return 0, h.failure(ctx.Err())
 		case <-timer.C:
 			h.launch(ctx)
-			if h.running <= len(hedgeSteps) {
-				timer.Reset(patience * hedgeSteps[h.running-1])
+			if h.inFlight <= len(hedgeDelays) {
+				timer.Reset(patience * hedgeDelays[h.inFlight-1])
 			}
 		case result := <-h.results:
-			h.running--
+			h.inFlight--
 			h.note(result)
 			if Answered(result.err) {
 				return result.version, result.err
 			}
-			if result.says() {
+			if result.conclusive() {
 				return 0, h.failure(result.err)
 			}
 			if errors.Is(result.err, ErrThrottled) {
-				if h.running == 0 && !pauses || !h.backOff(ctx, timer) {
+				if h.inFlight == 0 && !retryThrottled || !h.backOff(ctx, timer) {
 					return 0, h.failure(result.err)
 				}
-			} else if h.running == 0 {
+			} else if h.inFlight == 0 {
 				timer.Reset(h.retryPause)
-				h.retryPause = min(2*h.retryPause, longestRetryPause)
+				h.retryPause = min(2*h.retryPause, maxRetryPause)
 			}
 		}
 	}
 }
 
-// backOff lets the next try begin after a pause. If the caller's time ends before that, none
-// begins; it reports whether there still is something to wait for.
+// backOff schedules the next attempt after a pause, unless the deadline of ctx comes first. It
+// reports whether an attempt is scheduled or in flight.
 func (h *hedge) backOff(ctx context.Context, timer *time.Timer) bool {
 	pause := h.throttled.Next()
-	if allows(ctx, pause) {
+	if deadlineAllows(ctx, pause) {
 		timer.Reset(pause)
 		return true
 	}
 	timer.Stop()
-	return h.running > 0
+	return h.inFlight > 0
 }
 
-// note remembers a try that may have had an effect.
+// note records the first attempt that may have had an effect.
 func (h *hedge) note(result commitResult) {
-	if result.unsure() && !h.unsure {
-		h.unsure, h.doubt = true, result.err
+	if result.uncertain() && !h.uncertain {
+		h.uncertain, h.cause = true, result.err
 	}
 }
 
-// failure makes an error say whether some try may have had an effect, and why.
+// failure returns err marked with whether some attempt may have had an effect, and why.
 func (h *hedge) failure(err error) error {
-	if h.doubt != nil {
-		err = fmt.Errorf("%w (first try: %w)", err, h.doubt)
+	if h.cause != nil {
+		err = fmt.Errorf("%w (first uncertain attempt: %w)", err, h.cause)
 	}
-	return notDone(err, !h.unsure && h.running == 0)
+	return notDone(err, !h.uncertain && h.inFlight == 0)
 }
 
-// notDone makes an error say that nothing was done, if that is certain, and else
-// makes sure that it does not say so.
+// notDone returns err as an ErrNotDone if certain, and otherwise as an error that is not an
+// ErrNotDone.
 func notDone(err error, certain bool) error {
 	switch {
 	case certain:
@@ -159,15 +163,16 @@
 	return fmt.Errorf("the transaction may have had an effect: %s", err)
 }
 
+// commitResult is the result of an attempt.
 type commitResult struct {
 	version Version
 	err     error
 }
 
-// unsure reports whether the try may have had an effect that nobody knows of.
-func (r commitResult) unsure() bool { return !Answered(r.err) && !errors.Is(r.err, ErrNotDone) }
+// uncertain reports whether it is unknown if the attempt had an effect.
+func (r commitResult) uncertain() bool { return !Answered(r.err) && !errors.Is(r.err, ErrNotDone) }
 
-// says reports whether another try at once would be of no use.
-func (r commitResult) says() bool {
+// conclusive reports whether the commit should fail without another attempt.
+func (r commitResult) conclusive() bool {
 	return errors.Is(r.err, ErrPartClosed)
 }
--- a/internal/store/oldconnection_test.go
+++ b/internal/store/oldconnection_test.go
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// oldConnections is a table whose reads end on connections that have fallen silent.
+// oldConnections is a table whose reads all fail with ErrOldConnection.
 type oldConnections struct{ *storetest.Table }
 
 // Range implements store.Store.
@@ -21,9 +21,9 @@
 	return store.Page{}, store.ErrOldConnection
 }
 
-// TestSilentConnectionsSayNothingOfTheTable: however many calls end on them, the next call
-// is made at once.
-func TestSilentConnectionsSayNothingOfTheTable(t *testing.T) {
+// Calls that fail on old connections must not trip the breaker: the next call is made at
+// once.
+func TestOldConnectionsDoNotTripTheGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		gate := store.NewGate(oldConnections{table}, &log.Logger{Handler: discard.New()})
--- a/internal/store/probe.go
+++ b/internal/store/probe.go
@@ -6,84 +6,85 @@
 )
 
 const (
-	// probePause is the least time between two probes, and probePauseUnanswered while an
-	// earlier one has no answer: a table that was silent has lost that one and answers
-	// the next.
-	probePause           = 100 * time.Millisecond
-	probePauseUnanswered = 200 * time.Millisecond
-	// maxProbes bounds those without an answer.
+	// probeInterval is the minimum interval between probes, probeIntervalPending while an
+	// earlier one is in flight. Probes overlap since a table that recovers may never respond
+	// to requests it got before.
+	probeInterval        = 100 * time.Millisecond
+	probeIntervalPending = 200 * time.Millisecond
+	// maxProbes bounds the probes in flight.
 	maxProbes = 8
-	// probeTick is how often one that waits at the closed gate looks whether a probe is due.
-	probeTick = 50 * time.Millisecond
-	// A probe is waited for so many times as long as the table is seen to take, within two
-	// bounds. The upper one covers a near table (12 ms) that is a hundred times slower, and
-	// is less than the two seconds within which a table that is back must be in use.
-	probeTimes    = 100
-	shortestProbe = 500 * time.Millisecond
-	longestProbe  = 1500 * time.Millisecond
+	// probePollInterval is how often callers that wait at a closed gate check whether a probe
+	// is due.
+	probePollInterval = 50 * time.Millisecond
+	// A probe's timeout is a multiple of the usual latency, within bounds. The upper bound
+	// covers a table with a latency of 12 ms that becomes a hundred times slower, and stays
+	// below the 2 s within which a table that recovered must be in use.
+	probeTimeoutFactor = 100
+	minProbeTimeout    = 500 * time.Millisecond
+	maxProbeTimeout    = 1500 * time.Millisecond
 )
 
-// probes are the gate's own calls. They are guarded by its mutex.
+// probes counts the gate's probes. The gate's mutex guards it.
 type probes struct {
-	next     time.Time // before which none is sent
-	underWay int
+	next     time.Time // earliest time of the next probe
+	inFlight int
 	sent     int // since the gate closed
 }
 
-// probe reads a row to learn whether the table answers, if a probe is due. It returns at
-// once; the read has a time of its own, since what is left of a caller's may be less than
-// an answer takes, and then no caller ever sees one.
+// probe starts a read that checks whether the table responds, if a probe is due. It does not
+// wait for the result. The read has its own timeout, since callers may have less time left
+// than a response takes.
 func (g *Gate) probe(key Key) {
-	if !g.mayProbe() {
+	if !g.beginProbe() {
 		return
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), g.probeTime())
+		ctx, cancel := context.WithTimeout(context.Background(), g.probeTimeout())
 		defer cancel()
 		begun := time.Now()
 		_, err := g.Store.Range(ctx, key.Table, key.Part, key.Name, "", 1)
 		if err == nil {
-			g.way.Observe(time.Since(begun))
+			g.latency.Observe(time.Since(begun))
 		}
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
-		g.probes.underWay--
+		g.probes.inFlight--
 		if err == nil {
 			g.open("probe")
 		}
 	}()
 }
 
-// probeTime is how long a probe is waited for.
-func (g *Gate) probeTime() time.Duration {
-	return max(shortestProbe, probeTimes*g.way.Longest(0, longestProbe/probeTimes))
+// probeTimeout returns the timeout of a probe.
+func (g *Gate) probeTimeout() time.Duration {
+	return max(minProbeTimeout, probeTimeoutFactor*g.latency.Longest(0, maxProbeTimeout/probeTimeoutFactor))
 }
 
-// mayProbe reports whether a probe is due, and counts it as sent.
-func (g *Gate) mayProbe() bool {
+// beginProbe reports whether a probe is due, and if so counts it as sent.
+func (g *Gate) beginProbe() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
-	if g.probes.underWay >= maxProbes || now.Before(g.probes.next) {
+	if g.probes.inFlight >= maxProbes || now.Before(g.probes.next) {
 		return false
 	}
-	g.probes.next = now.Add(probePause)
-	if g.probes.underWay > 0 {
-		g.probes.next = now.Add(probePauseUnanswered)
+	g.probes.next = now.Add(probeInterval)
+	if g.probes.inFlight > 0 {
+		g.probes.next = now.Add(probeIntervalPending)
 	}
-	g.probes.underWay++
+	g.probes.inFlight++
 	g.probes.sent++
-	g.noteProbe(now)
+	g.logProbe(now)
 	return true
 }
 
-// noteProbe logs the first probe of a closed gate, the second, the fourth and so on, so
-// that a long trouble fills no log.
-func (g *Gate) noteProbe(now time.Time) {
+// logProbe logs the first, second, fourth, eighth ... probe of a closed gate, to bound the log
+// volume of a long outage.
+func (g *Gate) logProbe(now time.Time) {
 	if g.opened == nil || g.probes.sent&(g.probes.sent-1) != 0 {
 		return
 	}
-	g.logger.WithField("closed_ms", now.Sub(g.closed).Milliseconds()).WithField("probes", g.probes.sent).
-		WithField("unanswered", g.probes.underWay-1).WithField("patience_ms", g.Patience().Milliseconds()).
-		Info("probing the table")
+	g.logger.WithField("closed_ms", now.Sub(g.closedAt).Milliseconds()).WithField("probes", g.probes.sent).
+		WithField("unanswered", g.probes.inFlight-1).WithField("patience_ms", g.Patience().Milliseconds()).
+		Info("table does not respond; probing it")
 }
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// callerWait is how long callers wait for a call: that of a share of a budget.
-	callerWait = 130 * time.Millisecond
-	// recoverWithin is how soon after the end of any trouble calls succeed again.
+	// callerTimeout is the timeout of a call, as package budget uses it.
+	callerTimeout = 130 * time.Millisecond
+	// recoverWithin is the time after the end of an outage within which calls succeed again.
 	recoverWithin = 2 * time.Second
 )
 
-// trouble is what a table does for a while.
-type trouble struct {
+// outage is a kind of outage of a table. begin starts it for the parts that affected accepts.
+type outage struct {
 	name  string
-	begin func(table *storetest.Distant, takes time.Duration, strikes func(part string) bool)
+	begin func(table *storetest.Distant, latency time.Duration, affected func(part string) bool)
 }
 
 func faultOf(fault storetest.Fault) func(*storetest.Distant, time.Duration, func(string) bool) {
-	return func(table *storetest.Distant, _ time.Duration, strikes func(string) bool) {
+	return func(table *storetest.Distant, _ time.Duration, affected func(string) bool) {
 		table.SetFault(func(part string, _ bool) storetest.Fault {
-			if strikes(part) {
+			if affected(part) {
 				return fault
 			}
 			return storetest.None
@@ -40,22 +40,24 @@
 	}
 }
 
-var tableTroubles = []trouble{
-	{"slow", func(table *storetest.Distant, takes time.Duration, _ func(string) bool) { table.SetTakes(100 * takes) }},
+var outages = []outage{
+	{"slow", func(table *storetest.Distant, latency time.Duration, _ func(string) bool) {
+		table.SetTakes(100 * latency)
+	}},
 	{"silent", faultOf(storetest.Silent)},
 	{"busy", faultOf(storetest.Refused)},
 }
 
 func everyPart(string) bool { return true }
 
-// load calls the table for parts in turn, each call by a caller of its own, until ctx
-// ends, and tells what came of each that began at or after since.
-func load(ctx context.Context, table store.Store, parts int, since time.Time, tell func(part string, err error)) {
+// load calls the table every 5 ms for the parts in turn, until ctx ends, and passes the results
+// of calls that started at or after since to report.
+func load(ctx context.Context, table store.Store, parts int, since time.Time, report func(part string, err error)) {
 	for call := 0; ctx.Err() == nil; call++ {
 		part, begun := fmt.Sprint("p", call%parts), time.Now()
 		write := store.Transaction{Put: []store.Row{{Key: store.Key{Table: "t", Part: part, Name: "k"}}}}
 		go func() {
-			limited, cancel := context.WithTimeout(context.Background(), callerWait)
+			limited, cancel := context.WithTimeout(context.Background(), callerTimeout)
 			defer cancel()
 			var err error
 			if call/parts%2 == 0 {
@@ -64,41 +66,41 @@
 				_, err = store.CommitHedged(limited, table, write)
 			}
 			if !begun.Before(since) {
-				tell(part, err)
+				report(part, err)
 			}
 		}()
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// TestTableIsUsedAgainSoonAfterTrouble, however far it is: what decides that it is back
-// has a time of its own, not what is left of a caller's.
-func TestTableIsUsedAgainSoonAfterTrouble(t *testing.T) {
-	for _, takes := range []time.Duration{time.Millisecond, 30 * time.Millisecond, 33 * time.Millisecond, 100 * time.Millisecond} {
-		for _, trouble := range tableTroubles {
-			for name, strikes := range map[string]func(string) bool{"all": everyPart, "one part": func(part string) bool { return part == "p3" }} {
-				if trouble.name == "slow" && name != "all" {
-					continue // the stand-in is slow as a whole
+// Calls must succeed soon after an outage ends, whatever the table's latency: probes need a
+// timeout of their own, since the callers' may be too short for a response.
+func TestRecoveryAfterOutage(t *testing.T) {
+	for _, latency := range []time.Duration{time.Millisecond, 30 * time.Millisecond, 33 * time.Millisecond, 100 * time.Millisecond} {
+		for _, outage := range outages {
+			for name, affected := range map[string]func(string) bool{"all": everyPart, "one part": func(part string) bool { return part == "p3" }} {
+				if outage.name == "slow" && name != "all" {
+					continue // the fake slows down all parts
 				}
-				t.Run(fmt.Sprint(takes, " ", trouble.name, " ", name), func(t *testing.T) {
-					recoversFrom(t, takes, func(table *storetest.Distant) { trouble.begin(table, takes, strikes) })
+				t.Run(fmt.Sprint(latency, " ", outage.name, " ", name), func(t *testing.T) {
+					testRecovery(t, latency, func(table *storetest.Distant) { outage.begin(table, latency, affected) })
 				})
 			}
 		}
 	}
 }
 
-func recoversFrom(t *testing.T, takes time.Duration, begin func(*storetest.Distant)) {
-	const calm, lasts, watched, parts = time.Second, 4500 * time.Millisecond, 3 * time.Second, 16
+func testRecovery(t *testing.T, latency time.Duration, begin func(*storetest.Distant)) {
+	const healthy, duration, watched, parts = time.Second, 4500 * time.Millisecond, 3 * time.Second, 16
 	synctest.Test(t, func(t *testing.T) {
-		table := storetest.NewDistant(takes)
+		table := storetest.NewDistant(latency)
 		gate := store.NewGate(table, &log.Logger{Handler: discard.New()})
-		ended := time.Now().Add(calm + lasts)
+		ended := time.Now().Add(healthy + duration)
 		ctx, cancel := context.WithDeadline(t.Context(), ended.Add(recoverWithin+watched))
 		defer cancel()
-		time.AfterFunc(calm, func() { begin(table) })
-		time.AfterFunc(calm+lasts, func() {
-			table.SetTakes(takes)
+		time.AfterFunc(healthy, func() { begin(table) })
+		time.AfterFunc(healthy+duration, func() {
+			table.SetTakes(latency)
 			table.SetFault(nil)
 		})
 		failures := make(chan error, 10_000)
@@ -107,15 +109,14 @@
 				failures <- fmt.Errorf("%s: %w", part, err)
 			}
 		})
-		time.Sleep(2 * callerWait)
+		time.Sleep(2 * callerTimeout)
 		close(failures)
 		require.Empty(t, len(failures), "calls that failed, the first: %v", <-failures)
 	})
 }
 
-// TestCallersInAHurryDoNotCloseTheGate: a call that had less time than the table is seen
-// to take says nothing of the table.
-func TestCallersInAHurryDoNotCloseTheGate(t *testing.T) {
+// Calls with a timeout shorter than the table's latency must not trip the breaker.
+func TestShortTimeoutsDoNotTripTheGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := store.NewGate(storetest.NewDistant(30*time.Millisecond), &log.Logger{Handler: discard.New()})
 		read := func(part string, within time.Duration) error {
@@ -125,21 +126,20 @@
 			return err
 		}
 		for range 20 {
-			require.NoError(t, read("p", callerWait))
+			require.NoError(t, read("p", callerTimeout))
 		}
 		for part := range 20 {
 			require.ErrorIs(t, read(fmt.Sprint(part), 20*time.Millisecond), context.DeadlineExceeded)
 		}
 		require.False(t, gate.Suspect())
 		for part := range 20 {
-			require.NoError(t, read(fmt.Sprint(part), callerWait))
+			require.NoError(t, read(fmt.Sprint(part), callerTimeout))
 		}
 	})
 }
 
-// TestProbesAreFew while nobody or many wait for a table that is silent, and cease when
-// nobody does.
-func TestProbesAreFew(t *testing.T) {
+// Probes of a table that does not respond must stay few, and stop when no caller waits.
+func TestProbeRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.NewDistant(time.Millisecond)
 		calls := make(chan struct{}, 10_000)
@@ -155,12 +155,13 @@
 		require.LessOrEqual(t, len(calls), 100, "calls in 5 s")
 		before := len(calls)
 		time.Sleep(10 * time.Second)
-		require.Equal(t, before, len(calls), "nobody waits")
+		require.Equal(t, before, len(calls), "no probes without callers")
 	})
 }
 
-// TestNearTableIsNotWaitedForLonger: a lost answer is sought anew as soon as ever.
-func TestNearTableIsNotWaitedForLonger(t *testing.T) {
+// With a table of low latency, patience must stay at its minimum, so that a lost response is
+// retried soon.
+func TestPatienceOfFastTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := store.NewGate(storetest.NewDistant(time.Millisecond), &log.Logger{Handler: discard.New()})
 		for range 100 {
@@ -171,8 +172,8 @@
 	})
 }
 
-// TestSlowCallIsNotRepeated once the table is seen to be slow.
-func TestSlowCallIsNotRepeated(t *testing.T) {
+// Once a table is slow, calls must not be hedged before its usual latency.
+func TestSlowCallIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.NewDistant(12 * time.Millisecond)
 		gate := store.NewGate(table, &log.Logger{Handler: discard.New()})
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -10,42 +10,43 @@
 	"github.com/apex/log"
 )
 
-// Relays are other nodes that make calls to the table in place of this one. Their
-// errors are those of a Store; ErrNotDone also means that none was there to ask.
+// Relays makes calls to the table through other nodes. Its errors are those of a Store;
+// ErrNotDone also means that no other node was available.
 type Relays interface {
+	// Commit is Store.Commit through another node.
 	Commit(ctx context.Context, transaction Transaction) (Version, error)
+	// Range is Store.Range through another node.
 	Range(ctx context.Context, table, part, from, to string, limit int) (Page, error)
 }
 
-// ErrNoRelay is a call that no other node may make, for what it carries. It says nothing of
-// other calls.
-var ErrNoRelay = fmt.Errorf("no other node may carry the call: %w", ErrNotDone)
+// ErrNoRelay means that a call may not be relayed because of its content. Other calls may
+// still be relayed.
+var ErrNoRelay = fmt.Errorf("the call may not be relayed through another node: %w", ErrNotDone)
 
 const (
-	// suspectFailures of different parts in a row make a node doubt its own way to
-	// the table.
-	suspectFailures = 2
-	// silencePatiences is after how many times the usual patience an unanswered
-	// call is made through another node, too.
-	silencePatiences = 3
-	// Relaying that did not help is left alone for a time that doubles: the table
-	// itself is down then, or the part.
-	firstRelayPause   = 50 * time.Millisecond
-	longestRelayPause = 800 * time.Millisecond
-	// throttledInRow calls of a node's own that the table refused for the number of calls, with
-	// none taken between them, make it try another node: the platform may throttle some nodes
-	// alone. Fewer are met by chance while all nodes together call too often.
-	throttledInRow = 8
+	// suspectThreshold is the number of consecutive failures of different parts after which
+	// calls are relayed from the start.
+	suspectThreshold = 2
+	// relayPatiences is the time after which a call without a response is also relayed, as a
+	// multiple of the patience.
+	relayPatiences = 3
+	// Bounds of the pause in relaying after a relayed call failed, which shows that the table
+	// or the part itself is down. It doubles with each failure.
+	minRelayPause = 50 * time.Millisecond
+	maxRelayPause = 800 * time.Millisecond
+	// relayThrottledAfter is the number of consecutive throttled direct calls after which
+	// throttled calls are relayed. The platform may throttle single nodes; fewer throttled
+	// calls in a row are common while the shared rate limit is exceeded.
+	relayThrottledAfter = 8
 )
 
-// Relayed is a table that is also reached through other nodes: the platform may
-// refuse, throttle or cut off some nodes while it serves the others.
+// Relayed is a Store that falls back to relaying calls through other nodes: the platform may
+// reject, throttle or cut off some nodes while it serves the others.
 //
-// A call goes the node's own way. It goes through another node besides when the own
-// way refuses it, is silent or has just failed; the first answer that says anything
-// counts. That the table takes no more calls is the same for all nodes, unless it is said
-// many times in a row. Both may have their effect, so callers must recognise their own, as for
-// CommitHedged.
+// A call is made directly. It is also relayed if the direct path fails, does not respond or
+// failed recently; the first definite result is returned. Throttled calls are relayed only
+// after many in a row, since the rate limit normally applies to all nodes alike. Both
+// attempts may take effect, so callers must recognize their own writes, as for CommitHedged.
 type Relayed struct {
 	*Gate
 	relays Relays
@@ -53,18 +54,19 @@
 
 	mutex  sync.Mutex
 	pause  time.Duration
-	until  time.Time // before which no call is relayed
-	active bool      // the last call that was relayed was answered
-	// throttled counts the own calls in a row that the table refused for the number of calls.
+	until  time.Time // end of the pause in relaying
+	active bool      // the last relayed call got a definite result
+	// throttled counts consecutive throttled direct calls.
 	throttled int
 }
 
-// NewRelayed returns a table that is reached through gate and through relays.
+// NewRelayed returns a Store that calls the table through gate, and through relays where that
+// fails. It logs when relaying starts and stops working.
 func NewRelayed(gate *Gate, relays Relays, logger log.Interface) *Relayed {
 	return &Relayed{Gate: gate, relays: relays, logger: logger}
 }
 
-// Lost reports whether the last calls failed by all ways: the own one, and through other nodes.
+// Lost reports whether the last calls failed both directly and through other nodes.
 func (r *Relayed) Lost() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -73,7 +75,7 @@
 
 // Commit implements Store.
 func (r *Relayed) Commit(ctx context.Context, transaction Transaction) (Version, error) {
-	return bothWays(ctx, r, func(ctx context.Context) (Version, error) {
+	return callBothPaths(ctx, r, func(ctx context.Context) (Version, error) {
 		return r.Gate.Commit(ctx, transaction)
 	}, func(ctx context.Context) (Version, error) {
 		return r.relays.Commit(ctx, transaction)
@@ -82,30 +84,30 @@
 
 // Range implements Store.
 func (r *Relayed) Range(ctx context.Context, table, part, from, to string, limit int) (Page, error) {
-	return bothWays(ctx, r, func(ctx context.Context) (Page, error) {
+	return callBothPaths(ctx, r, func(ctx context.Context) (Page, error) {
 		return r.Gate.Range(ctx, table, part, from, to, limit)
 	}, func(ctx context.Context) (Page, error) {
 		return r.relays.Range(ctx, table, part, from, to, limit)
 	})
 }
 
-// wayResult is what came of one of the two ways.
-type wayResult[T any] struct {
+// pathResult is the result of a call by one of the two paths.
+type pathResult[T any] struct {
 	value   T
 	err     error
 	relayed bool
 }
 
-// bothWays makes a call the node's own way and, where that does not answer, through
-// another node.
-func bothWays[T any](ctx context.Context, r *Relayed, own, relay func(context.Context) (T, error)) (T, error) {
+// callBothPaths makes a call directly and, if needed, also through another node. It returns
+// the first definite result.
+func callBothPaths[T any](ctx context.Context, r *Relayed, direct, relay func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan wayResult[T], 2)
+	results := make(chan pathResult[T], 2)
 	running, relayed := 1, false
 	go func() {
-		value, err := own(ctx)
-		results <- wayResult[T]{value: value, err: err}
+		value, err := direct(ctx)
+		results <- pathResult[T]{value: value, err: err}
 	}()
 	startRelay := func() {
 		if relayed || !r.mayRelay() {
@@ -115,30 +117,30 @@
 		running++
 		go func() {
 			value, err := relay(ctx)
-			results <- wayResult[T]{value: value, err: err, relayed: true}
+			results <- pathResult[T]{value: value, err: err, relayed: true}
 		}()
 	}
 	if r.Suspect() {
 		startRelay()
 	}
-	silent := time.NewTimer(silencePatiences * r.Patience())
-	defer silent.Stop()
+	timer := time.NewTimer(relayPatiences * r.Patience())
+	defer timer.Stop()
 	var failure error
 	for {
 		select {
-		case <-silent.C:
+		case <-timer.C:
 			startRelay()
 			continue
 		case result := <-results:
 			running--
 			if result.relayed {
-				r.noteRelay(ctx, result.err)
+				r.recordRelay(ctx, result.err)
 			}
-			helps := result.relayed || r.noteOwn(result.err)
+			helps := result.relayed || r.recordDirect(result.err)
 			if Answered(result.err) {
 				return result.value, result.err
 			}
-			failure = moreDoubtful(failure, result.err)
+			failure = leastCertain(failure, result.err)
 			if helps {
 				startRelay()
 			}
@@ -150,18 +152,18 @@
 	}
 }
 
-// moreDoubtful is the error of a call that failed both ways: that of the way by
-// which it may have had an effect, if there is one, else the first.
-func moreDoubtful(first, second error) error {
+// leastCertain returns the error of a call that failed by both paths: the error of the path by
+// which it may have had an effect, if any, otherwise the first.
+func leastCertain(first, second error) error {
 	if first == nil || errors.Is(first, ErrNotDone) && !errors.Is(second, ErrNotDone) {
 		return second
 	}
 	return first
 }
 
-// noteOwn notes what came of a call by the own way, and reports whether another node may
-// succeed where it failed.
-func (r *Relayed) noteOwn(err error) (helps bool) {
+// recordDirect records the result of a direct call, and reports whether relaying the call may
+// help.
+func (r *Relayed) recordDirect(err error) (helps bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
@@ -169,20 +171,21 @@
 		r.throttled = 0
 	case errors.Is(err, ErrThrottled):
 		r.throttled++
-		return r.throttled >= throttledInRow
+		return r.throttled >= relayThrottledAfter
 	}
 	return true
 }
 
+// mayRelay reports whether relaying is not paused.
 func (r *Relayed) mayRelay() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return !time.Now().Before(r.until)
 }
 
-// noteRelay notes what came of a relayed call. One that its caller broke off, or that
-// nobody was asked to make, says nothing.
-func (r *Relayed) noteRelay(ctx context.Context, err error) {
+// recordRelay records the result of a relayed call. Calls that were canceled, timed out or may
+// not be relayed are ignored.
+func (r *Relayed) recordRelay(ctx context.Context, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if !Answered(err) && ctx.Err() != nil || errors.Is(err, ErrNoRelay) {
@@ -190,12 +193,12 @@
 	}
 	if was := r.active; was != Answered(err) {
 		r.active = !was
-		r.logger.WithField("relayed", r.active).Info("table is called through other nodes, where the own way fails")
+		r.logger.WithField("relayed", r.active).Info("relaying of failed table calls through other nodes switched on or off; see field relayed")
 	}
 	if r.active {
 		r.pause, r.until = 0, time.Time{}
 		return
 	}
-	r.pause = min(max(2*r.pause, firstRelayPause), longestRelayPause)
+	r.pause = min(max(2*r.pause, minRelayPause), maxRelayPause)
 	r.until = time.Now().Add(r.pause)
 }
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -15,44 +15,45 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// ways are two ways to one table, each with its own faults.
-type ways struct {
-	table      *storetest.Table
-	own, other storetest.Fault
-	relayed    int
+// paths are two paths to one table, each with its own fault. It implements the relayed one.
+type paths struct {
+	table         *storetest.Table
+	direct, relay storetest.Fault
+	relayed       int // relayed calls
 }
 
 // Commit implements store.Relays.
-func (w *ways) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+func (w *paths) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	w.relayed++
-	return faulty(ctx, w.other, func(ctx context.Context) (store.Version, error) { return w.table.Commit(ctx, transaction) })
+	return withFault(ctx, w.relay, func(ctx context.Context) (store.Version, error) { return w.table.Commit(ctx, transaction) })
 }
 
 // Range implements store.Relays.
-func (w *ways) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
+func (w *paths) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	w.relayed++
-	return faulty(ctx, w.other, func(ctx context.Context) (store.Page, error) { return w.table.Range(ctx, table, part, from, to, limit) })
+	return withFault(ctx, w.relay, func(ctx context.Context) (store.Page, error) { return w.table.Range(ctx, table, part, from, to, limit) })
 }
 
-// ownWay is the node's own.
-type ownWay struct {
+// directPath is the direct path to the table.
+type directPath struct {
 	store.Store
-	ways *ways
+	paths *paths
 }
 
 // Commit implements store.Store.
-func (o ownWay) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
-	return faulty(ctx, o.ways.own, func(ctx context.Context) (store.Version, error) { return o.ways.table.Commit(ctx, transaction) })
+func (o directPath) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+	return withFault(ctx, o.paths.direct, func(ctx context.Context) (store.Version, error) { return o.paths.table.Commit(ctx, transaction) })
 }
 
 // Range implements store.Store.
-func (o ownWay) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
-	return faulty(ctx, o.ways.own, func(ctx context.Context) (store.Page, error) {
-		return o.ways.table.Range(ctx, table, part, from, to, limit)
+func (o directPath) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
+	return withFault(ctx, o.paths.direct, func(ctx context.Context) (store.Page, error) {
+		return o.paths.table.Range(ctx, table, part, from, to, limit)
 	})
 }
 
-func faulty[T any](ctx context.Context, fault storetest.Fault, call func(context.Context) (T, error)) (T, error) {
+// withFault makes a call with a fault.
+func withFault[T any](ctx context.Context, fault storetest.Fault, call func(context.Context) (T, error)) (T, error) {
 	var none T
 	switch fault {
 	case storetest.Refused:
@@ -75,28 +76,29 @@
 	return call(ctx)
 }
 
-func relayed(w *ways) *store.Relayed {
+// newRelayed returns a Relayed that uses both paths.
+func newRelayed(w *paths) *store.Relayed {
 	logger := &log.Logger{Handler: discard.New()}
-	return store.NewRelayed(store.NewGate(ownWay{Store: w.table, ways: w}, logger), w, logger)
+	return store.NewRelayed(store.NewGate(directPath{Store: w.table, paths: w}, logger), w, logger)
 }
 
-var troubles = []storetest.Fault{storetest.Refused, storetest.Broken, storetest.Applied, storetest.Silent, storetest.Lost}
+var failures = []storetest.Fault{storetest.Refused, storetest.Broken, storetest.Applied, storetest.Silent, storetest.Lost}
 
-// TestOtherNodesCallTheTable: one whose own way fails reads and writes through them,
-// within a moment, and recognises a transaction that went both ways.
-func TestOtherNodesCallTheTable(t *testing.T) {
-	for _, fault := range troubles {
+// A node whose direct path fails must read and write through other nodes without much
+// delay, and must recognize its own write if both paths made it.
+func TestCallsAreRelayed(t *testing.T) {
+	for _, fault := range failures {
 		synctest.Test(t, func(t *testing.T) {
-			w := &ways{table: storetest.New(), own: fault}
-			table := relayed(w)
+			w := &paths{table: storetest.New(), direct: fault}
+			table := newRelayed(w)
 			version := store.Version(0)
-			for turn := range 20 {
+			for round := range 20 {
 				begun := time.Now()
-				value := string(rune('a' + turn))
+				value := string(rune('a' + round))
 				_, err := table.Commit(t.Context(), write(value, version))
 				var conflict *store.Conflict
 				if errors.As(err, &conflict) {
-					require.Equal(t, value, string(conflict.Find(key).Value), "what made it fail is its own effect")
+					require.Equal(t, value, string(conflict.Find(key).Value), "the conflict is with the call's own write")
 				} else {
 					require.NoError(t, err, "fault %d", fault)
 				}
@@ -106,7 +108,7 @@
 				version = page.Rows[0].Version
 				require.Less(t, time.Since(begun), 500*time.Millisecond, "fault %d", fault)
 			}
-			w.own = storetest.None
+			w.direct = storetest.None
 			time.Sleep(time.Second)
 			_, err := table.Commit(t.Context(), write("z", version))
 			require.NoError(t, err)
@@ -114,12 +116,11 @@
 	}
 }
 
-// TestSoundWayIsTheOnlyOne: no other node is asked while the own way answers, be it
-// by a conflict.
-func TestSoundWayIsTheOnlyOne(t *testing.T) {
+// Calls must not be relayed while the direct path responds, even with a conflict.
+func TestHealthyDirectPathIsNotRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &ways{table: storetest.New()}
-		table := relayed(w)
+		w := &paths{table: storetest.New()}
+		table := newRelayed(w)
 		for range 10 {
 			_, _ = table.Commit(t.Context(), write("v", 0))
 			_, err := table.Range(t.Context(), key.Table, key.Part, "", "", 0)
@@ -129,12 +130,12 @@
 	})
 }
 
-// TestTableThatIsDownIsNotAskedForThroughOthers all the time: they cannot help.
-func TestTableThatIsDownIsNotAskedForThroughOthers(t *testing.T) {
-	for _, fault := range troubles {
+// Relaying must back off while the table itself is down.
+func TestRelayingBacksOffWhileTheTableIsDown(t *testing.T) {
+	for _, fault := range failures {
 		synctest.Test(t, func(t *testing.T) {
-			w := &ways{table: storetest.New(), own: fault, other: storetest.Refused}
-			table := relayed(w)
+			w := &paths{table: storetest.New(), direct: fault, relay: storetest.Refused}
+			table := newRelayed(w)
 			for range 100 {
 				ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 				_, err := table.Commit(ctx, write("v", 1))
@@ -142,37 +143,37 @@
 				require.Error(t, err)
 			}
 			require.Positive(t, w.relayed)
-			require.LessOrEqual(t, w.relayed, 25, "fault %d: in ten seconds", fault)
+			require.LessOrEqual(t, w.relayed, 25, "fault %d: relayed calls in 10 s", fault)
 		})
 	}
 }
 
-// TestDoubtStays: a call that one way may have made is in doubt, whatever the other
-// way says of its own.
-func TestDoubtStays(t *testing.T) {
+// A call that may have taken effect by one path must not fail with ErrNotDone, whatever the
+// result of the other path.
+func TestUncertainResultIsKept(t *testing.T) {
 	for _, faults := range [][2]storetest.Fault{{storetest.Broken, storetest.Refused}, {storetest.Refused, storetest.Broken}} {
 		synctest.Test(t, func(t *testing.T) {
-			table := relayed(&ways{table: storetest.New(), own: faults[0], other: faults[1]})
+			table := newRelayed(&paths{table: storetest.New(), direct: faults[0], relay: faults[1]})
 			_, err := table.Commit(t.Context(), write("v", 0))
 			require.Error(t, err)
 			require.NotErrorIs(t, err, store.ErrNotDone)
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		table := relayed(&ways{table: storetest.New(), own: storetest.Refused, other: storetest.Refused})
+		table := newRelayed(&paths{table: storetest.New(), direct: storetest.Refused, relay: storetest.Refused})
 		_, err := table.Commit(t.Context(), write("v", 0))
 		require.ErrorIs(t, err, store.ErrNotDone)
 	})
 }
 
-// TestOwnWayIsUsedAloneAgain once it is sound, though other nodes answer sooner than it
-// does: an answer that is not waited for to its end must not leave it in doubt for ever.
-func TestOwnWayIsUsedAloneAgain(t *testing.T) {
+// Once the direct path has recovered, calls must not be relayed, even if relayed calls return
+// first: the direct calls canceled then must not keep the path suspect.
+func TestRelayingStopsAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &ways{table: storetest.New()}
-		own := storetest.NewDistant(33 * time.Millisecond)
+		w := &paths{table: storetest.New()}
+		distant := storetest.NewDistant(33 * time.Millisecond)
 		logger := &log.Logger{Handler: discard.New()}
-		table := store.NewRelayed(store.NewGate(own, logger), w, logger)
+		table := store.NewRelayed(store.NewGate(distant, logger), w, logger)
 		read := func() {
 			for part := range 20 {
 				_, err := table.Range(t.Context(), key.Table, string(rune('a'+part)), "", "", 0)
@@ -180,10 +181,10 @@
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
-		own.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
+		distant.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
 		read()
 		require.Positive(t, w.relayed)
-		own.SetFault(nil)
+		distant.SetFault(nil)
 		read()
 		time.Sleep(recoverWithin)
 		before := w.relayed
@@ -192,14 +193,14 @@
 	})
 }
 
-// TestOtherNodesAreAskedSoonThoughTheTableWasSlow: what was learnt of a slow table does not
-// keep a node whose own way is silent from being helped.
-func TestOtherNodesAreAskedSoonThoughTheTableWasSlow(t *testing.T) {
+// A high latency observed earlier must not delay relaying beyond the callers' timeouts when
+// the direct path stops responding.
+func TestRelayingAfterHighLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &ways{table: storetest.New()}
-		own := storetest.NewDistant(400 * time.Millisecond)
+		w := &paths{table: storetest.New()}
+		distant := storetest.NewDistant(400 * time.Millisecond)
 		logger := &log.Logger{Handler: discard.New()}
-		table := store.NewRelayed(store.NewGate(own, logger), w, logger)
+		table := store.NewRelayed(store.NewGate(distant, logger), w, logger)
 		read := func(part int, within time.Duration) error {
 			ctx, cancel := context.WithTimeout(t.Context(), within)
 			defer cancel()
@@ -209,41 +210,41 @@
 		for part := range 8 {
 			require.NoError(t, read(part, time.Second))
 		}
-		own.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		distant.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
 		for part := range 8 {
-			_ = read(part, callerWait)
+			_ = read(part, callerTimeout)
 		}
 		for part := range 16 {
-			require.NoError(t, read(part, callerWait))
+			require.NoError(t, read(part, callerTimeout))
 		}
 	})
 }
 
-// boundWays are ways of which nobody may carry a bound call.
-type boundWays struct {
-	*ways
-	bound bool
+// unrelayablePaths are paths whose commits may not be relayed while refused is set.
+type unrelayablePaths struct {
+	*paths
+	refused bool
 }
 
 // Commit implements store.Relays.
-func (b *boundWays) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
-	if b.bound {
+func (b *unrelayablePaths) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+	if b.refused {
 		return 0, store.ErrNoRelay
 	}
-	return b.ways.Commit(ctx, transaction)
+	return b.paths.Commit(ctx, transaction)
 }
 
-// TestCallThatNobodyMayCarryKeepsNoOtherBack from being made through other nodes.
-func TestCallThatNobodyMayCarryKeepsNoOtherBack(t *testing.T) {
+// ErrNoRelay for one call must not pause the relaying of other calls.
+func TestNoRelayDoesNotPauseRelaying(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &boundWays{ways: &ways{table: storetest.New(), own: storetest.Refused}, bound: true}
+		w := &unrelayablePaths{paths: &paths{table: storetest.New(), direct: storetest.Refused}, refused: true}
 		logger := &log.Logger{Handler: discard.New()}
-		table := store.NewRelayed(store.NewGate(ownWay{Store: w.table, ways: w.ways}, logger), w, logger)
+		table := store.NewRelayed(store.NewGate(directPath{Store: w.table, paths: w.paths}, logger), w, logger)
 		for range 5 {
 			_, err := table.Commit(t.Context(), write("v", 0))
 			require.ErrorIs(t, err, store.ErrNotDone)
 		}
-		w.bound = false
+		w.refused = false
 		_, err := table.Commit(t.Context(), write("v", 0))
 		require.NoError(t, err)
 	})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,7 @@
-// Package store is the interface to the transactional table in which everything
-// that must outlast a process is kept. It has no implementation of its own:
-// package platform speaks to the real one, package storetest is a stand-in.
+// Package store defines the interface to the transactional table that holds all
+// persistent state, and wrappers that add a circuit breaker, hedged commits, backoff and
+// relaying through other nodes. Package platform implements the client of the real table,
+// package storetest an in-memory fake.
 package store
 
 import (
@@ -11,39 +12,40 @@
 	"time"
 )
 
-// Version is a row's place in the table's single order of transactions. Zero
-// stands for "no such row".
+// Version is the sequence number of the transaction that last wrote a row, in the table's
+// total order of transactions. Zero means that the row does not exist.
 type Version uint64
 
-// Key names a row. A transaction whose rows share a Part takes less time than one across parts.
+// Key identifies a row. A transaction within one Part is faster than one across parts.
 type Key struct {
 	Table string
-	Part  string
+	Part  string // the partition of the table
 	Name  string
 }
 
-// Row is a row as of Version.
+// Row is the state of a row at Version.
 type Row struct {
 	Key
 	Value   []byte
 	Version Version
-	Gone    bool // removed; only Watch returns such rows
+	Gone    bool // the row was removed; set only in results of Watch
 }
 
-// Condition demands that a row still has the version given.
+// Condition requires that a row still has the given version.
 type Condition struct {
 	Key
 	Version Version
 }
 
-// Transaction is applied as a whole or not at all.
+// Transaction is a set of writes that is applied atomically if all its conditions hold.
 type Transaction struct {
 	Conditions []Condition
-	Put        []Row // Version and Gone are not used
+	Put        []Row // Version and Gone are ignored
 	Remove     []Key
 }
 
-// First is the key of the transaction's first row, which stands for its part.
+// First returns the key of the transaction's first row, whose part counts as the
+// transaction's part. It is the zero Key if the transaction is empty.
 func (t Transaction) First() Key {
 	switch {
 	case len(t.Put) > 0:
@@ -56,7 +58,7 @@
 	return Key{}
 }
 
-// Across reports whether the transaction's rows lie in several parts.
+// Across reports whether the transaction's rows belong to more than one part.
 func (t Transaction) Across() bool {
 	part := t.First().Part
 	return slices.ContainsFunc(t.Conditions, func(c Condition) bool { return c.Part != part }) ||
@@ -64,57 +66,58 @@
 		slices.ContainsFunc(t.Remove, func(k Key) bool { return k.Part != part })
 }
 
-// Page is the answer to a read.
+// Page is the result of a read.
 type Page struct {
 	Rows    []Row
-	Version Version // the newest of the table when it was read
-	More    bool
+	Version Version // latest version of the table at the time of the read
+	More    bool    // the read reached its limit; further rows match
 }
 
-// Store is the table. All methods are safe for concurrent use.
+// Store is the transactional table. All methods are safe for concurrent use.
 type Store interface {
-	// Commit applies the transaction. It fails with *Conflict, with ErrNotDone
-	// when it certainly had no effect, and with any other error when it may have
-	// had one or may still have one later, if its conditions hold then.
+	// Commit applies the transaction. It fails with *Conflict if a condition does not hold,
+	// and with ErrNotDone if the transaction certainly had no effect. After any other error
+	// the transaction may have been applied, or may still be applied later if its
+	// conditions hold then.
 	Commit(ctx context.Context, transaction Transaction) (Version, error)
-	// Range reads the rows of a part with from <= Name, and Name < to unless to
-	// is empty, by ascending names; limit 0 is the table's own limit.
+	// Range reads the rows of a part with from <= Name < to in ascending order of Name.
+	// An empty to means no upper bound; limit 0 means the table's own limit.
 	Range(ctx context.Context, table, part, from, to string, limit int) (Page, error)
-	// Watch waits for changes of a table after the version, at most for wait. It
-	// fails with ErrHistoryGone when the table no longer knows them.
+	// Watch waits, at most for wait, for changes to a table after the given version. It fails
+	// with ErrHistoryGone if the table no longer keeps those changes.
 	Watch(ctx context.Context, table string, after Version, wait time.Duration) (Page, error)
 }
 
 var (
-	// ErrNotDone means that the call had no effect and never will.
-	ErrNotDone = errors.New("the table refused the call; try again later")
-	// ErrThrottled is ErrNotDone because all nodes together call the table more often than it
-	// takes. Calls to other parts are refused likewise; a moment later one may be taken.
-	ErrThrottled = fmt.Errorf("the table takes no more calls now: %w", ErrNotDone)
-	// ErrOldConnection is in the chain of errors of calls whose connection had been sound and
-	// fell silent. It says nothing of the table: the next call goes over a new connection.
-	ErrOldConnection = errors.New("the connection to the table fell silent; try again on a new one")
-	// ErrHistoryGone means that the changes asked for are forgotten.
-	ErrHistoryGone = errors.New("the table forgot these changes; read the rows as a whole, then watch again")
+	// ErrNotDone means that the call had no effect and never will have one.
+	ErrNotDone = errors.New("the table rejected the call; try again later")
+	// ErrThrottled is an ErrNotDone caused by the table's rate limit, which all nodes and
+	// parts share. A retry after a backoff may succeed.
+	ErrThrottled = fmt.Errorf("the table rejected the call by its rate limit: %w", ErrNotDone)
+	// ErrOldConnection is wrapped by errors of calls whose established connection stopped
+	// responding. It does not indicate that the table is down: the next call uses a new
+	// connection.
+	ErrOldConnection = errors.New("the connection to the table stopped responding; retry on a new connection")
+	// ErrHistoryGone means that the table no longer keeps the requested changes.
+	ErrHistoryGone = errors.New("the table no longer keeps the requested changes; read all rows again, then watch from their version")
 )
 
-// Conflict is the refusal of a transaction whose conditions do not hold. Rows
-// are the conditions' rows as they are now; missing ones do not exist.
+// Conflict is the error of a transaction whose conditions do not hold. Rows holds the
+// current state of the conditions' rows; rows that do not exist are left out.
 type Conflict struct{ Rows []Row }
 
 // Error implements error.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("the conditions no longer hold (%d rows returned); decide anew by the rows as they are", len(c.Rows))
+	return fmt.Sprintf("the transaction's conditions do not hold (%d current rows returned); retry with the current rows", len(c.Rows))
 }
 
-// Answered reports whether an error, or none, is the table's answer to a call: it was
-// done, or its conditions do not hold.
+// Answered reports whether err is a definite result from the table: nil, or a *Conflict.
 func Answered(err error) bool {
 	var conflict *Conflict
 	return err == nil || errors.As(err, &conflict)
 }
 
-// Find returns the row named key, or a row with version zero if there is none.
+// Find returns the row with the given key, or a row with version zero if there is none.
 func (c *Conflict) Find(key Key) Row {
 	for _, row := range c.Rows {
 		if row.Key == key {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -27,7 +27,9 @@
 	}
 }
 
-func TestHedgedCommitSurvivesLostAnswersAndRefusals(t *testing.T) {
+// A hedged commit must succeed soon although its first attempt fails, and leave its write
+// recognizable.
+func TestHedgedCommitSurvivesFailedAttempt(t *testing.T) {
 	for fault := storetest.Refused; fault <= storetest.Applied; fault++ {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
@@ -42,7 +44,7 @@
 			_, err := store.CommitHedged(t.Context(), table, write("v", 0))
 			var conflict *store.Conflict
 			if errors.As(err, &conflict) {
-				require.Equal(t, "v", string(conflict.Find(key).Value), "the first try had its effect, and can be recognised")
+				require.Equal(t, "v", string(conflict.Find(key).Value), "the first attempt took effect and can be recognized")
 			} else {
 				require.NoError(t, err)
 			}
@@ -51,7 +53,8 @@
 	}
 }
 
-func TestHedgedCommitEndsWithItsCaller(t *testing.T) {
+// A hedged commit must end with its context.
+func TestHedgedCommitEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
@@ -62,11 +65,11 @@
 	})
 }
 
-// TestGateSparesADeadTable: 100 nodes with 20 turns each do not press on a table
-// that is down, and go on at once when it is back.
-func TestGateSparesADeadTable(t *testing.T) {
+// 100 nodes with 20 callers each must not overload a table that is down, and must recover
+// soon when it is up.
+func TestGateBoundsCallsToTableThatIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const nodes, turns = 100, 20
+		const nodes, callers = 100, 20
 		table := storetest.New()
 		var calls atomic.Int32
 		var down atomic.Bool
@@ -81,11 +84,11 @@
 		var served atomic.Int32
 		for range nodes {
 			gate := store.NewGate(table, &log.Logger{Handler: discard.New()})
-			for turn := range turns {
+			for caller := range callers {
 				go func() {
 					for t.Context().Err() == nil {
 						ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
-						_, err := gate.Range(ctx, "t", fmt.Sprint("p", turn), "", "", 1)
+						_, err := gate.Range(ctx, "t", fmt.Sprint("p", caller), "", "", 1)
 						cancel()
 						if err == nil {
 							served.Add(1)
@@ -100,13 +103,14 @@
 		before := calls.Load()
 		time.Sleep(10 * time.Second)
 		perNode := float64(calls.Load()-before) / 10 / nodes
-		require.LessOrEqual(t, perNode, 11.0, "calls a second from a node with 20 waiting turns")
+		require.LessOrEqual(t, perNode, 11.0, "calls per second from a node with 20 waiting callers")
 		down.Store(false)
 		time.Sleep(1500 * time.Millisecond)
-		require.EqualValues(t, nodes*turns, served.Load())
+		require.EqualValues(t, nodes*callers, served.Load())
 	})
 }
 
+// Values must keep their expiry and payload, and values too short for an expiry are rejected.
 func TestExpiry(t *testing.T) {
 	expires := time.UnixMilli(1_780_000_000_123)
 	got, payload, err := store.CutExpiry(store.WithExpiry(expires, []byte("x")))
@@ -117,7 +121,8 @@
 	require.ErrorIs(t, err, store.ErrNoExpiry)
 }
 
-func TestPartThatFailsIsLeftAlone(t *testing.T) {
+// Calls to a failed part must be held back without delaying calls to other parts.
+func TestFailedPartIsPaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		var calls atomic.Int32
@@ -131,25 +136,24 @@
 			return storetest.None
 		})
 		gate := store.NewGate(table, &log.Logger{Handler: discard.New()})
-		ask := func(part string) error {
+		read := func(part string) error {
 			_, err := gate.Range(t.Context(), "t", part, "", "", 1)
 			return err
 		}
 		for range 100 {
-			require.ErrorIs(t, ask("bad"), store.ErrNotDone)
-			require.NoError(t, ask("good"))
+			require.ErrorIs(t, read("bad"), store.ErrNotDone)
+			require.NoError(t, read("good"))
 			time.Sleep(50 * time.Millisecond)
 		}
 		require.LessOrEqual(t, calls.Load(), int32(12), "calls in 5 s")
 		down.Store(false)
 		time.Sleep(time.Second)
-		require.NoError(t, ask("bad"))
+		require.NoError(t, read("bad"))
 	})
 }
 
-// TestGateStaysOpenWhileSomePartsAnswer: with two fifths of the parts down, calls
-// to the others never wait.
-func TestGateStaysOpenWhileSomePartsAnswer(t *testing.T) {
+// With two fifths of the parts down, calls to the others must never wait.
+func TestGateStaysOpenWhileSomePartsRespond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		table.SetFault(func(part string, _ bool) storetest.Fault {
@@ -171,9 +175,8 @@
 	})
 }
 
-// TestHedgedCommitKnowsWhatWasNotDone: its error says that nothing was done only
-// when no try can have had an effect.
-func TestHedgedCommitKnowsWhatWasNotDone(t *testing.T) {
+// A hedged commit must fail with ErrNotDone only if no attempt can have had an effect.
+func TestHedgedCommitNotDoneIsCertain(t *testing.T) {
 	for first := storetest.Refused; first <= storetest.Applied; first++ {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
--- a/internal/store/storetest/counted.go
+++ b/internal/store/storetest/counted.go
@@ -10,30 +10,31 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// Counted is a table at a distance that takes so many writing calls a second and no more. Each
-// part takes one at a time, and calls across parts take twice as long.
+// Counted is a Table whose commits have a latency and a rate limit. Each part handles one
+// commit at a time, and commits across parts take twice as long.
 type Counted struct {
 	*Table
 	options CountedOptions
 
-	mutex   sync.Mutex
-	left    float64 // calls that are taken now
-	filled  time.Time
-	free    map[string]time.Time // when a part has done what waits for it
-	slower  int
-	calls   int
-	refused int
+	mutex     sync.Mutex
+	tokens    float64              // of the rate limit
+	filled    time.Time            // when tokens was last refilled
+	free      map[string]time.Time // when each part has handled its queue
+	slower    int                  // factor on all times
+	admitted  int                  // commits admitted
+	throttled int                  // commits throttled
 }
 
-// CountedOptions of a Counted.
+// CountedOptions are the options of a Counted.
 type CountedOptions struct {
-	Writes float64       // calls a second
-	Way    time.Duration // there and back
-	Takes  time.Duration // a call, in its part
-	Across bool          // calls across parts are taken
+	Writes float64       // rate limit, in commits per second
+	Way    time.Duration // round-trip time to the table
+	Takes  time.Duration // time to handle a commit in its part
+	Across bool          // whether commits across parts are allowed
 }
 
-// Bounds of a Counted: the time of calls that may come at once, and of those that wait for a part.
+// Limits of a Counted: the burst of the rate limit, as the time in which it accrues, and the
+// longest queue of a part, as the time to handle it.
 const (
 	countedBurst = 100 * time.Millisecond
 	countedQueue = time.Second
@@ -41,41 +42,42 @@
 
 var _ store.Store = (*Counted)(nil)
 
-// ErrAcross refuses a call across parts.
+// ErrAcross is the error of a commit across parts if CountedOptions.Across is not set.
 var ErrAcross = errors.New("status 400: rows of several parts")
 
-// NewCounted returns an empty table.
+// NewCounted returns an empty table with the given options.
 func NewCounted(options CountedOptions) *Counted {
 	return &Counted{Table: New(), options: options, filled: time.Now(), free: map[string]time.Time{}, slower: 1}
 }
 
-// SetSlower lets everything take so many times as long.
+// SetSlower multiplies all times by a factor from now on.
 func (c *Counted) SetSlower(times int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.slower = times
 }
 
-// SetWrites sets how many calls a second are taken from now on.
+// SetWrites sets the rate limit from now on, in commits per second.
 func (c *Counted) SetWrites(writes float64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.options.Writes = writes
 }
 
-// Counts returns how many writing calls were taken and refused for their number.
-func (c *Counted) Counts() (taken, refused int) {
+// Counts returns the numbers of commits that were admitted and throttled.
+func (c *Counted) Counts() (admitted, throttled int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.calls, c.refused
+	return c.admitted, c.throttled
 }
 
-// admit counts a call. It tells how long it takes, or that it is refused.
-func (c *Counted) admit(transaction store.Transaction) (takes time.Duration, taken bool) {
+// admit counts a commit. It returns how long the response takes, and whether the commit is
+// admitted rather than throttled.
+func (c *Counted) admit(transaction store.Transaction) (takes time.Duration, admitted bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := time.Now()
-	c.left = min(c.left+now.Sub(c.filled).Seconds()*c.options.Writes, c.options.Writes*countedBurst.Seconds())
+	c.tokens = min(c.tokens+now.Sub(c.filled).Seconds()*c.options.Writes, c.options.Writes*countedBurst.Seconds())
 	c.filled = now
 	done, takes := now, c.options.Takes*time.Duration(c.slower)
 	if transaction.Across() {
@@ -87,12 +89,12 @@
 			done = c.free[part]
 		}
 	}
-	if c.left < 1 || done.Sub(now) > countedQueue {
-		c.refused++
+	if c.tokens < 1 || done.Sub(now) > countedQueue {
+		c.throttled++
 		return c.options.Way, false
 	}
-	c.left--
-	c.calls++
+	c.tokens--
+	c.admitted++
 	done = done.Add(takes)
 	for part := range parts {
 		c.free[part] = done
@@ -100,6 +102,7 @@
 	return done.Sub(now) + c.options.Way*time.Duration(c.slower), true
 }
 
+// partsOf returns the parts of the rows that a transaction puts or has conditions on.
 func partsOf(transaction store.Transaction) map[string]bool {
 	parts := map[string]bool{}
 	for _, row := range transaction.Put {
@@ -111,13 +114,14 @@
 	return parts
 }
 
-// Commit implements store.Store. It is done though its caller has gone.
+// Commit implements store.Store. An admitted commit is applied even if ctx ends before the
+// response.
 func (c *Counted) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	if transaction.Across() && !c.options.Across {
 		return 0, ErrAcross
 	}
-	takes, taken := c.admit(transaction)
-	if !taken {
+	takes, admitted := c.admit(transaction)
+	if !admitted {
 		if err := wait.For(ctx, takes); err != nil {
 			return 0, err
 		}
--- a/internal/store/storetest/distant.go
+++ b/internal/store/storetest/distant.go
@@ -9,36 +9,37 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// Distant is a table at a distance: each answer takes a while.
+// Distant is a Table with a latency: each response to Commit and Range takes that long.
 type Distant struct {
 	*Table
-	mutex sync.Mutex
-	takes time.Duration
+	mutex   sync.Mutex
+	latency time.Duration
 }
 
 var _ store.Store = (*Distant)(nil)
 
-// NewDistant returns an empty table whose answers take so long.
-func NewDistant(takes time.Duration) *Distant { return &Distant{Table: New(), takes: takes} }
+// NewDistant returns an empty table with the given latency.
+func NewDistant(latency time.Duration) *Distant { return &Distant{Table: New(), latency: latency} }
 
-// SetTakes sets how long answers to calls take that are made from now on.
-func (d *Distant) SetTakes(takes time.Duration) {
+// SetTakes sets the latency of the calls made from now on.
+func (d *Distant) SetTakes(latency time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.takes = takes
+	d.latency = latency
 }
 
-func (d *Distant) travel(ctx context.Context) error {
+// delay waits for the latency or the end of ctx.
+func (d *Distant) delay(ctx context.Context) error {
 	d.mutex.Lock()
-	takes := d.takes
+	latency := d.latency
 	d.mutex.Unlock()
-	return wait.For(ctx, takes)
+	return wait.For(ctx, latency)
 }
 
-// Commit implements store.Store. The transaction is made at once, and its answer travels.
+// Commit implements store.Store. The transaction is applied at once; the response is delayed.
 func (d *Distant) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	version, err := d.Table.Commit(ctx, transaction)
-	if late := d.travel(ctx); late != nil {
+	if late := d.delay(ctx); late != nil {
 		return 0, late
 	}
 	return version, err
@@ -47,7 +48,7 @@
 // Range implements store.Store.
 func (d *Distant) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	page, err := d.Table.Range(ctx, table, part, from, to, limit)
-	if late := d.travel(ctx); late != nil {
+	if late := d.delay(ctx); late != nil {
 		return store.Page{}, late
 	}
 	return page, err
--- a/internal/store/storetest/table.go
+++ b/internal/store/storetest/table.go
@@ -1,5 +1,5 @@
-// Package storetest is a small stand-in of the table for tests: in memory, with
-// the faults that the real one has.
+// Package storetest provides an in-memory fake of the table for tests, with injected faults,
+// latency and rate limits.
 package storetest
 
 import (
@@ -14,38 +14,38 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Fault is what happens to a call.
+// Fault is an injected fault of a call.
 type Fault int
 
 // The faults of a call.
 const (
 	None      Fault = iota
-	Refused         // nothing is done, and the table says so
-	Silent          // nothing is done and nothing is said
-	Lost            // it is done and nothing is said
-	Late            // nothing is said; Release does it, if its conditions hold then
-	Broken          // nothing is done and the connection breaks
-	Applied         // it is done and the connection breaks
-	Throttled       // nothing is done: all nodes together call too often
+	Refused         // not applied; fails with store.ErrNotDone
+	Silent          // not applied; no response
+	Lost            // applied; no response
+	Late            // no response; Release applies it if its conditions hold then
+	Broken          // not applied; the connection breaks
+	Applied         // applied; the connection breaks
+	Throttled       // not applied; fails with store.ErrThrottled
 )
 
-// ErrBroken is a connection that broke before the answer.
+// ErrBroken is the error of a call whose connection broke before the response.
 var ErrBroken = errors.New("connection reset")
 
-// Table is a table in memory.
+// Table is an in-memory store.Store. The zero value is not usable; see New.
 type Table struct {
-	// PageRows is the most rows of an answer; 0 is 500.
+	// PageRows is the limit of rows in a Page; 0 means 500.
 	PageRows int
 
 	mutex   sync.Mutex
 	choose  func(part string, write bool) Fault
 	rows    map[store.Key]store.Row
-	names   map[store.Key]int // in how many parts of a table there is a row of a name
+	names   map[store.Key]int // number of parts with a row of this name, by Table and Name
 	version store.Version
 	history []store.Row
-	dropped store.Version // history up to here is forgotten
+	dropped store.Version // changes up to here are no longer kept
 	changed chan struct{}
-	late    []store.Transaction
+	late    []store.Transaction // transactions that Release applies
 	commits int
 	reads   int
 	watches int
@@ -53,7 +53,7 @@
 
 var _ store.Store = (*Table)(nil)
 
-// maxPageRows is the table's own limit of an answer.
+// maxPageRows is the default limit of rows in a Page.
 const maxPageRows = 500
 
 // New returns an empty table.
@@ -61,6 +61,7 @@
 	return &Table{rows: map[store.Key]store.Row{}, names: map[store.Key]int{}, changed: make(chan struct{})}
 }
 
+// fault returns the fault of a call to a part.
 func (t *Table) fault(part string, write bool) Fault {
 	t.mutex.Lock()
 	choose := t.choose
@@ -71,8 +72,8 @@
 	return choose(part, write)
 }
 
-// SetFault sets what chooses the fault of a call on a part; nil means None. It
-// may be called from several calls at once.
+// SetFault sets the function that chooses the fault of a call to a part; nil means no faults.
+// The function must be safe for concurrent use.
 func (t *Table) SetFault(choose func(part string, write bool) Fault) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -108,7 +109,7 @@
 	return t.apply(transaction)
 }
 
-// faultOf is the fault of the first part of a transaction that has one.
+// faultOf returns the fault of a transaction: that of the first of its parts that has one.
 func (t *Table) faultOf(transaction store.Transaction) Fault {
 	fault := t.fault(transaction.First().Part, true)
 	if !transaction.Across() {
@@ -122,12 +123,13 @@
 	return fault
 }
 
-// Operate applies a transaction of somebody else, whom no fault strikes.
+// Operate applies a transaction without faults, as an operator would.
 func (t *Table) Operate(transaction store.Transaction) error {
 	_, err := t.apply(transaction)
 	return err
 }
 
+// apply applies a transaction if its conditions hold.
 func (t *Table) apply(transaction store.Transaction) (store.Version, error) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -139,12 +141,12 @@
 	for _, row := range transaction.Put {
 		row.Version = t.version
 		row.Value = slices.Clone(row.Value)
-		t.note(row.Key, 1)
+		t.countName(row.Key, 1)
 		t.rows[row.Key] = row
 		t.history = append(t.history, row)
 	}
 	for _, key := range transaction.Remove {
-		t.note(key, -1)
+		t.countName(key, -1)
 		delete(t.rows, key)
 		t.history = append(t.history, store.Row{Key: key, Version: t.version, Gone: true})
 	}
@@ -153,8 +155,9 @@
 	return t.version, nil
 }
 
-// note counts a row that is written for the first time, or removed. The caller holds the mutex.
-func (t *Table) note(key store.Key, by int) {
+// countName updates names for a row that is put (by 1) or removed (by -1). The caller holds
+// the mutex and has not changed the row yet.
+func (t *Table) countName(key store.Key, by int) {
 	if _, there := t.rows[key]; there == (by < 0) {
 		t.names[store.Key{Table: key.Table, Name: key.Name}] += by
 	}
@@ -178,7 +181,7 @@
 	return nil
 }
 
-// failRead lets a read fail as the fault of its part says.
+// failRead returns the error that the fault of a part causes for a read.
 func (t *Table) failRead(ctx context.Context, part string) error {
 	switch t.fault(part, false) {
 	case Refused:
@@ -204,8 +207,8 @@
 	defer t.mutex.Unlock()
 	t.reads++
 	page := store.Page{Version: t.version}
-	if most := cmp.Or(t.PageRows, maxPageRows); limit == 0 || limit > most {
-		limit = most
+	if maxRows := cmp.Or(t.PageRows, maxPageRows); limit == 0 || limit > maxRows {
+		limit = maxRows
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(t.rows), func(a, b store.Key) int { return cmp.Compare(a.Name, b.Name) }) {
 		if key.Table != table || key.Part != part || key.Name < from || to != "" && key.Name >= to {
@@ -220,7 +223,7 @@
 	return page, nil
 }
 
-// Has reports whether any part of a table holds a row of a name.
+// Has reports whether any part of a table has a row with the given name.
 func (t *Table) Has(table, name string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -264,7 +267,8 @@
 	}
 }
 
-// Forget drops the history of changes.
+// Forget drops the history of changes, so that watches from before fail with
+// store.ErrHistoryGone.
 func (t *Table) Forget() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -272,7 +276,8 @@
 	t.dropped = t.version
 }
 
-// Release does the transactions that came late, in the order of pick.
+// Release applies the transactions with fault Late, in the order chosen by pick, which returns
+// the index of the next of count transactions.
 func (t *Table) Release(pick func(count int) int) {
 	t.mutex.Lock()
 	waiting := t.late
@@ -285,14 +290,14 @@
 	}
 }
 
-// Watches returns how many calls for changes were made, answered or not.
+// Watches returns the number of calls to Watch, including failed ones.
 func (t *Table) Watches() int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.watches
 }
 
-// Calls returns how many writes and reads reached the table.
+// Calls returns the numbers of commits and reads that reached the table.
 func (t *Table) Calls() (commits, reads int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -9,44 +9,44 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// Pauses after a call that the table refused for the number of calls. They double with each
-// further one, and each is drawn from half of its length to one and a half, so that nodes
-// refused together do not come back together.
+// Bounds of the mean pause after a throttled call. The mean doubles with each further one,
+// and a jitter of 50 to 150 % keeps nodes from retrying in step.
 const (
-	firstThrottlePause   = 40 * time.Millisecond
-	longestThrottlePause = 400 * time.Millisecond
+	minThrottlePause = 40 * time.Millisecond
+	maxThrottlePause = 400 * time.Millisecond
 )
 
-// Backoff spaces the tries of one call that the table refuses for the number of calls. Its
-// zero value stands for a call that was not refused yet. It is not safe for concurrent use.
+// Backoff computes the pauses between attempts of a call that the table throttles:
+// exponential with jitter. The zero value is ready to use. It is not safe for concurrent use.
 type Backoff struct {
-	// Longest bounds the mean pause; 0 is what suits a call for one caller.
+	// Longest bounds the mean pause; 0 means 400 ms, which suits a call for a single caller.
 	Longest time.Duration
 
 	pause time.Duration
 }
 
-// Reset takes the table to have taken a call.
+// Reset starts over with the shortest pause, after a call that was not throttled.
 func (b *Backoff) Reset() { b.pause = 0 }
 
-// Next is the pause before the next try.
+// Next returns the pause before the next attempt, and lengthens the one after it.
 func (b *Backoff) Next() time.Duration {
-	b.pause = min(max(2*b.pause, firstThrottlePause), cmp.Or(b.Longest, longestThrottlePause))
+	b.pause = min(max(2*b.pause, minThrottlePause), cmp.Or(b.Longest, maxThrottlePause))
 	return b.pause/2 + rand.N(b.pause)
 }
 
-// Wait waits for the pause before the next try. It fails at once if the caller's time ends
-// before the pause would.
+// Wait sleeps for the pause before the next attempt. It fails at once with ErrThrottled if the
+// deadline of ctx comes before the end of the pause, and with the error of ctx if ctx ends.
 func (b *Backoff) Wait(ctx context.Context) error {
 	pause := b.Next()
-	if !allows(ctx, pause) {
+	if !deadlineAllows(ctx, pause) {
 		return ErrThrottled
 	}
 	return wait.For(ctx, pause)
 }
 
-// allows reports whether the caller's time lasts longer than a pause.
-func allows(ctx context.Context, pause time.Duration) bool {
+// deadlineAllows reports whether the deadline of ctx, if any, is later than the end of a pause
+// that starts now.
+func deadlineAllows(ctx context.Context, pause time.Duration) bool {
 	deadline, bound := ctx.Deadline()
 	return !bound || time.Until(deadline) > pause
 }
--- a/internal/store/throttle_test.go
+++ b/internal/store/throttle_test.go
@@ -17,7 +17,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// throttled returns a table that refuses calls for their number, and counts them.
+// throttled returns a table that fails the first call as given and throttles the others, and
+// a count of the calls.
 func throttled(first storetest.Fault) (table *storetest.Table, calls *atomic.Int32) {
 	table, calls = storetest.New(), new(atomic.Int32)
 	table.SetFault(func(string, bool) storetest.Fault {
@@ -29,23 +30,24 @@
 	return table, calls
 }
 
-// TestThrottledCommitIsNotPressed: 2 s of refusals are few calls, and none begins that its
-// caller would not see the answer of.
-func TestThrottledCommitIsNotPressed(t *testing.T) {
+// A throttled commit must back off, and fail before its deadline rather than start an attempt
+// at the end.
+func TestThrottledCommitBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, calls := throttled(storetest.Throttled)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		_, err := store.CommitHedged(ctx, table, write("v", 0))
 		require.ErrorIs(t, err, store.ErrThrottled)
-		require.NoError(t, ctx.Err(), "it is told before its time is over")
+		require.NoError(t, ctx.Err(), "the commit fails before its deadline")
 		require.LessOrEqual(t, calls.Load(), int32(10))
 		require.Greater(t, calls.Load(), int32(3))
 	})
 }
 
-// TestThrottledHedgeKeepsItsDoubt: a try that may have had an effect is not forgotten.
-func TestThrottledHedgeKeepsItsDoubt(t *testing.T) {
+// A commit whose first attempt may have had an effect must not fail with ErrNotDone because
+// later ones are throttled.
+func TestThrottledHedgeKeepsUncertainResult(t *testing.T) {
 	for _, first := range []storetest.Fault{storetest.Broken, storetest.Silent, storetest.Lost, storetest.Late} {
 		synctest.Test(t, func(t *testing.T) {
 			table, _ := throttled(first)
@@ -58,8 +60,8 @@
 	}
 }
 
-// TestCallerThatPausesIsToldAtOnce that the table takes no more calls.
-func TestCallerThatPausesIsToldAtOnce(t *testing.T) {
+// CommitUnlessThrottled must fail on the first throttled attempt.
+func TestCommitUnlessThrottledFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table, calls := throttled(storetest.Throttled)
 		begun := time.Now()
@@ -70,22 +72,22 @@
 	})
 }
 
-// TestThrottledTableLives: neither the gate nor a part of it closes, and a closed gate opens.
-func TestThrottledTableLives(t *testing.T) {
+// Throttled calls must not close the gate or a part, and must open a closed gate.
+func TestThrottlingDoesNotCloseTheGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		fault := storetest.Refused
 		table.SetFault(func(string, bool) storetest.Fault { return fault })
 		gate := store.NewGate(table, &log.Logger{Handler: discard.New()})
 		call := func(part int) error {
-			ctx, cancel := context.WithTimeout(t.Context(), callerWait)
+			ctx, cancel := context.WithTimeout(t.Context(), callerTimeout)
 			defer cancel()
 			_, err := gate.Commit(ctx, store.Transaction{Put: []store.Row{{Key: store.Key{Part: fmt.Sprint(part)}}}})
 			return err
 		}
 		fault = storetest.Throttled
 		for part := range 100 {
-			require.ErrorIs(t, call(part%4), store.ErrThrottled, "a part that the table throttles stays open")
+			require.ErrorIs(t, call(part%4), store.ErrThrottled, "a throttled part stays open")
 			require.False(t, gate.Suspect())
 		}
 		require.True(t, gate.ThrottledSince(time.Now()))
@@ -102,32 +104,32 @@
 	})
 }
 
-// TestThrottledCallIsNotRelayedAtOnce: all nodes are refused alike; a node that is throttled
-// alone is helped nevertheless.
-func TestThrottledCallIsNotRelayedAtOnce(t *testing.T) {
+// Throttled calls must not be relayed while some calls succeed, since the rate limit applies to
+// all nodes. A node that is throttled all the time must relay.
+func TestThrottledCallsAreRelayedOnlyAfterMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &ways{table: storetest.New()}
-		table := relayed(w)
+		w := &paths{table: storetest.New()}
+		table := newRelayed(w)
 		call := func() error {
 			_, err := table.Commit(t.Context(), store.Transaction{Put: []store.Row{{Key: key}}})
 			return err
 		}
-		for turn := range 200 {
-			w.own = storetest.Throttled
-			if turn%4 == 3 {
-				w.own = storetest.None
+		for round := range 200 {
+			w.direct = storetest.Throttled
+			if round%4 == 3 {
+				w.direct = storetest.None
 			}
 			err := call()
 			require.True(t, err == nil || errors.Is(err, store.ErrThrottled))
 		}
-		require.Zero(t, w.relayed, "three refusals of four calls are the table's, not the node's")
-		w.own = storetest.Throttled
+		require.Zero(t, w.relayed, "three throttled calls of four show the shared rate limit")
+		w.direct = storetest.Throttled
 		failed := 0
 		for range 100 {
 			if call() != nil {
 				failed++
 			}
 		}
-		require.LessOrEqual(t, failed, 8, "a node that alone is throttled goes through others")
+		require.LessOrEqual(t, failed, 8, "a node that alone is throttled relays its calls")
 	})
 }
