--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -22,8 +22,8 @@
 	// each failure.
 	minPartPause = 100 * time.Millisecond
 	maxPartPause = 800 * time.Millisecond
-	// maxConclusiveTime is the longest time that a call must have run for its timeout to
-	// count as a failure of the table.
+	// maxConclusiveTime caps the minimum run time after which a timeout counts as a failure of
+	// the table. The minimum is the usual latency.
 	maxConclusiveTime = 120 * time.Millisecond
 )
 
@@ -43,10 +43,10 @@
 	latency  wait.Estimate // of calls to the table
 	mutex    sync.Mutex
 	closedAt time.Time
-	failures int // consecutive failures of different parts
+	failures int // consecutive failures of different parts; see closePart
 	probes   probes
 	opened   chan struct{}         // closed when the gate opens; nil while it is open
-	parts    map[string]*partPause // the parts that failed last
+	parts    map[string]*partPause // the parts whose last call failed
 	// lastThrottled is the time of the last commit that failed with ErrThrottled, in Unix
 	// nanoseconds; zero means never.
 	lastThrottled atomic.Int64
@@ -59,8 +59,9 @@
 	return last != 0 && !time.Unix(0, last).Before(since)
 }
 
-// Bounds of the patience with a call, and its ratio to the usual latency. The factor keeps
-// calls that are only a little slow from being repeated.
+// Bounds of the patience, the time to wait for a response before another attempt, and its
+// ratio to the usual latency. The factor keeps calls that are only a little slow from being
+// repeated.
 const (
 	minPatience    = 25 * time.Millisecond
 	maxPatience    = 450 * time.Millisecond
@@ -78,7 +79,8 @@
 	until time.Time // end of the pause
 }
 
-// Suspect reports whether the last calls failed, to whichever parts.
+// Suspect reports whether the table may be unreachable: the whole gate is closed, or the last
+// calls failed for at least suspectThreshold different parts.
 func (g *Gate) Suspect() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -160,8 +162,9 @@
 }
 
 // leave records the result of a call that started at begun. Calls that the caller canceled, or
-// whose timeout was shorter than the usual latency, are ignored. ErrThrottled counts as a
-// success, since it shows that the table and the part respond.
+// that timed out before the usual latency (at most maxConclusiveTime), are ignored, and so is
+// ErrOldConnection. ErrThrottled counts as a success, since it shows that the table and the part
+// respond.
 func (g *Gate) leave(ctx context.Context, part string, begun time.Time, err error) {
 	took := time.Since(begun)
 	if Answered(err) {
@@ -199,8 +202,9 @@
 		Warn("table does not respond; holding calls back and probing it")
 }
 
-// open opens the whole gate and ends the pauses of all parts. by names the kind of result
-// that caused it, for the log. The caller holds the mutex.
+// open resets the count of failures. If the whole gate is closed, it opens it and ends the
+// pauses of all parts. by is the kind of result that caused it, for the log. The caller
+// holds the mutex.
 func (g *Gate) open(by string) {
 	g.failures = 0
 	if g.opened == nil {
@@ -214,8 +218,8 @@
 		WithField("patience_ms", g.Patience().Milliseconds()).Info("table responds again; letting calls through")
 }
 
-// closePart pauses calls to a part and reports whether the part had not failed before. The
-// caller holds the mutex.
+// closePart pauses calls to a part. It reports whether this is the part's first failure since it
+// last responded. The caller holds the mutex.
 func (g *Gate) closePart(part string) bool {
 	failed, known := g.parts[part]
 	if !known {
--- a/internal/store/hedge.go
+++ b/internal/store/hedge.go
@@ -16,12 +16,12 @@
 // defaultPatience applies to stores that are not Paced.
 const defaultPatience = 60 * time.Millisecond
 
-// hedgeDelays are the delays before the additional attempts of a hedged commit, as multiples
-// of the store's patience.
+// hedgeDelays are the delays before the additional attempts of a hedged commit, each counted
+// from the attempt before, as multiples of the store's patience.
 var hedgeDelays = []time.Duration{1, 4, 8}
 
-// PatienceWith returns how long to wait for a response from table before another attempt, at
-// least least.
+// PatienceWith returns how long to wait for a response from table before another attempt. The
+// result is never less than least.
 func PatienceWith(table Store, least time.Duration) time.Duration {
 	return max(least, patienceOf(table))
 }
@@ -42,8 +42,8 @@
 // CommitHedged commits a transaction with hedged requests: while no attempt has responded, it
 // sends the same transaction again on another connection, and returns the first conclusive
 // result. ErrPartClosed is conclusive. After ErrThrottled it backs off, and gives up if the
-// deadline of ctx comes before the next attempt. It also gives up when ctx ends. The error is
-// ErrNotDone only if no attempt can have had an effect.
+// deadline of ctx comes before the next attempt and no attempt is in flight. It also gives up
+// when ctx ends. The error is ErrNotDone only if no attempt can have had an effect.
 //
 // Since several attempts may reach the table, the caller must be able to recognize its own
 // write in the rows of a Conflict.
@@ -52,7 +52,7 @@
 }
 
 // CommitUnlessThrottled is CommitHedged for callers that back off by themselves, with Backoff:
-// it fails with ErrThrottled once an attempt was throttled and no other is in flight.
+// it fails with ErrThrottled when an attempt is throttled and no other is in flight.
 func CommitUnlessThrottled(ctx context.Context, table Store, transaction Transaction) (Version, error) {
 	return newHedge(table, transaction).run(ctx, false)
 }
--- a/internal/store/probe.go
+++ b/internal/store/probe.go
@@ -7,8 +7,8 @@
 
 const (
 	// probeInterval is the minimum interval between probes, probeIntervalPending while an
-	// earlier one is in flight. Probes overlap since a table that recovers may never respond
-	// to requests it got before.
+	// earlier one is in flight. Probes overlap since a table may never respond to
+	// requests that it received before it recovered.
 	probeInterval        = 100 * time.Millisecond
 	probeIntervalPending = 200 * time.Millisecond
 	// maxProbes bounds the probes in flight.
@@ -31,9 +31,9 @@
 	sent     int // since the gate closed
 }
 
-// probe starts a read that checks whether the table responds, if a probe is due. It does not
-// wait for the result. The read has its own timeout, since callers may have less time left
-// than a response takes.
+// probe starts a read, if one is due, that opens the gate if it succeeds. An ErrThrottled does
+// not open it. probe does not wait for the result. The
+// read has its own timeout, since callers may have less time left than a response takes.
 func (g *Gate) probe(key Key) {
 	if !g.beginProbe() {
 		return
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -21,15 +21,15 @@
 
 // ErrNoRelay means that a call may not be relayed because of its content. Other calls may
 // still be relayed.
-var ErrNoRelay = fmt.Errorf("the call may not be relayed through another node: %w", ErrNotDone)
+var ErrNoRelay = fmt.Errorf("the call may not be relayed through another node because of its content: %w", ErrNotDone)
 
 const (
 	// suspectThreshold is the number of consecutive failures of different parts after which
-	// calls are relayed from the start.
+	// the table is suspect: calls are relayed at once, and the gate sends probes.
 	suspectThreshold = 2
-	// relayPatiences is the time after which a call without a response is also relayed, as a
-	// multiple of the patience.
-	relayPatiences = 3
+	// relayPatienceFactor is the time after which a call without a response is also relayed, as
+	// a multiple of the patience.
+	relayPatienceFactor = 3
 	// Bounds of the pause in relaying after a relayed call failed, which shows that the table
 	// or the part itself is down. It doubles with each failure.
 	minRelayPause = 50 * time.Millisecond
@@ -123,7 +123,7 @@
 	if r.Suspect() {
 		startRelay()
 	}
-	timer := time.NewTimer(relayPatiences * r.Patience())
+	timer := time.NewTimer(relayPatienceFactor * r.Patience())
 	defer timer.Stop()
 	var failure error
 	for {
@@ -193,7 +193,7 @@
 	}
 	if was := r.active; was != Answered(err) {
 		r.active = !was
-		r.logger.WithField("relayed", r.active).Info("relaying of failed table calls through other nodes switched on or off; see field relayed")
+		r.logger.WithField("relayed", r.active).Info("relaying of table calls through other nodes started (relayed=true) or stopped (relayed=false) working; it stays the fallback for failed direct calls")
 	}
 	if r.active {
 		r.pause, r.until = 0, time.Time{}
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -15,7 +15,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// paths are two paths to one table, each with its own fault. It implements the relayed one.
+// paths is a direct and a relayed path to one table, each with its own fault. It implements
+// store.Relays, the relayed path.
 type paths struct {
 	table         *storetest.Table
 	direct, relay storetest.Fault
@@ -23,15 +24,15 @@
 }
 
 // Commit implements store.Relays.
-func (w *paths) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
-	w.relayed++
-	return withFault(ctx, w.relay, func(ctx context.Context) (store.Version, error) { return w.table.Commit(ctx, transaction) })
+func (p *paths) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+	p.relayed++
+	return withFault(ctx, p.relay, func(ctx context.Context) (store.Version, error) { return p.table.Commit(ctx, transaction) })
 }
 
 // Range implements store.Relays.
-func (w *paths) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
-	w.relayed++
-	return withFault(ctx, w.relay, func(ctx context.Context) (store.Page, error) { return w.table.Range(ctx, table, part, from, to, limit) })
+func (p *paths) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
+	p.relayed++
+	return withFault(ctx, p.relay, func(ctx context.Context) (store.Page, error) { return p.table.Range(ctx, table, part, from, to, limit) })
 }
 
 // directPath is the direct path to the table.
@@ -41,18 +42,18 @@
 }
 
 // Commit implements store.Store.
-func (o directPath) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
-	return withFault(ctx, o.paths.direct, func(ctx context.Context) (store.Version, error) { return o.paths.table.Commit(ctx, transaction) })
+func (d directPath) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+	return withFault(ctx, d.paths.direct, func(ctx context.Context) (store.Version, error) { return d.paths.table.Commit(ctx, transaction) })
 }
 
 // Range implements store.Store.
-func (o directPath) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
-	return withFault(ctx, o.paths.direct, func(ctx context.Context) (store.Page, error) {
-		return o.paths.table.Range(ctx, table, part, from, to, limit)
+func (d directPath) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
+	return withFault(ctx, d.paths.direct, func(ctx context.Context) (store.Page, error) {
+		return d.paths.table.Range(ctx, table, part, from, to, limit)
 	})
 }
 
-// withFault makes a call with a fault.
+// withFault makes a call and applies the given fault to it.
 func withFault[T any](ctx context.Context, fault storetest.Fault, call func(context.Context) (T, error)) (T, error) {
 	var none T
 	switch fault {
@@ -77,9 +78,9 @@
 }
 
 // newRelayed returns a Relayed that uses both paths.
-func newRelayed(w *paths) *store.Relayed {
+func newRelayed(p *paths) *store.Relayed {
 	logger := &log.Logger{Handler: discard.New()}
-	return store.NewRelayed(store.NewGate(directPath{Store: w.table, paths: w}, logger), w, logger)
+	return store.NewRelayed(store.NewGate(directPath{Store: p.table, paths: p}, logger), p, logger)
 }
 
 var failures = []storetest.Fault{storetest.Refused, storetest.Broken, storetest.Applied, storetest.Silent, storetest.Lost}
@@ -89,8 +90,8 @@
 func TestCallsAreRelayed(t *testing.T) {
 	for _, fault := range failures {
 		synctest.Test(t, func(t *testing.T) {
-			w := &paths{table: storetest.New(), direct: fault}
-			table := newRelayed(w)
+			p := &paths{table: storetest.New(), direct: fault}
+			table := newRelayed(p)
 			version := store.Version(0)
 			for round := range 20 {
 				begun := time.Now()
@@ -108,7 +109,7 @@
 				version = page.Rows[0].Version
 				require.Less(t, time.Since(begun), 500*time.Millisecond, "fault %d", fault)
 			}
-			w.direct = storetest.None
+			p.direct = storetest.None
 			time.Sleep(time.Second)
 			_, err := table.Commit(t.Context(), write("z", version))
 			require.NoError(t, err)
@@ -119,14 +120,14 @@
 // Calls must not be relayed while the direct path responds, even with a conflict.
 func TestHealthyDirectPathIsNotRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &paths{table: storetest.New()}
-		table := newRelayed(w)
+		p := &paths{table: storetest.New()}
+		table := newRelayed(p)
 		for range 10 {
 			_, _ = table.Commit(t.Context(), write("v", 0))
 			_, err := table.Range(t.Context(), key.Table, key.Part, "", "", 0)
 			require.NoError(t, err)
 		}
-		require.Zero(t, w.relayed)
+		require.Zero(t, p.relayed)
 	})
 }
 
@@ -134,16 +135,16 @@
 func TestRelayingBacksOffWhileTheTableIsDown(t *testing.T) {
 	for _, fault := range failures {
 		synctest.Test(t, func(t *testing.T) {
-			w := &paths{table: storetest.New(), direct: fault, relay: storetest.Refused}
-			table := newRelayed(w)
+			p := &paths{table: storetest.New(), direct: fault, relay: storetest.Refused}
+			table := newRelayed(p)
 			for range 100 {
 				ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 				_, err := table.Commit(ctx, write("v", 1))
 				cancel()
 				require.Error(t, err)
 			}
-			require.Positive(t, w.relayed)
-			require.LessOrEqual(t, w.relayed, 25, "fault %d: relayed calls in 10 s", fault)
+			require.Positive(t, p.relayed)
+			require.LessOrEqual(t, p.relayed, 25, "fault %d: relayed calls in 10 s", fault)
 		})
 	}
 }
@@ -170,10 +171,10 @@
 // first: the direct calls canceled then must not keep the path suspect.
 func TestRelayingStopsAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &paths{table: storetest.New()}
+		p := &paths{table: storetest.New()}
 		distant := storetest.NewDistant(33 * time.Millisecond)
 		logger := &log.Logger{Handler: discard.New()}
-		table := store.NewRelayed(store.NewGate(distant, logger), w, logger)
+		table := store.NewRelayed(store.NewGate(distant, logger), p, logger)
 		read := func() {
 			for part := range 20 {
 				_, err := table.Range(t.Context(), key.Table, string(rune('a'+part)), "", "", 0)
@@ -183,13 +184,13 @@
 		}
 		distant.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
 		read()
-		require.Positive(t, w.relayed)
+		require.Positive(t, p.relayed)
 		distant.SetFault(nil)
 		read()
 		time.Sleep(recoverWithin)
-		before := w.relayed
+		before := p.relayed
 		read()
-		require.Equal(t, before, w.relayed)
+		require.Equal(t, before, p.relayed)
 	})
 }
 
@@ -197,10 +198,10 @@
 // the direct path stops responding.
 func TestRelayingAfterHighLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &paths{table: storetest.New()}
+		p := &paths{table: storetest.New()}
 		distant := storetest.NewDistant(400 * time.Millisecond)
 		logger := &log.Logger{Handler: discard.New()}
-		table := store.NewRelayed(store.NewGate(distant, logger), w, logger)
+		table := store.NewRelayed(store.NewGate(distant, logger), p, logger)
 		read := func(part int, within time.Duration) error {
 			ctx, cancel := context.WithTimeout(t.Context(), within)
 			defer cancel()
@@ -227,24 +228,24 @@
 }
 
 // Commit implements store.Relays.
-func (b *unrelayablePaths) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
-	if b.refused {
+func (p *unrelayablePaths) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
+	if p.refused {
 		return 0, store.ErrNoRelay
 	}
-	return b.paths.Commit(ctx, transaction)
+	return p.paths.Commit(ctx, transaction)
 }
 
 // ErrNoRelay for one call must not pause the relaying of other calls.
 func TestNoRelayDoesNotPauseRelaying(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &unrelayablePaths{paths: &paths{table: storetest.New(), direct: storetest.Refused}, refused: true}
+		p := &unrelayablePaths{paths: &paths{table: storetest.New(), direct: storetest.Refused}, refused: true}
 		logger := &log.Logger{Handler: discard.New()}
-		table := store.NewRelayed(store.NewGate(directPath{Store: w.table, paths: w.paths}, logger), w, logger)
+		table := store.NewRelayed(store.NewGate(directPath{Store: p.table, paths: p.paths}, logger), p, logger)
 		for range 5 {
 			_, err := table.Commit(t.Context(), write("v", 0))
 			require.ErrorIs(t, err, store.ErrNotDone)
 		}
-		w.refused = false
+		p.refused = false
 		_, err := table.Commit(t.Context(), write("v", 0))
 		require.NoError(t, err)
 	})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -31,7 +31,8 @@
 	Gone    bool // the row was removed; set only in results of Watch
 }
 
-// Condition requires that a row still has the given version.
+// Condition requires that a row has the given version; version zero requires that the row
+// does not exist.
 type Condition struct {
 	Key
 	Version Version
@@ -66,7 +67,7 @@
 		slices.ContainsFunc(t.Remove, func(k Key) bool { return k.Part != part })
 }
 
-// Page is the result of a read.
+// Page is the result of Range or Watch.
 type Page struct {
 	Rows    []Row
 	Version Version // latest version of the table at the time of the read
@@ -83,17 +84,18 @@
 	// Range reads the rows of a part with from <= Name < to in ascending order of Name.
 	// An empty to means no upper bound; limit 0 means the table's own limit.
 	Range(ctx context.Context, table, part, from, to string, limit int) (Page, error)
-	// Watch waits, at most for wait, for changes to a table after the given version. It fails
-	// with ErrHistoryGone if the table no longer keeps those changes.
+	// Watch waits for changes to a table after the given version, and returns them, or a Page
+	// without rows if there are none within wait. It fails with ErrHistoryGone if the table no
+	// longer keeps those changes.
 	Watch(ctx context.Context, table string, after Version, wait time.Duration) (Page, error)
 }
 
 var (
 	// ErrNotDone means that the call had no effect and never will have one.
-	ErrNotDone = errors.New("the table rejected the call; try again later")
-	// ErrThrottled is an ErrNotDone caused by the table's rate limit, which all nodes and
-	// parts share. A retry after a backoff may succeed.
-	ErrThrottled = fmt.Errorf("the table rejected the call by its rate limit: %w", ErrNotDone)
+	ErrNotDone = errors.New("the call to the table had no effect; try again later")
+	// ErrThrottled is an ErrNotDone: the table rejected the call because of its rate limit,
+	// which all nodes and parts share. A retry after a backoff may succeed.
+	ErrThrottled = fmt.Errorf("the rate limit of the table is exceeded: %w", ErrNotDone)
 	// ErrOldConnection is wrapped by errors of calls whose established connection stopped
 	// responding. It does not indicate that the table is down: the next call uses a new
 	// connection.
--- a/internal/store/storetest/counted.go
+++ b/internal/store/storetest/counted.go
@@ -20,7 +20,7 @@
 	tokens    float64              // of the rate limit
 	filled    time.Time            // when tokens was last refilled
 	free      map[string]time.Time // when each part has handled its queue
-	slower    int                  // factor on all times
+	slower    int                  // factor on the times of admitted commits
 	admitted  int                  // commits admitted
 	throttled int                  // commits throttled
 }
@@ -50,7 +50,8 @@
 	return &Counted{Table: New(), options: options, filled: time.Now(), free: map[string]time.Time{}, slower: 1}
 }
 
-// SetSlower multiplies all times by a factor from now on.
+// SetSlower multiplies the times of admitted commits by a factor from now on. Throttled commits
+// keep their time.
 func (c *Counted) SetSlower(times int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/store/storetest/table.go
+++ b/internal/store/storetest/table.go
@@ -109,7 +109,7 @@
 	return t.apply(transaction)
 }
 
-// faultOf returns the fault of a transaction: that of the first of its parts that has one.
+// faultOf returns the fault of a transaction: that of its first part with a fault.
 func (t *Table) faultOf(transaction store.Transaction) Fault {
 	fault := t.fault(transaction.First().Part, true)
 	if !transaction.Across() {
@@ -123,7 +123,8 @@
 	return fault
 }
 
-// Operate applies a transaction without faults, as an operator would.
+// Operate applies a transaction without injected faults, as a write by another client of the
+// table.
 func (t *Table) Operate(transaction store.Transaction) error {
 	_, err := t.apply(transaction)
 	return err
@@ -267,8 +268,8 @@
 	}
 }
 
-// Forget drops the history of changes, so that watches from before fail with
-// store.ErrHistoryGone.
+// Forget drops the history of changes, so that watches after an earlier version fail
+// with store.ErrHistoryGone.
 func (t *Table) Forget() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/store/throttle_test.go
+++ b/internal/store/throttle_test.go
@@ -72,7 +72,8 @@
 	})
 }
 
-// Throttled calls must not close the gate or a part, and must open a closed gate.
+// Throttled calls must not close the gate or a part. The last call, at a closed gate, is not
+// checked.
 func TestThrottlingDoesNotCloseTheGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
@@ -108,22 +109,22 @@
 // all nodes. A node that is throttled all the time must relay.
 func TestThrottledCallsAreRelayedOnlyAfterMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &paths{table: storetest.New()}
-		table := newRelayed(w)
+		p := &paths{table: storetest.New()}
+		table := newRelayed(p)
 		call := func() error {
 			_, err := table.Commit(t.Context(), store.Transaction{Put: []store.Row{{Key: key}}})
 			return err
 		}
 		for round := range 200 {
-			w.direct = storetest.Throttled
+			p.direct = storetest.Throttled
 			if round%4 == 3 {
-				w.direct = storetest.None
+				p.direct = storetest.None
 			}
 			err := call()
 			require.True(t, err == nil || errors.Is(err, store.ErrThrottled))
 		}
-		require.Zero(t, w.relayed, "three throttled calls of four show the shared rate limit")
-		w.direct = storetest.Throttled
+		require.Zero(t, p.relayed, "three throttled calls of four show the shared rate limit")
+		p.direct = storetest.Throttled
 		failed := 0
 		for range 100 {
 			if call() != nil {
