--- a/cmd/cloverwheeld/main.go
+++ b/cmd/cloverwheeld/main.go
@@ -1,6 +1,5 @@
-// Command cloverwheeld is a node of cloverwheel on machines that keep nothing:
-// it serves clients' requests before the workers and keeps what must last in
-// the platform's table.
+// Command cloverwheeld runs a stateless node of cloverwheel. It proxies client requests to the
+// workers and stores durable state in the platform's table.
 package main
 
 import (
@@ -29,11 +28,11 @@
 // Exit codes.
 const (
 	exitFailure = 1
-	exitUsage   = 2 // wrong flags or settings
+	exitUsage   = 2 // invalid settings
 )
 
-// processDigits of a random identifier tell a process from all others; they are
-// enough that nobody guesses them.
+// processDigits is the number of random hexadecimal digits in a process name. They make it
+// unique and hard to guess.
 const processDigits = 16
 
 func main() {
@@ -47,11 +46,11 @@
 func rootCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "cloverwheeld",
-		Usage: "serve agent programs before model workers",
+		Usage: "route requests of agent programs to model workers",
 		Commands: []*cli.Command{
 			{
 				Name:   "serve",
-				Usage:  "run one node; SIGTERM stops it without cutting a request, SIGHUP reads the settings again",
+				Usage:  "run a node; SIGTERM shuts it down gracefully, SIGHUP validates the settings file again",
 				Flags:  []cli.Flag{settingsFlag(), metricsFlag()},
 				Action: serve,
 			},
@@ -77,13 +76,13 @@
 func settingsFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:    "settings",
-		Usage:   "settings `FILE` of this machine",
+		Usage:   "settings `FILE` of this node",
 		Sources: cli.EnvVars(platform.EnvironmentSettings),
 	}
 }
 
 func metricsFlag() cli.Flag {
-	return &cli.Uint16Flag{Name: "metrics-port", Usage: "`PORT` on which metrics are told under " + server.MetricsPath + "; 0: none"}
+	return &cli.Uint16Flag{Name: "metrics-port", Usage: "`PORT` that serves metrics under " + server.MetricsPath + "; 0 disables them"}
 }
 
 func check(_ context.Context, command *cli.Command) error {
@@ -125,18 +124,19 @@
 		},
 		DialTimeout: platform.DialTimeout,
 		Front: func(s *server.Server) http.Handler {
-			return &platform.Door{Forwarder: s.Forwarder(), Draining: s.SendsAway, Admit: s.Admit}
+			return &platform.ClientHandler{Forwarder: s.Forwarder(), Draining: s.SendsAway, Admit: s.Admit}
 		},
 		Ready:   func(s *server.Server) http.Handler { return platform.ReadyHandler(s.IsReady) },
 		Metrics: metrics,
 		Logger:  logger.WithField("node", settings.Server.Node),
 	})
-	go obeySignals(ctx, node, path, logger)
+	go handleSignals(ctx, node, path, logger)
 	return node.Run(ctx)
 }
 
-// obeySignals stops the node on SIGTERM and reads the settings on SIGHUP.
-func obeySignals(ctx context.Context, node *server.Server, path string, logger log.Interface) {
+// handleSignals shuts the node down gracefully on SIGTERM and SIGINT. On SIGHUP it validates the
+// settings file and logs the result; changed settings apply after a restart.
+func handleSignals(ctx context.Context, node *server.Server, path string, logger log.Interface) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -152,10 +152,10 @@
 			_, err := platform.LoadSettings(path)
 			entry := logger.WithField("path", path)
 			if err != nil {
-				entry.WithError(err).Error("settings not read again, keeping those in force")
+				entry.WithError(err).Error("cannot load the settings file; keeping the current settings")
 				continue
 			}
-			entry.Info("settings read again")
+			entry.Info("settings file is valid; restart the node to apply changes")
 		}
 	}
 }
--- a/cmd/cloverwheeld/main_test.go
+++ b/cmd/cloverwheeld/main_test.go
@@ -12,6 +12,7 @@
 	"github.com/cloverwheel/cloverwheel/platform"
 )
 
+// TestWrongSettingsAreOneLineAndExitCode2 guards against settings errors without a remedy or with another exit code.
 func TestWrongSettingsAreOneLineAndExitCode2(t *testing.T) {
 	t.Setenv(platform.EnvironmentSettings, "")
 	path := filepath.Join(t.TempDir(), "boot.json")
@@ -29,6 +30,7 @@
 	require.Equal(t, exitFailure, exitCode(errors.New("address in use")))
 }
 
+// TestSettingsComeFromTheEnvironment guards against ignoring the settings path in the environment.
 func TestSettingsComeFromTheEnvironment(t *testing.T) {
 	path := filepath.Join("..", "..", "platform", "testdata", "settings.json")
 	t.Setenv(platform.EnvironmentSettings, path)
