--- a/cmd/cloverwheeld/main.go
+++ b/cmd/cloverwheeld/main.go
@@ -97,7 +97,7 @@
 		return err
 	}
 	if port := command.Uint16("metrics-port"); port > 0 {
-		settings.Server.Metrics = net.JoinHostPort(settings.Server.IP, strconv.Itoa(int(port)))
+		settings.Server.MetricsAddress = net.JoinHostPort(settings.Server.IP, strconv.Itoa(int(port)))
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -112,23 +112,23 @@
 		Settings:  settings.Server,
 		Process:   process,
 		Guards:    guards,
-		Store:     platform.NewTable(settings.Store, guards.Table, platform.TableMeter{Call: metrics.TableCall, Bytes: metrics.TableBytes}),
-		Transport: platform.Workers{},
-		Prober:    platform.Workers{},
-		Records: server.Records{
+		Store:     platform.NewTable(settings.Store, guards.Store, platform.TableMeter{Call: metrics.StoreCall, Bytes: metrics.StoreBytes}),
+		Transport: platform.WorkerClient{},
+		Prober:    platform.WorkerClient{},
+		Records: server.RowDecoders{
 			ConfigurationTable: platform.TableOperator,
 			WorkersTable:       platform.TableWorkers,
-			Configuration:      platform.Configuration,
-			Worker:             platform.Worker,
-			Evacuation:         platform.Evacuation,
+			Configuration:      platform.DecodeConfiguration,
+			Worker:             platform.DecodeWorker,
+			Evacuation:         platform.DecodeEvacuation,
 		},
 		DialTimeout: platform.DialTimeout,
-		Front: func(s *server.Server) http.Handler {
-			return &platform.ClientHandler{Forwarder: s.Forwarder(), Draining: s.SendsAway, Admit: s.Admit}
+		NewClientHandler: func(s *server.Server) http.Handler {
+			return &platform.ClientHandler{Forwarder: s.Forwarder(), Draining: s.RedirectsClients, Admit: s.ReserveBodyMemory}
 		},
-		Ready:   func(s *server.Server) http.Handler { return platform.ReadyHandler(s.IsReady) },
-		Metrics: metrics,
-		Logger:  logger.WithField("node", settings.Server.Node),
+		NewReadyHandler: func(s *server.Server) http.Handler { return platform.ReadyHandler(s.Ready) },
+		Metrics:         metrics,
+		Logger:          logger.WithField("node", settings.Server.Node),
 	})
 	go handleSignals(ctx, node, path, logger)
 	return node.Run(ctx)
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -22,7 +22,7 @@
 
 // Reasons to admit a program, followed by reasons to refuse it.
 const (
-	UnderWay            Reason = "under_way" // a turn of the program has already run
+	ReasonInProgress    Reason = "under_way" // a turn of the program has already run
 	ReasonNoDeadline    Reason = "untimed"   // the program has no deadline, or the turn belongs to no program
 	ReasonNotOverloaded Reason = "room"      // no evidence that all workers have queues
 	ReasonReturning     Reason = "promised"  // the program was refused before and retries when it was told to
@@ -34,21 +34,21 @@
 
 // Verdict is an admission decision.
 type Verdict struct {
-	In     bool // the program is admitted
-	Reason Reason
-	After  time.Duration // delay before the client should retry; meaningful only if refused
+	Admitted   bool // the program is admitted
+	Reason     Reason
+	RetryAfter time.Duration // delay before the client should retry; meaningful only if refused
 }
 
-// Ask is the input of an admission decision: the program of a turn and the state of the queue that
+// Request is the input of an admission decision: the program of a turn and the state of the queue that
 // it would join.
-type Ask struct {
+type Request struct {
 	Program standing.Program
 	// TimeLeft is the time until the caller's timeout for this turn.
 	TimeLeft time.Duration
-	// Ahead is the number of refused programs whose retry time has not come yet.
-	Ahead int
-	// Pace is the recent rate of admitted first turns per second; 0 if there were none.
-	Pace float64
+	// PendingRetries is the number of refused programs whose retry time has not come yet.
+	PendingRetries int
+	// AdmitRate is the recent rate of admitted first turns per second; 0 if there were none.
+	AdmitRate float64
 }
 
 const (
@@ -78,29 +78,29 @@
 	retryJitter = 0.3
 )
 
-// KeeperAge is the greatest age at which a utilization report is used.
-const KeeperAge = 500 * time.Millisecond
+// MaxUtilizationAge is the greatest age at which a utilization report is used.
+const MaxUtilizationAge = 500 * time.Millisecond
 
 // Decide decides whether to admit a program and, if not, when its client should retry.
-func Decide(ask Ask, load Load) Verdict {
+func Decide(ask Request, load Load) Verdict {
 	program := ask.Program
 	switch {
 	case !program.Begins:
-		return Verdict{In: true, Reason: UnderWay}
+		return Verdict{Admitted: true, Reason: ReasonInProgress}
 	case !program.Timed || program.Key == "":
-		return Verdict{In: true, Reason: ReasonNoDeadline}
+		return Verdict{Admitted: true, Reason: ReasonNoDeadline}
 	case !load.Overloaded():
-		return Verdict{In: true, Reason: ReasonNotOverloaded}
+		return Verdict{Admitted: true, Reason: ReasonNotOverloaded}
 	case ask.TimeLeft < load.New.mean()+load.UnloadedTime:
-		return Verdict{Reason: ReasonClientTimeout, After: ask.maxRetryAfter()}
+		return Verdict{Reason: ReasonClientTimeout, RetryAfter: ask.maxRetryAfter()}
 	case program.Returns:
-		return Verdict{In: true, Reason: ReasonReturning}
+		return Verdict{Admitted: true, Reason: ReasonReturning}
 	case program.Late():
-		return Verdict{Reason: ReasonTooLate, After: ask.maxRetryAfter()}
+		return Verdict{Reason: ReasonTooLate, RetryAfter: ask.maxRetryAfter()}
 	case hashRank(program.Key) < admittedShare(program, load):
-		return Verdict{In: true, Reason: ReasonInTime}
+		return Verdict{Admitted: true, Reason: ReasonInTime}
 	default:
-		return Verdict{Reason: ReasonOverloaded, After: ask.retryAfter()}
+		return Verdict{Reason: ReasonOverloaded, RetryAfter: ask.retryAfter()}
 	}
 }
 
@@ -121,20 +121,20 @@
 
 // retryAfter returns the delay after which the programs ahead of this one should have been admitted
 // at the recent rate.
-func (a Ask) retryAfter() time.Duration {
-	if a.Pace <= 0 {
+func (a Request) retryAfter() time.Duration {
+	if a.AdmitRate <= 0 {
 		return a.maxRetryAfter()
 	}
-	delay := time.Duration(float64(a.Ahead+1) / a.Pace * float64(time.Second))
+	delay := time.Duration(float64(a.PendingRetries+1) / a.AdmitRate * float64(time.Second))
 	return min(max(a.withJitter(delay), minRetryAfter), a.maxRetryAfter())
 }
 
 // maxRetryAfter returns the longest delay after which the client should retry.
-func (a Ask) maxRetryAfter() time.Duration {
+func (a Request) maxRetryAfter() time.Duration {
 	return max(a.withJitter(time.Duration(maxRetryShare*float64(a.TimeLeft))), 0)
 }
 
 // withJitter shortens a delay in proportion to the program's rank.
-func (a Ask) withJitter(delay time.Duration) time.Duration {
+func (a Request) withJitter(delay time.Duration) time.Duration {
 	return delay - time.Duration(retryJitter*hashRank(a.Program.Key)*float64(delay))
 }
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,15 +21,15 @@
 	return standing.Program{Key: key, Begins: true, Timed: true, Finish: 1500 * time.Millisecond, Needs: time.Second, Turns: 4}
 }
 
-func ask(program standing.Program) Ask {
-	return Ask{Program: program, TimeLeft: 3 * time.Second, Pace: 10, Ahead: 4}
+func ask(program standing.Program) Request {
+	return Request{Program: program, TimeLeft: 3 * time.Second, AdmitRate: 10, PendingRetries: 4}
 }
 
 // A program in progress must not be refused, however overloaded the workers are.
 func TestProgramInProgressIsNeverRefused(t *testing.T) {
 	program := newProgram("p")
 	program.Begins, program.Finish = false, 0
-	require.Equal(t, Verdict{In: true, Reason: UnderWay}, Decide(ask(program), overloaded(time.Second)))
+	require.Equal(t, Verdict{Admitted: true, Reason: ReasonInProgress}, Decide(ask(program), overloaded(time.Second)))
 }
 
 // A program without a deadline cannot miss it, so it must not be refused.
@@ -41,10 +41,10 @@
 func TestLateProgramIsRefusedOnlyUnderOverload(t *testing.T) {
 	program := newProgram("p")
 	program.Finish = 0
-	require.True(t, Decide(ask(program), Load{}).In)
+	require.True(t, Decide(ask(program), Load{}).Admitted)
 	verdict := Decide(ask(program), overloaded(time.Second))
 	require.Equal(t, ReasonTooLate, verdict.Reason)
-	require.False(t, verdict.In)
+	require.False(t, verdict.Admitted)
 }
 
 // Only programs that would miss their deadline by queueing must be refused.
@@ -70,15 +70,15 @@
 		"newest sample did not queue": {New: WaitStats{Events: 10, Waited: 9, Excess: time.Minute}, WorkerFree: true},
 		"no samples":                  {},
 		"samples are stale":           {New: overloaded(time.Second).New, Age: time.Second},
-		"utilization report below 1":  {New: overloaded(time.Second).New, Utilization: &Keeper{Busy: 0.9}},
+		"utilization report below 1":  {New: overloaded(time.Second).New, Utilization: &UtilizationReport{Share: 0.9}},
 	} {
 		require.Equal(t, ReasonNotOverloaded, Decide(ask(newProgram("p")), load).Reason, name)
 	}
 }
 
-// A report older than KeeperAge must not cause refusals.
+// A report older than MaxUtilizationAge must not cause refusals.
 func TestStaleUtilizationReportIsIgnored(t *testing.T) {
-	load := Load{Utilization: &Keeper{Busy: 1.5}}
+	load := Load{Utilization: &UtilizationReport{Share: 1.5}}
 	require.True(t, load.Overloaded())
 	load.Utilization.Age = time.Minute
 	require.False(t, load.Overloaded())
@@ -95,33 +95,33 @@
 func TestRetryDelayIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		program := newProgram(rapid.String().Draw(t, "key"))
-		a := Ask{
-			Program:  program,
-			TimeLeft: time.Duration(rapid.IntRange(0, 10_000).Draw(t, "left")) * time.Millisecond,
-			Ahead:    rapid.IntRange(0, 100).Draw(t, "ahead"),
-			Pace:     rapid.Float64Range(0, 100).Draw(t, "pace"),
+		a := Request{
+			Program:        program,
+			TimeLeft:       time.Duration(rapid.IntRange(0, 10_000).Draw(t, "left")) * time.Millisecond,
+			PendingRetries: rapid.IntRange(0, 100).Draw(t, "ahead"),
+			AdmitRate:      rapid.Float64Range(0, 100).Draw(t, "pace"),
 		}
 		verdict := Decide(a, overloaded(time.Second))
-		if verdict.In {
+		if verdict.Admitted {
 			return
 		}
-		require.GreaterOrEqual(t, verdict.After, time.Duration(0))
-		require.LessOrEqual(t, verdict.After, a.TimeLeft/3+time.Millisecond, "retry delay exceeds a third of the time left")
+		require.GreaterOrEqual(t, verdict.RetryAfter, time.Duration(0))
+		require.LessOrEqual(t, verdict.RetryAfter, a.TimeLeft/3+time.Millisecond, "retry delay exceeds a third of the time left")
 	})
 }
 
 // Refused programs must not all retry at once.
 func TestRetryDelayGrowsWithProgramsAhead(t *testing.T) {
 	few, many := ask(newProgram("p")), ask(newProgram("p"))
-	few.Ahead, many.Ahead = 1, 5
-	require.Less(t, Decide(few, overloaded(time.Second)).After, Decide(many, overloaded(time.Second)).After)
+	few.PendingRetries, many.PendingRetries = 1, 5
+	require.Less(t, Decide(few, overloaded(time.Second)).RetryAfter, Decide(many, overloaded(time.Second)).RetryAfter)
 }
 
 // observeWaits makes a gate observe ten first turns that queued for wait each.
-func observeWaits(gate *Gate, wait time.Duration, now time.Time) {
-	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
+func observeWaits(gate *Controller, wait time.Duration, now time.Time) {
+	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	for range 10 {
-		gate.First(gate.Sent("s", newProgram("x"), idle, now.Add(-wait-idle.First)), now)
+		gate.FirstEvent(gate.Sent("s", newProgram("x"), idle, now.Add(-wait-idle.FirstEvent)), now)
 	}
 }
 
@@ -130,23 +130,23 @@
 	gate, now := NewGate(nil), time.Unix(1000, 0)
 	observeWaits(gate, 2*time.Second, now)
 	first, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
-	require.False(t, first.In)
-	observeWaits(gate, 2*time.Second, now.Add(first.After/2))
-	early, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(first.After/2))
-	require.False(t, early.In, "admitted before its retry time")
-	now = now.Add(first.After + early.After)
+	require.False(t, first.Admitted)
+	observeWaits(gate, 2*time.Second, now.Add(first.RetryAfter/2))
+	early, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(first.RetryAfter/2))
+	require.False(t, early.Admitted, "admitted before its retry time")
+	now = now.Add(first.RetryAfter + early.RetryAfter)
 	observeWaits(gate, 2*time.Second, now)
 	returned, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
 	require.Equal(t, ReasonReturning, returned.Reason)
 	other, _, _ := gate.Decide("s", newProgram("q"), 3*time.Second, now)
-	require.False(t, other.In)
+	require.False(t, other.Admitted)
 }
 
 // Turns that are still queueing must count as load, although their first event has not arrived.
 func TestGateCountsPendingTurns(t *testing.T) {
 	gate, now := NewGate(nil), time.Unix(1000, 0)
-	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
-	var sendings []*Sending
+	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
+	var sendings []*PendingTurn
 	for range 5 {
 		sendings = append(sendings, gate.Sent("s", newProgram("x"), idle, now))
 	}
@@ -155,7 +155,7 @@
 	_, _, load = gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
 	require.True(t, load.Overloaded())
 	for _, sending := range sendings {
-		gate.Ended(sending, now.Add(50*time.Millisecond))
+		gate.EndedWithoutEvent(sending, now.Add(50*time.Millisecond))
 	}
 	_, _, load = gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
 	require.Zero(t, load.New.Events)
@@ -164,13 +164,13 @@
 // A turn that ends without a first event must count with the time that it queued.
 func TestTurnWithoutFirstEventCounts(t *testing.T) {
 	gate, now := NewGate(nil), time.Unix(1000, 0)
-	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
+	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	for range 5 {
-		gate.Ended(gate.Sent("s", newProgram("x"), idle, now.Add(-3*time.Second)), now)
+		gate.EndedWithoutEvent(gate.Sent("s", newProgram("x"), idle, now.Add(-3*time.Second)), now)
 	}
 	_, _, load := gate.Decide("s", newProgram("p"), 3*time.Second, now)
 	require.True(t, load.Overloaded())
-	require.Equal(t, 5*(3*time.Second-idle.First), load.New.Excess)
+	require.Equal(t, 5*(3*time.Second-idle.FirstEvent), load.New.Excess)
 }
 
 // Under overload, a turn whose client would time out first must be refused at once, even on return.
@@ -180,7 +180,7 @@
 	hopeless := ask(program)
 	hopeless.TimeLeft = 500 * time.Millisecond
 	require.Equal(t, ReasonClientTimeout, Decide(hopeless, overloaded(time.Second)).Reason)
-	require.True(t, Decide(hopeless, Load{}).In, "refused without overload")
+	require.True(t, Decide(hopeless, Load{}).Admitted, "refused without overload")
 }
 
 // Queueing of urgent turns must not count as load of less urgent ones.
@@ -193,7 +193,7 @@
 	require.Zero(t, load.New.Events, "each urgency has its own queue")
 }
 
-// Many programs and services must not make a Gate grow without limit.
+// Many programs and services must not make a Controller grow without limit.
 func TestGateMemoryIsBounded(t *testing.T) {
 	gate, now := NewGate(nil), time.Unix(1000, 0)
 	for index := range 3 * maxRefused {
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -18,10 +18,10 @@
 	maxQueues = 64
 )
 
-// Keepers provides reports of the utilization of a service's workers.
-type Keepers interface {
-	// Busy returns the newest report for a service, or nil if there is none.
-	Busy(service string) *Keeper
+// UtilizationSource provides reports of the utilization of a service's workers.
+type UtilizationSource interface {
+	// Utilization returns the newest report for a service, or nil if there is none.
+	Utilization(service string) *UtilizationReport
 }
 
 // queue identifies the turns of a service that compete with each other. Workers take turns of a more
@@ -31,26 +31,26 @@
 	urgency int
 }
 
-// Gate makes the admission decisions of one node. It tracks the recent load of each queue and the
+// Controller makes the admission decisions of one node. It tracks the recent load of each queue and the
 // programs that it refused. It is safe for concurrent use and bounded in memory.
-type Gate struct {
-	keepers Keepers
+type Controller struct {
+	keepers UtilizationSource
 	mutex   sync.Mutex
 	windows map[queue]*window
 	refused refusedPrograms
 }
 
-// NewGate returns a Gate without history. If keepers is nil, only the load seen by this node counts.
-func NewGate(keepers Keepers) *Gate {
-	return &Gate{keepers: keepers, windows: map[queue]*window{}, refused: refusedPrograms{returnAt: map[uint64]time.Time{}}}
+// NewGate returns a Controller without history. If keepers is nil, only the load seen by this node counts.
+func NewGate(keepers UtilizationSource) *Controller {
+	return &Controller{keepers: keepers, windows: map[queue]*window{}, refused: refusedPrograms{returnAt: map[uint64]time.Time{}}}
 }
 
 // Decide decides whether to admit the program of a turn whose caller times out after timeLeft. It records
 // when a refused program is to retry. It also returns the inputs of the decision; Program.Returns is
 // set in them if the program retries on time. If a turn of the program has run before, Load is empty
-// and Ask holds only the program and the time left.
-func (g *Gate) Decide(service string, program standing.Program, timeLeft time.Duration, now time.Time) (Verdict, Ask, Load) {
-	ask := Ask{Program: program, TimeLeft: timeLeft}
+// and Request holds only the program and the time left.
+func (g *Controller) Decide(service string, program standing.Program, timeLeft time.Duration, now time.Time) (Verdict, Request, Load) {
+	ask := Request{Program: program, TimeLeft: timeLeft}
 	if !program.Begins {
 		return Decide(ask, Load{}), ask, Load{}
 	}
@@ -59,47 +59,47 @@
 	w := g.window(queue{service, program.Urgency})
 	load, admitted := w.load(now)
 	if g.keepers != nil {
-		load.Utilization = g.keepers.Busy(service)
+		load.Utilization = g.keepers.Utilization(service)
 	}
-	ask.Pace = float64(admitted) / windowSpan.Seconds()
+	ask.AdmitRate = float64(admitted) / windowSpan.Seconds()
 	if load.Overloaded() {
 		w.overloadedAt = now
-		ask.Ahead = g.refused.notYetDue(now)
+		ask.PendingRetries = g.refused.notYetDue(now)
 	}
 	key := xxhash.Sum64String(program.Key)
 	ask.Program.Returns = g.refused.isDue(key, now)
 	verdict := Decide(ask, load)
-	if verdict.In {
+	if verdict.Admitted {
 		w.bucketAt(now).admitted++
 		delete(g.refused.returnAt, key)
 	} else {
-		g.refused.add(key, now.Add(verdict.After))
+		g.refused.add(key, now.Add(verdict.RetryAfter))
 	}
 	return verdict, ask, load
 }
 
 // Sent records that a program's turn is sent to a worker; unloaded is how long such a turn takes without
 // queueing. The caller must pass the result to First or Ended.
-func (g *Gate) Sent(service string, program standing.Program, unloaded Idle, now time.Time) *Sending {
+func (g *Controller) Sent(service string, program standing.Program, unloaded UnloadedTime, now time.Time) *PendingTurn {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	newProgram := standing.Classify(program) == standing.ClassNew
-	sending := &Sending{window: g.window(queue{service, program.Urgency}), sent: now, unloaded: unloaded, newProgram: newProgram}
+	sending := &PendingTurn{window: g.window(queue{service, program.Urgency}), sent: now, unloaded: unloaded, newProgram: newProgram}
 	sending.window.pending[sending] = struct{}{}
-	sending.window.unloadedTime = unloaded.Whole
+	sending.window.unloadedTime = unloaded.Total
 	return sending
 }
 
-// First records the arrival of a turn's first event.
-func (g *Gate) First(sending *Sending, now time.Time) {
+// FirstEvent records the arrival of a turn's first event.
+func (g *Controller) FirstEvent(sending *PendingTurn, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(sending.window.pending, sending)
 	sending.window.firstEvent(sending, now)
 }
 
-// Ended records that a turn ended without a first event. It counts as a sample if it had queued.
-func (g *Gate) Ended(sending *Sending, now time.Time) {
+// EndedWithoutEvent records that a turn ended without a first event. It counts as a sample if it had queued.
+func (g *Controller) EndedWithoutEvent(sending *PendingTurn, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	delete(sending.window.pending, sending)
@@ -109,14 +109,14 @@
 }
 
 // Declined records that a worker declined a turn because it is full.
-func (g *Gate) Declined(service string, urgency int, now time.Time) {
+func (g *Controller) Declined(service string, urgency int, now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.window(queue{service, urgency}).declined(now)
 }
 
 // window returns the window of a queue and adds it if needed. The caller must hold the mutex.
-func (g *Gate) window(of queue) *window {
+func (g *Controller) window(of queue) *window {
 	w, ok := g.windows[of]
 	if ok {
 		return w
@@ -124,7 +124,7 @@
 	if len(g.windows) >= maxQueues {
 		clear(g.windows) // losing them costs little: they cover only windowSpan
 	}
-	w = &window{pending: map[*Sending]struct{}{}}
+	w = &window{pending: map[*PendingTurn]struct{}{}}
 	g.windows[of] = w
 	return w
 }
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -23,7 +23,7 @@
 	// detect overload, since few arrive while first turns are refused.
 	WasOverloaded bool
 	// Utilization is a report of the workers' utilization over all nodes; nil if there is none.
-	Utilization *Keeper
+	Utilization *UtilizationReport
 }
 
 // WaitStats summarizes how long turns queued at workers.
@@ -62,21 +62,21 @@
 		l.New.Waited, l.New.Events, l.New.mean().Milliseconds(),
 		l.Others.Waited, l.Others.Events, l.Others.mean().Milliseconds(), l.Declines, l.WorkerFree, min(l.Age, time.Hour).Milliseconds())
 	if l.Utilization != nil {
-		text += fmt.Sprintf(" keeper=%.2f keeper_age_ms=%d", l.Utilization.Busy, l.Utilization.Age.Milliseconds())
+		text += fmt.Sprintf(" keeper=%.2f keeper_age_ms=%d", l.Utilization.Share, l.Utilization.Age.Milliseconds())
 	}
 	return text
 }
 
-// Keeper is a report of the utilization of a service's workers.
-type Keeper struct {
-	Busy float64       // share of the workers' places in use; above 1 if requests queue at workers
-	Age  time.Duration // since the report was made
+// UtilizationReport is a report of the utilization of a service's workers.
+type UtilizationReport struct {
+	Share float64       // share of the workers' places in use; above 1 if requests queue at workers
+	Age   time.Duration // since the report was made
 }
 
 // queueWait estimates how long a turn queues at a worker: each multiple of the workers' capacity that
 // is queued takes one unloaded turn to clear.
-func (k *Keeper) queueWait(unloadedTime time.Duration) time.Duration {
-	return time.Duration(max(0, k.Busy-fullUtilization) * float64(unloadedTime))
+func (k *UtilizationReport) queueWait(unloadedTime time.Duration) time.Duration {
+	return time.Duration(max(0, k.Share-fullUtilization) * float64(unloadedTime))
 }
 
 // Overloaded reports whether all workers appear to have queues. A recent utilization report takes
@@ -84,8 +84,8 @@
 // was overloaded within windowSpan or if new programs queued for minSamples unloaded turns in all.
 // Without evidence the result is false.
 func (l Load) Overloaded() bool {
-	if l.Utilization != nil && l.Utilization.Age <= KeeperAge {
-		return l.Utilization.Busy > fullUtilization
+	if l.Utilization != nil && l.Utilization.Age <= MaxUtilizationAge {
+		return l.Utilization.Share > fullUtilization
 	}
 	if l.WorkerFree || l.Age > maxSampleAge {
 		return false
@@ -127,31 +127,31 @@
 	admitted    int // first turns of programs that were admitted
 }
 
-// Idle is how long a turn takes without queueing.
-type Idle struct {
-	First time.Duration // from sending to the first event
-	Whole time.Duration // from arrival to the end
+// UnloadedTime is how long a turn takes without queueing.
+type UnloadedTime struct {
+	FirstEvent time.Duration // from sending to the first event
+	Total      time.Duration // from arrival to the end
 }
 
-// Sending is a turn that was sent to a worker and whose first event has not arrived.
-type Sending struct {
+// PendingTurn is a turn that was sent to a worker and whose first event has not arrived.
+type PendingTurn struct {
 	window     *window
 	sent       time.Time
-	unloaded   Idle
+	unloaded   UnloadedTime
 	newProgram bool
 }
 
 // excess returns how long the first event has taken beyond the unloaded time, and whether this counts
 // as queueing.
-func (s *Sending) excess(now time.Time) (excess time.Duration, waited bool) {
-	excess = max(0, now.Sub(s.sent)-s.unloaded.First)
-	return excess, float64(excess) > waitedShare*float64(s.unloaded.Whole)
+func (s *PendingTurn) excess(now time.Time) (excess time.Duration, waited bool) {
+	excess = max(0, now.Sub(s.sent)-s.unloaded.FirstEvent)
+	return excess, float64(excess) > waitedShare*float64(s.unloaded.Total)
 }
 
 // window holds the samples of one queue over the last windowSpan.
 type window struct {
 	buckets      [windowBuckets]bucket
-	pending      map[*Sending]struct{}
+	pending      map[*PendingTurn]struct{}
 	workerFree   bool
 	newestAt     time.Time
 	overloadedAt time.Time // when the queue was last judged overloaded
@@ -169,7 +169,7 @@
 }
 
 // firstEvent records the arrival of a turn's first event.
-func (w *window) firstEvent(sending *Sending, now time.Time) {
+func (w *window) firstEvent(sending *PendingTurn, now time.Time) {
 	excess, waited := sending.excess(now)
 	if !sending.newProgram {
 		w.bucketAt(now).others.observe(excess, waited)
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -70,8 +70,8 @@
 
 // simNode is a node; nodes share no state.
 type simNode struct {
-	learner *standing.Learner
-	gate    *Gate
+	learner *standing.Estimator
+	gate    *Controller
 }
 
 // simWorker is a worker with its queue, in order of priority.
@@ -109,7 +109,7 @@
 	firstSentAt time.Duration // first try of the current send
 	sentAt      time.Duration // current try
 	work        time.Duration
-	sending     *Sending
+	sending     *PendingTurn
 }
 
 // simulation is a discrete-event simulation of programs that arrive at nodes. Each node makes its
@@ -133,7 +133,7 @@
 func newSimulation(seed uint64, admission bool) *simulation {
 	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), admission: admission}
 	for range simNodes {
-		s.nodes = append(s.nodes, &simNode{learner: standing.NewLearner(), gate: NewGate(nil)})
+		s.nodes = append(s.nodes, &simNode{learner: standing.NewEstimator(), gate: NewGate(nil)})
 	}
 	for range simWorkers {
 		s.workers = append(s.workers, &simWorker{})
@@ -210,21 +210,21 @@
 	turn.sentAt = s.now
 	turn.turn = standing.Turn{
 		Route: program.kind.name, Program: program.name, Line: turn.line, Urgency: program.kind.urgency,
-		Begins: turn.line == "main" && turn.position == 1, Place: turn.position,
-		Timed: true, Finish: max(0, program.budget-(s.now-program.beganAt)),
+		Begins: turn.line == "main" && turn.position == 1, Number: turn.position,
+		HasFinish: true, TimeToFinish: max(0, program.budget-(s.now-program.beganAt)),
 	}
 	state := turn.node.learner.Begin(turn.turn, s.clock())
 	if s.admission {
 		verdict, ask, _ := turn.node.gate.Decide("models", state, s.timeLeft(turn), s.clock())
-		if !verdict.In {
-			s.refuse(turn, verdict.After)
+		if !verdict.Admitted {
+			s.refuse(turn, verdict.RetryAfter)
 			return
 		}
 		state.Returns = ask.Program.Returns
 	}
 	turn.state = state
 	first := 2 * program.kind.urgency
-	turn.priority = standing.Band{First: first, Last: first + 3}.Priority(state)
+	turn.priority = standing.PriorityRange{First: first, Last: first + 3}.Priority(state)
 	s.dispatch(turn)
 }
 
@@ -234,7 +234,7 @@
 		s.refusedWithRoom++
 	}
 	turn.program.refused++
-	turn.node.learner.End(turn.turn, standing.Took{Failed: true}, s.clock())
+	turn.node.learner.End(turn.turn, standing.Outcome{Failed: true}, s.clock())
 	s.retry(turn, after)
 }
 
@@ -295,8 +295,8 @@
 // dispatch starts or queues a turn at a worker. If the worker's queue is full the turn is declined.
 func (s *simulation) dispatch(turn *simTurn) {
 	turn.sending = nil
-	if whole, first, known := turn.node.learner.Idle(turn.turn.Route); known {
-		turn.sending = turn.node.gate.Sent("models", turn.state, Idle{First: first, Whole: whole}, s.clock())
+	if whole, first, known := turn.node.learner.UnloadedTime(turn.turn.Route); known {
+		turn.sending = turn.node.gate.Sent("models", turn.state, UnloadedTime{FirstEvent: first, Total: whole}, s.clock())
 	}
 	turn.work = time.Duration((0.5 + s.random.Float64()) * float64(simWork))
 	worker := s.pickWorker()
@@ -314,7 +314,7 @@
 	default:
 		turn.endWithoutEvent(s.clock())
 		turn.node.gate.Declined("models", turn.program.kind.urgency, s.clock())
-		turn.node.learner.End(turn.turn, standing.Took{Failed: true}, s.clock())
+		turn.node.learner.End(turn.turn, standing.Outcome{Failed: true}, s.clock())
 		s.retry(turn, time.Duration(120+s.random.IntN(120))*time.Millisecond)
 	}
 }
@@ -322,7 +322,7 @@
 // endWithoutEvent records that the turn ended without a first event.
 func (t *simTurn) endWithoutEvent(now time.Time) {
 	if t.sending != nil {
-		t.node.gate.Ended(t.sending, now)
+		t.node.gate.EndedWithoutEvent(t.sending, now)
 	}
 }
 
@@ -332,12 +332,12 @@
 	waited := s.now - turn.sentAt
 	s.schedule(simFirstEvent, func() {
 		if turn.sending != nil {
-			turn.node.gate.First(turn.sending, s.clock())
+			turn.node.gate.FirstEvent(turn.sending, s.clock())
 		}
 	})
 	s.schedule(turn.work, func() {
 		worker.running--
-		took := standing.Took{Whole: s.now - turn.sentAt, First: waited + simFirstEvent, Tokens: 1}
+		took := standing.Outcome{Total: s.now - turn.sentAt, FirstEvent: waited + simFirstEvent, Tokens: 1}
 		turn.node.learner.End(turn.turn, took, s.clock())
 		s.startQueued(worker)
 		s.turnEnded(turn)
@@ -354,7 +354,7 @@
 			return
 		}
 		next.endWithoutEvent(s.clock())
-		next.node.learner.End(next.turn, standing.Took{Failed: true, Whole: s.now - next.sentAt}, s.clock())
+		next.node.learner.End(next.turn, standing.Outcome{Failed: true, Total: s.now - next.sentAt}, s.clock())
 		next.tries = simTries
 		s.retry(next, 0)
 	}
--- a/internal/backend/accessors.go
+++ b/internal/backend/accessors.go
@@ -16,8 +16,8 @@
 // Service returns the worker's service.
 func (w *Worker) Service() string { return w.service }
 
-// OfZone returns the listed workers of a service that are in a zone.
-func (r *Registry) OfZone(service, zone string) []*Worker {
+// WorkersInZone returns the listed workers of a service that are in a zone.
+func (r *Registry) WorkersInZone(service, zone string) []*Worker {
 	r.mutex.Lock()
 	known := r.services[service]
 	r.mutex.Unlock()
@@ -30,34 +30,34 @@
 	return found
 }
 
-// ZonesOf returns the zones in which a service has workers or has had them. The slice must not be
+// Zones returns the zones in which a service has workers or has had them. The slice must not be
 // changed.
-func (r *Registry) ZonesOf(service string) []string {
+func (r *Registry) Zones(service string) []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.services[service].zones
 }
 
-// WorkerOf returns the listed worker with a key.
-func (r *Registry) WorkerOf(key string) (*Worker, bool) { return r.byKey(key) }
+// WorkerByKey returns the listed worker with a key.
+func (r *Registry) WorkerByKey(key string) (*Worker, bool) { return r.byKey(key) }
 
-// Takes reports whether a worker may get any request that its region may serve: it is neither draining
+// Available reports whether a worker may get any request that its region may serve: it is neither draining
 // nor cold, and its zone is not evacuated.
-func (r *Registry) Takes(worker *Worker) bool { return r.Check(worker, nil) == permit.Allowed }
+func (r *Registry) Available(worker *Worker) bool { return r.Check(worker, nil) == permit.Allowed }
 
 // RoundTripTo returns the estimated round trip to a zone; 0 for the node's own zone.
 func (r *Registry) RoundTripTo(zone string) time.Duration { return r.roundTrips.RoundTrip(zone) }
 
-// Shunned reports whether the worker is being avoided after failures or a refusal at this node, or is
+// Avoided reports whether the worker is being avoided after failures or a refusal at this node, or is
 // ejected by the verdict of all nodes.
-func (w *Worker) Shunned(now time.Time) bool {
+func (w *Worker) Avoided(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return now.Before(w.avoidUntil) || now.Before(w.busyUntil) || w.ejected(now)
 }
 
-// Opens returns a function that reports whether a zone's workers may get a request that may be served in
+// ZoneFilter returns a function that reports whether a zone's workers may get a request that may be served in
 // the given regions.
-func (r *Registry) Opens(regions locality.Regions) func(zone string) bool {
+func (r *Registry) ZoneFilter(regions locality.Regions) func(zone string) bool {
 	return func(zone string) bool { return !r.zoneVerdict(zone, regions).Refused() }
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -72,14 +72,14 @@
 		"stays at a home in another zone":           {zones: []string{"y"}, query: modelCall(func(q *Query) { q.Home = "w0" }), chosen: "w0"},
 		"stays at a home with more requests":        {setup: func(r *Registry) { r.get("w2").Begin() }, query: modelCall(func(q *Query) { q.Home = "w2" }), chosen: "w2"},
 		"leaves a draining home":                    {setup: draining("w2"), query: modelCall(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
-		"leaves an unreachable home":                {setup: func(r *Registry) { r.get("w2").Unreachable(now()) }, query: modelCall(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
+		"leaves an unreachable home":                {setup: func(r *Registry) { r.get("w2").RecordUnreachable(now()) }, query: modelCall(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
 		"leaves a failing home":                     {setup: failing("w2", 3), query: modelCall(func(q *Query) { q.Home = "w2" }), avoids: "w2"},
 		"first turns stay in the zone":              {zones: []string{"y", "y", "y"}, query: modelCall(nil), chosen: "w3"},
-		"first turns leave the zone if it is full":  {zones: []string{"y", "y", "y"}, setup: func(r *Registry) { r.get("w3").Declined(now()) }, query: modelCall(nil), avoids: "w3"},
+		"first turns leave the zone if it is full":  {zones: []string{"y", "y", "y"}, setup: func(r *Registry) { r.get("w3").RecordRefusal(now()) }, query: modelCall(nil), avoids: "w3"},
 		"a slow worker gets no first turns":         {zones: []string{"y", "y", "y"}, setup: slowed("w3"), query: modelCall(nil), avoids: "w3"},
 		"an excluded worker is not chosen":          {query: modelCall(func(q *Query) { q.Home, q.Exclude = "w1", []string{"w1"} }), avoids: "w1"},
 		"only allowed workers are chosen":           {query: modelCall(func(q *Query) { q.Home, q.Only = "w1", []string{"w3"} }), chosen: "w3"},
-		"an unreachable worker is better than none": {setup: func(r *Registry) { r.get("w1").Unreachable(now()) }, query: modelCall(func(q *Query) { q.Only = []string{"w1"} }), chosen: "w1"},
+		"an unreachable worker is better than none": {setup: func(r *Registry) { r.get("w1").RecordUnreachable(now()) }, query: modelCall(func(q *Query) { q.Only = []string{"w1"} }), chosen: "w1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			registry := newTestRegistry(Options{}, 4, test.zones...)
@@ -106,7 +106,7 @@
 func failing(id string, times int) func(*Registry) {
 	return func(r *Registry) {
 		for range times {
-			r.get(id).Broke(time.Now())
+			r.get(id).RecordFailure(time.Now())
 		}
 	}
 }
@@ -115,10 +115,10 @@
 func slowed(id string) func(*Registry) {
 	return func(r *Registry) {
 		for _, worker := range []string{"w0", "w1", "w2", "w3"} {
-			r.get(worker).Paced(time.Millisecond)
+			r.get(worker).RecordTokenTime(time.Millisecond)
 		}
 		for range 20 {
-			r.get(id).Paced(5 * time.Millisecond)
+			r.get(id).RecordTokenTime(5 * time.Millisecond)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 func TestFailureRateDecays(t *testing.T) {
 	now := time.Now()
 	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 2)
-	registry.get("w0").Broke(now)
+	registry.get("w0").RecordFailure(now)
 	require.Equal(t, "w1", choose(t, registry, Query{Key: "a"}))
 	now = now.Add(time.Minute)
 	seen := map[string]bool{}
@@ -208,7 +208,7 @@
 		}}, 2)
 		ctx, cancel := context.WithCancel(t.Context())
 		go registry.Run(ctx)
-		registry.get("w0").Unreachable(time.Now())
+		registry.get("w0").RecordUnreachable(time.Now())
 		for range 100 {
 			require.Equal(t, "w1", choose(t, registry, modelCall(func(q *Query) { q.Home = "w0" })))
 			time.Sleep(100 * time.Millisecond)
@@ -232,7 +232,7 @@
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
-				if err := wait.For(ctx, dialTime); err != nil {
+				if err := wait.Sleep(ctx, dialTime); err != nil {
 					return nil, err
 				}
 				connection, _ := net.Pipe()
@@ -240,7 +240,7 @@
 			}}, 2)
 			ctx, cancel := context.WithCancel(t.Context())
 			go registry.Run(ctx)
-			registry.get("w0").Unreachable(time.Now())
+			registry.get("w0").RecordUnreachable(time.Now())
 			time.Sleep(4500 * time.Millisecond)
 			unresponsive.Store(false)
 			time.Sleep(2 * time.Second)
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -22,19 +22,19 @@
 	Prompt     int // prompt tokens of a model call; 0: not a model call
 	Shared     int // prompt tokens that are shared with other programs
 	Output     int // limit on generated tokens
-	// Keepers are the IDs of the workers assigned to cache the shared part of the prompt, the same
+	// PrefixWorkers are the IDs of the workers assigned to cache the shared part of the prompt, the same
 	// on all nodes. Usable ones are preferred while they have capacity. Empty: none are assigned.
-	Keepers []string
+	PrefixWorkers []string
 	// Regions are the regions in which the request may be served.
 	Regions locality.Regions
-	// Spare says that the request can be retried at another worker if it fails.
-	Spare bool
-	// Begins says that the request is a program's first turn.
-	Begins bool
-	// Warm says that only warm workers may be chosen.
-	Warm    bool
-	Exclude []string // keys of workers that may not be chosen
-	Only    []string // keys of workers; if not empty, no others may be chosen
+	// Retryable says that the request can be retried at another worker if it fails.
+	Retryable bool
+	// FirstTurn says that the request is a program's first turn.
+	FirstTurn bool
+	// WarmOnly says that only warm workers may be chosen.
+	WarmOnly bool
+	Exclude  []string // keys of workers that may not be chosen
+	Only     []string // keys of workers; if not empty, no others may be chosen
 }
 
 const (
@@ -68,7 +68,7 @@
 
 // Choose picks the worker for a request. It fails with fault.Unavailable if there is none.
 func (r *Registry) Choose(query Query) (*Worker, error) {
-	if worker, ok := r.Trial(query); ok {
+	if worker, ok := r.TakeTrial(query); ok {
 		return worker, nil
 	}
 	workers := r.shortlist(query)
@@ -77,12 +77,12 @@
 	slowness := make([]float64, 0, len(workers))
 	for _, worker := range workers {
 		verdict := r.Check(worker, query.Regions)
-		if verdict.Refused() || verdict == permit.Metered && query.Warm {
+		if verdict.Refused() || verdict == permit.NeedsWarmupPlace && query.WarmOnly {
 			continue
 		}
 		candidate := worker.candidate(query, now)
-		candidate.Distance = r.RoundTrip(worker)
-		if verdict == permit.Metered {
+		candidate.RoundTrip = r.RoundTrip(worker)
+		if verdict == permit.NeedsWarmupPlace {
 			candidate.Wait += coldPenalty
 		}
 		candidates = append(candidates, candidate)
@@ -122,7 +122,7 @@
 	evacuated := r.options.Evacuated(worker.zone)
 	return permit.Worker{
 		Region:    r.options.Places.Region(worker.zone),
-		Leaving:   worker.Record().Draining,
+		Draining:  worker.Record().Draining,
 		Evacuated: evacuated,
 		Cold:      r.cold(worker),
 	}
@@ -135,7 +135,7 @@
 		return r.allowed(known, query)
 	}
 	known = r.withOpenZones(query.Regions, known)
-	if query.Warm {
+	if query.WarmOnly {
 		known = known.filter(func(worker *Worker) bool { return !r.cold(worker) })
 	}
 	spread := r.spreadKey(query)
@@ -150,7 +150,7 @@
 // part of the prompt. Those of the node's zone rank first because of their shorter round trip. Those of
 // other zones rank before a worker without the prefix, whose prefill would take longer.
 func (r *Registry) appendPrefixWorkers(short []*Worker, query Query) []*Worker {
-	for _, id := range query.Keepers {
+	for _, id := range query.PrefixWorkers {
 		worker, ok := r.worker(id)
 		usable := ok && worker.service == query.Service && worker.distance != locality.OtherRegion && !worker.Leaving()
 		if usable && !slices.Contains(short, worker) && !slices.Contains(query.Exclude, worker.key) {
@@ -248,7 +248,7 @@
 		ModelLoaded:  true,
 		AdapterReady: true,
 		Running:      w.running,
-		Step:         w.tokenTime,
+		TokenTime:    w.tokenTime,
 		Wait:         time.Duration(w.running)*runningPenalty + time.Duration(w.currentFailureRate(now)*float64(failurePenalty)),
 	}
 	if query.Prompt == 0 {
@@ -263,11 +263,11 @@
 	if query.Home != "" && w.key != query.Home {
 		uncached += unshared
 	}
-	if len(query.Keepers) > 0 && w.key != query.Home && !slices.Contains(query.Keepers, w.id) {
+	if len(query.PrefixWorkers) > 0 && w.key != query.Home && !slices.Contains(query.PrefixWorkers, w.id) {
 		uncached += query.Shared
 	}
 	candidate.Prefill = time.Duration(uncached) * time.Millisecond / prefillTokensPerMillisecond
-	candidate.Compute = candidate.Prefill
+	candidate.OwnPrefill = candidate.Prefill
 	return candidate
 }
 
@@ -275,7 +275,7 @@
 // spread over all workers instead: if they stayed on the few connected workers, long prompts would
 // evict each other from the cache.
 func (w *Worker) preferConnected(candidate *place.Candidate) {
-	candidate.Connected = w.pool != nil && w.pool.Ready()
+	candidate.Connected = w.pool != nil && w.pool.HasIdle()
 	if !candidate.Connected {
 		candidate.Wait += newConnectionPenalty
 	}
@@ -287,8 +287,8 @@
 func normalizeTokenTimes(candidates []place.Candidate, slowness []float64, output int) {
 	steps := make([]time.Duration, 0, len(candidates))
 	for index, candidate := range candidates {
-		if candidate.Step > 0 && slowness[index] == 0 {
-			steps = append(steps, candidate.Step)
+		if candidate.TokenTime > 0 && slowness[index] == 0 {
+			steps = append(steps, candidate.TokenTime)
 		}
 	}
 	median := defaultTokenTime
@@ -297,14 +297,14 @@
 		median = steps[len(steps)/2]
 	}
 	for index := range candidates {
-		step := candidates[index].Step
+		step := candidates[index].TokenTime
 		if float64(step) < slowTokenTimeRatio*float64(median) {
 			step = median
 		}
 		if slowness[index] > 0 {
 			step = time.Duration(slowness[index] * float64(median))
 		}
-		candidates[index].Step = step
+		candidates[index].TokenTime = step
 		candidates[index].Decode = time.Duration(output) * step
 	}
 }
--- a/internal/backend/connected_test.go
+++ b/internal/backend/connected_test.go
@@ -20,7 +20,7 @@
 
 // connect opens a connection to a worker and leaves it idle.
 func connect(t *testing.T, registry *Registry, worker string) {
-	require.NoError(t, registry.get(worker).Pool().Reach(t.Context()))
+	require.NoError(t, registry.get(worker).Pool().Probe(t.Context()))
 }
 
 // Guards against opening new connections for plain requests where an equal worker has one. Model
--- a/internal/backend/experience.go
+++ b/internal/backend/experience.go
@@ -143,8 +143,8 @@
 	observed.failures += failures
 }
 
-// FellSilent records a request whose first event is overdue.
-func (w *Worker) FellSilent(now time.Time) {
+// RecordTimeout records a request whose first event is overdue.
+func (w *Worker) RecordTimeout(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.observe(now).silences++
@@ -182,8 +182,8 @@
 	return samples
 }
 
-// NoteVerdicts applies verdicts that combine the observations of all nodes.
-func (r *Registry) NoteVerdicts(verdicts []experience.Verdict) {
+// ApplyVerdicts applies verdicts that combine the observations of all nodes.
+func (r *Registry) ApplyVerdicts(verdicts []experience.Verdict) {
 	now := r.options.Now()
 	for _, received := range verdicts {
 		worker, ok := r.byKey(received.Worker)
@@ -252,17 +252,17 @@
 	return w.ejected(now)
 }
 
-// Trial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
+// TakeTrial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
 // cached context at another worker and can be retried elsewhere. If none comes within spareOnlyPeriod,
 // a program's first turn is used, which has least to lose. Each trial is handed out once.
-func (r *Registry) Trial(query Query) (*Worker, bool) {
-	if r.trials.count.Load() == 0 || !query.Spare && !query.Begins || len(query.Only) > 0 {
+func (r *Registry) TakeTrial(query Query) (*Worker, bool) {
+	if r.trials.count.Load() == 0 || !query.Retryable && !query.FirstTurn || len(query.Only) > 0 {
 		return nil, false
 	}
 	now := r.options.Now()
 	return r.trials.take(now, func(trial trial) bool {
 		worker := trial.worker
-		return (query.Spare || trial.until.Sub(now) <= trialTTL-spareOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
+		return (query.Retryable || trial.until.Sub(now) <= trialTTL-spareOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
 			(query.Home == "" || query.Home == worker.key) &&
 			!slices.Contains(query.Exclude, worker.key) &&
 			r.Check(worker, query.Regions) == permit.Allowed && worker.triable(now)
--- a/internal/backend/experience_test.go
+++ b/internal/backend/experience_test.go
@@ -31,13 +31,13 @@
 	registry.Put(Record{ID: "other", Service: "t", Zone: "z"})
 	require.Empty(t, registry.TakeSamples("s"))
 	worker := registry.get("w1")
-	worker.Answered()
-	worker.Broke(registry.now)
-	worker.Unreachable(registry.now)
-	worker.FellSilent(registry.now)
-	worker.Paced(2 * time.Millisecond)
-	worker.Paced(4 * time.Millisecond)
-	registry.get("other").Answered()
+	worker.RecordSuccess()
+	worker.RecordFailure(registry.now)
+	worker.RecordUnreachable(registry.now)
+	worker.RecordTimeout(registry.now)
+	worker.RecordTokenTime(2 * time.Millisecond)
+	worker.RecordTokenTime(4 * time.Millisecond)
+	registry.get("other").RecordSuccess()
 	require.Equal(t, []experience.Sample{{
 		Worker: "w1", Requests: 3, Failures: 2, Silences: 1, Pace: 3 * time.Millisecond, Paced: 2,
 	}}, registry.TakeSamples("s"))
@@ -48,15 +48,15 @@
 // Guards against reporting samples that are too old or of removed workers, and against keeping them.
 func TestStaleSamplesAreDropped(t *testing.T) {
 	registry := newClockedRegistry(3)
-	registry.get("w0").Broke(registry.now)
+	registry.get("w0").RecordFailure(registry.now)
 	registry.advance(sampleTTL + 1)
-	registry.get("w0").Answered()
-	registry.get("w1").Answered()
+	registry.get("w0").RecordSuccess()
+	registry.get("w1").RecordSuccess()
 	removed := registry.get("w1")
 	registry.Remove("w1")
-	removed.Broke(registry.now)
+	removed.RecordFailure(registry.now)
 	require.Equal(t, []experience.Sample{{Worker: "w0", Requests: 1}}, registry.TakeSamples("s"))
-	registry.get("w0").Answered()
+	registry.get("w0").RecordSuccess()
 	registry.advance(sampleTTL + 1)
 	require.Empty(t, registry.TakeSamples("s"))
 	require.Empty(t, registry.unreported.services)
@@ -86,15 +86,15 @@
 		t.Run(name, func(t *testing.T) {
 			registry := newClockedRegistry(4)
 			verdict.Worker = "w1"
-			registry.NoteVerdicts([]experience.Verdict{verdict, {Worker: "unknown", Until: time.Second}})
+			registry.ApplyVerdicts([]experience.Verdict{verdict, {Worker: "unknown", Until: time.Second}})
 			require.Zero(t, registry.chosen(t, nil)["w1"])
 			require.Equal(t, verdict.Until > 0, registry.get("w1").Ejected(registry.now))
 			registry.advance(maxVerdictTTL)
 			require.False(t, registry.get("w1").Ejected(registry.now))
 			require.Positive(t, registry.chosen(t, nil)["w1"], "the verdict has expired")
-			registry.NoteVerdicts([]experience.Verdict{verdict})
+			registry.ApplyVerdicts([]experience.Verdict{verdict})
 			require.Zero(t, registry.chosen(t, nil)["w1"])
-			registry.NoteVerdicts([]experience.Verdict{{Worker: "w1"}})
+			registry.ApplyVerdicts([]experience.Verdict{{Worker: "w1"}})
 			require.Positive(t, registry.chosen(t, nil)["w1"], "the verdict was revoked")
 		})
 	}
@@ -103,20 +103,20 @@
 // Guards against refusing requests when all workers are ejected.
 func TestEjectedWorkersAreUsedAsLastResort(t *testing.T) {
 	registry := newClockedRegistry(2)
-	registry.NoteVerdicts([]experience.Verdict{{Worker: "w0", Until: time.Second}, {Worker: "w1", Until: time.Second}})
+	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w0", Until: time.Second}, {Worker: "w1", Until: time.Second}})
 	require.Len(t, registry.chosen(t, nil), 2)
 }
 
 // A fresh verdict must override this node's newer observations; an old one must not.
 func TestNewerObservationOverridesOldVerdict(t *testing.T) {
 	registry := newClockedRegistry(4)
-	registry.NoteVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
+	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
 	registry.advance(time.Millisecond)
-	registry.get("w1").Answered()
+	registry.get("w1").RecordSuccess()
 	require.Zero(t, registry.chosen(t, nil)["w1"])
 	registry.advance(verdictPrecedence)
 	require.Positive(t, registry.chosen(t, nil)["w1"])
-	registry.NoteVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
+	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
 	require.Zero(t, registry.chosen(t, nil)["w1"])
 	registry.advance(verdictPrecedence)
 	require.Zero(t, registry.chosen(t, nil)["w1"], "there is no newer observation")
@@ -127,8 +127,8 @@
 	registry := newClockedRegistry(4)
 	slowed("w3")(registry.Registry)
 	require.Zero(t, registry.chosen(t, nil)["w3"])
-	registry.NoteVerdicts([]experience.Verdict{{Worker: "w3", Slow: 5}})
-	registry.NoteVerdicts([]experience.Verdict{{Worker: "w3"}})
+	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w3", Slow: 5}})
+	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w3"}})
 	require.Positive(t, registry.chosen(t, nil)["w3"])
 }
 
@@ -136,22 +136,22 @@
 func TestTrialIsHandedOutOnce(t *testing.T) {
 	registry := newClockedRegistry(4)
 	trial := experience.Verdict{Worker: "w1", Until: maxVerdictTTL, Trial: true}
-	registry.NoteVerdicts([]experience.Verdict{trial})
-	spare := func(q *Query) { q.Spare = true }
+	registry.ApplyVerdicts([]experience.Verdict{trial})
+	spare := func(q *Query) { q.Retryable = true }
 	require.Zero(t, registry.chosen(t, nil)["w1"], "a request that cannot be retried makes no trial")
-	require.Zero(t, registry.chosen(t, func(q *Query) { q.Spare, q.Home = true, "w2" })["w1"])
-	require.Zero(t, registry.chosen(t, func(q *Query) { q.Spare, q.Only = true, []string{"w2"} })["w1"])
-	require.Zero(t, registry.chosen(t, func(q *Query) { q.Spare, q.Exclude = true, []string{"w1"} })["w1"])
+	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Home = true, "w2" })["w1"])
+	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Only = true, []string{"w2"} })["w1"])
+	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Exclude = true, []string{"w1"} })["w1"])
 	require.Equal(t, 1, registry.chosen(t, spare)["w1"])
-	registry.NoteVerdicts([]experience.Verdict{trial})
+	registry.ApplyVerdicts([]experience.Verdict{trial})
 	registry.advance(trialTTL)
 	require.Zero(t, registry.chosen(t, spare)["w1"], "the trial has expired")
-	registry.NoteVerdicts([]experience.Verdict{trial})
-	begins := func(q *Query) { q.Begins = true }
+	registry.ApplyVerdicts([]experience.Verdict{trial})
+	begins := func(q *Query) { q.FirstTurn = true }
 	require.Zero(t, registry.chosen(t, begins)["w1"], "requests that can be retried come first")
 	registry.advance(spareOnlyPeriod)
 	require.Equal(t, 1, registry.chosen(t, begins)["w1"])
-	registry.NoteVerdicts([]experience.Verdict{trial})
+	registry.ApplyVerdicts([]experience.Verdict{trial})
 	draining("w1")(registry.Registry)
 	require.Zero(t, registry.chosen(t, spare)["w1"])
 }
@@ -159,7 +159,7 @@
 // Verdicts come from another process, so out-of-range values must be bounded.
 func TestVerdictsAreBounded(t *testing.T) {
 	registry := newClockedRegistry(4)
-	registry.NoteVerdicts([]experience.Verdict{
+	registry.ApplyVerdicts([]experience.Verdict{
 		{Worker: "w0", Until: time.Hour, Cost: time.Hour, Slow: math.Inf(1)},
 		{Worker: "w1", Until: -time.Hour, Cost: -time.Hour, Slow: math.NaN()},
 	})
--- a/internal/backend/prefix_test.go
+++ b/internal/backend/prefix_test.go
@@ -26,7 +26,7 @@
 	registry, prefixWorkers := newPrefixWorkersRegistry()
 	zoneOf := func(worker *Worker) string { return worker.zone }
 	first := func(program int) *Worker {
-		query := Query{Service: "s", Key: fmt.Sprint("program", program), Prompt: 14_000, Shared: 12_600, Output: 100, Keepers: prefixWorkers}
+		query := Query{Service: "s", Key: fmt.Sprint("program", program), Prompt: 14_000, Shared: 12_600, Output: 100, PrefixWorkers: prefixWorkers}
 		worker, err := registry.Choose(query)
 		require.NoError(t, err)
 		return worker
@@ -41,7 +41,7 @@
 	require.Len(t, seen, 4, "all prefix workers of the zone share the load")
 	for _, id := range prefixWorkers {
 		if worker := registry.get(id); worker.zone == "z" {
-			worker.Declined(time.Now().Add(time.Minute))
+			worker.RecordRefusal(time.Now().Add(time.Minute))
 		}
 	}
 	for program := range 20 {
@@ -50,7 +50,7 @@
 		require.Equal(t, "a2", zoneOf(worker), "workers of other regions are not used")
 	}
 	for _, id := range prefixWorkers {
-		registry.get(id).Declined(time.Now().Add(time.Minute))
+		registry.get(id).RecordRefusal(time.Now().Add(time.Minute))
 	}
 	for program := range 20 {
 		require.NotContains(t, prefixWorkers, first(program).id)
@@ -60,8 +60,8 @@
 // Guards against moving a program from its cached context, which is larger than the shared prefix.
 func TestHomeComesBeforePrefixWorkers(t *testing.T) {
 	registry, prefixWorkers := newPrefixWorkersRegistry()
-	home := registry.Of("s")[50].key
-	worker, err := registry.Choose(Query{Service: "s", Key: "p", Prompt: 14_000, Shared: 12_600, Home: home, Keepers: prefixWorkers})
+	home := registry.Workers("s")[50].key
+	worker, err := registry.Choose(Query{Service: "s", Key: "p", Prompt: 14_000, Shared: 12_600, Home: home, PrefixWorkers: prefixWorkers})
 	require.NoError(t, err)
 	require.Equal(t, home, worker.key)
 }
--- a/internal/backend/reconnect.go
+++ b/internal/backend/reconnect.go
@@ -60,9 +60,9 @@
 // reconnect attempts to open a connection until it succeeds, the worker is draining or removed, or
 // ctx ends. The worker is avoided meanwhile.
 func (r *Registry) reconnect(ctx context.Context, worker *Worker) {
-	for wait.For(ctx, reconnectInterval) == nil && !worker.Leaving() {
+	for wait.Sleep(ctx, reconnectInterval) == nil && !worker.Leaving() {
 		limited, cancel := context.WithTimeout(ctx, reconnectTimeout)
-		err := worker.Pool().Reach(limited)
+		err := worker.Pool().Probe(limited)
 		cancel()
 		if err == nil {
 			worker.markReachable()
--- a/internal/backend/record.go
+++ b/internal/backend/record.go
@@ -11,16 +11,16 @@
 	// ID identifies the worker. A restarted worker may keep its ID, but it has lost all cached
 	// state.
 	ID string
-	// Born is when the worker's process started, by the worker's clock; zero: not announced.
-	Born     time.Time
-	Service  string
-	Address  string // IP:PORT
-	Zone     string
-	Slots    int
-	Draining bool
-	// ColdLeft is the remaining cold start, during which the worker can take little load, as of
+	// StartedAt is when the worker's process started, by the worker's clock; zero: not announced.
+	StartedAt time.Time
+	Service   string
+	Address   string // IP:PORT
+	Zone      string
+	Slots     int
+	Draining  bool
+	// ColdRemaining is the remaining cold start, during which the worker can take little load, as of
 	// the worker's last report.
-	ColdLeft time.Duration
+	ColdRemaining time.Duration
 	// Revision rises with each change of the entry. Entries with a lower one are ignored.
 	Revision uint64
 }
@@ -28,10 +28,10 @@
 // Key identifies one process of the worker, in the same way on all nodes: by the worker's ID and,
 // if it is announced, the start time. Cached context is recorded under this key.
 func (r Record) Key() string {
-	if r.Born.IsZero() {
+	if r.StartedAt.IsZero() {
 		return r.ID
 	}
-	return r.ID + "@" + strconv.FormatInt(r.Born.UnixMilli(), 10)
+	return r.ID + "@" + strconv.FormatInt(r.StartedAt.UnixMilli(), 10)
 }
 
 // IDOf returns the worker ID that a key was made from.
@@ -55,11 +55,11 @@
 // sameProcess reports whether two entries with the same ID describe the same process. Without a
 // start time, address, service and zone decide.
 func (r Record) sameProcess(other Record) bool {
-	return r.Born.Equal(other.Born) && r.Address == other.Address && r.Service == other.Service && r.Zone == other.Zone
+	return r.StartedAt.Equal(other.StartedAt) && r.Address == other.Address && r.Service == other.Service && r.Zone == other.Zone
 }
 
 // precedes reports whether r's process started before that of other. It is false if a start time
 // is missing.
 func (r Record) precedes(other Record) bool {
-	return !r.Born.IsZero() && !other.Born.IsZero() && r.Born.Before(other.Born)
+	return !r.StartedAt.IsZero() && !other.StartedAt.IsZero() && r.StartedAt.Before(other.StartedAt)
 }
--- a/internal/backend/region.go
+++ b/internal/backend/region.go
@@ -8,21 +8,21 @@
 	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
-// Reason is why a request goes to a worker of another region.
-type Reason string
+// CrossRegionReason is why a request goes to a worker of another region.
+type CrossRegionReason string
 
 // The reasons. A request that stays in its region has none (the zero value).
 const (
-	ReasonHome Reason = "home" // the worker has the request's context cached
-	ReasonFull Reason = "full" // no worker of the region is available now: at capacity, avoided, cold or excluded
-	ReasonNone Reason = "none" // the region has no worker of the service that may get the request
+	ReasonHome CrossRegionReason = "home" // the worker has the request's context cached
+	ReasonFull CrossRegionReason = "full" // no worker of the region is available now: at capacity, avoided, cold or excluded
+	ReasonNone CrossRegionReason = "none" // the region has no worker of the service that may get the request
 	// ReasonFree means that a worker of the region was available. It is expected only when one became
 	// available a moment ago, or when a request resumes at the worker that ran it.
-	ReasonFree Reason = "free"
+	ReasonFree CrossRegionReason = "free"
 )
 
-// Way returns the distance to a worker and, if it is in another region, the reason for choosing it.
-func (r *Registry) Way(worker *Worker, query Query) (locality.Distance, Reason) {
+// Distance returns the distance to a worker and, if it is in another region, the reason for choosing it.
+func (r *Registry) Distance(worker *Worker, query Query) (locality.Distance, CrossRegionReason) {
 	distance := worker.distance
 	if distance != locality.OtherRegion {
 		return distance, ""
--- a/internal/backend/region_test.go
+++ b/internal/backend/region_test.go
@@ -52,11 +52,11 @@
 func TestRequestsLeaveRegionWithoutCapacity(t *testing.T) {
 	for name, test := range map[string]struct {
 		setup  func(*Registry, *Worker)
-		reason Reason
+		reason CrossRegionReason
 	}{
-		"at capacity by refusals": {func(_ *Registry, w *Worker) { w.Declined(time.Now()) }, ReasonFull},
+		"at capacity by refusals": {func(_ *Registry, w *Worker) { w.RecordRefusal(time.Now()) }, ReasonFull},
 		"at capacity by count":    {func(_ *Registry, w *Worker) { w.running = w.record.Slots + 200 }, ReasonFull},
-		"unreachable":             {func(_ *Registry, w *Worker) { w.Unreachable(time.Now()) }, ReasonFull},
+		"unreachable":             {func(_ *Registry, w *Worker) { w.RecordUnreachable(time.Now()) }, ReasonFull},
 		"leaving":                 {func(r *Registry, w *Worker) { draining(w.id)(r) }, ReasonNone},
 	} {
 		for _, workers := range sizes {
@@ -69,7 +69,7 @@
 				query := modelCall(func(q *Query) { q.Service = "s" })
 				chosen, err := registry.Choose(query)
 				require.NoError(t, err)
-				distance, reason := registry.Way(chosen, query)
+				distance, reason := registry.Distance(chosen, query)
 				require.Equal(t, locality.OtherRegion, distance)
 				require.Equal(t, test.reason, reason)
 			})
@@ -83,7 +83,7 @@
 	query := modelCall(func(q *Query) { q.Service = "s" })
 	chosen, err := registry.Choose(query)
 	require.NoError(t, err)
-	distance, reason := registry.Way(chosen, query)
+	distance, reason := registry.Distance(chosen, query)
 	require.Equal(t, locality.OtherRegion, distance)
 	require.Equal(t, ReasonNone, reason)
 }
@@ -98,7 +98,7 @@
 		require.NotEqual(t, "w1", choose(t, registry, home(700)), "prefill takes about 4 ms")
 		stays := home(40_000) // prefill of about 200 ms
 		require.Equal(t, "w1", choose(t, registry, stays))
-		distance, reason := registry.Way(registry.get("w1"), stays)
+		distance, reason := registry.Distance(registry.get("w1"), stays)
 		require.Equal(t, locality.OtherRegion, distance)
 		require.Equal(t, ReasonHome, reason)
 	}
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -18,7 +18,7 @@
 // Options configures a Registry.
 type Options struct {
 	Zone   string // zone of this node
-	Places *locality.Map
+	Places *locality.ZoneMap
 	// Evacuated reports whether a zone's workers must get no new work; nil: no zone is evacuated.
 	Evacuated func(zone string) bool
 	// Cold returns whether cold workers of a service get less work than warm ones, and how long
@@ -28,9 +28,9 @@
 	DialTimeout time.Duration
 	Guard       silence.Guard // detects unresponsive connections to workers
 	OnDial      func()        // counts new connections to workers
-	// OnWay is called when the estimated round trip to a zone changes; may be nil.
-	OnWay  func(zone string, roundTrip time.Duration)
-	OnLook func() // counts the attempts to connect to an unreachable worker; may be nil
+	// OnRoundTrip is called when the estimated round trip to a zone changes; may be nil.
+	OnRoundTrip func(zone string, roundTrip time.Duration)
+	OnReconnect func() // counts the attempts to connect to an unreachable worker; may be nil
 	// Dial opens a connection to an address; nil: plain TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Now returns the current time; nil: time.Now.
@@ -49,7 +49,7 @@
 // Registry is the set of workers that this node lists. It is safe for concurrent use.
 type Registry struct {
 	options       Options
-	vantage       locality.Vantage
+	vantage       locality.Location
 	roundTrips    *RoundTripEstimator
 	warmthTTL     time.Duration // how long information that a worker is warm stays valid at this node
 	mutex         sync.Mutex
@@ -57,7 +57,7 @@
 	keys          map[string]string  // key by ID, for workers whose key differs from their ID
 	services      map[string]roster
 	lingering     map[string][]lingeringWorker
-	silences      map[string]*Silences
+	silences      map[string]*LatencyEstimates
 	unreported    unreportedWorkers
 	trials        trials
 	unreachable   chan *Worker              // workers that accepted no connection
@@ -78,7 +78,7 @@
 	if options.Evacuated == nil {
 		options.Evacuated = func(string) bool { return false }
 	}
-	vantage := locality.Vantage{Places: options.Places, Zone: options.Zone}
+	vantage := locality.Location{Zones: options.Places, Zone: options.Zone}
 	if options.Cold == nil {
 		options.Cold = func(string) (bool, time.Duration) { return false, 0 }
 	}
@@ -91,7 +91,7 @@
 		keys:        map[string]string{},
 		services:    map[string]roster{},
 		lingering:   map[string][]lingeringWorker{},
-		silences:    map[string]*Silences{},
+		silences:    map[string]*LatencyEstimates{},
 		unreported:  unreportedWorkers{services: map[string]map[*Worker]struct{}{}},
 		unreachable: make(chan *Worker, unreachableBacklog),
 	}
@@ -101,7 +101,7 @@
 func (r *Registry) newWorker(record Record, now time.Time) *Worker {
 	worker := &Worker{
 		registry: r, id: record.ID, key: record.Key(), service: record.Service, zone: record.Zone,
-		distance: r.vantage.To(record.Zone), record: record,
+		distance: r.vantage.DistanceTo(record.Zone), record: record,
 	}
 	worker.warmth.updateFromEntry(record, now)
 	return worker
@@ -124,14 +124,14 @@
 	return r.byID(id)
 }
 
-// Knows reports whether the part of the worker list that this node keeps has an entry with an ID.
-func (r *Registry) Knows(id string) bool {
+// HasID reports whether the part of the worker list that this node keeps has an entry with an ID.
+func (r *Registry) HasID(id string) bool {
 	_, ok := r.worker(id)
 	return ok
 }
 
-// KnowsKey reports whether the part of the worker list that this node keeps has a worker with a key.
-func (r *Registry) KnowsKey(key string) bool {
+// HasKey reports whether the part of the worker list that this node keeps has a worker with a key.
+func (r *Registry) HasKey(key string) bool {
 	_, ok := r.byKey(key)
 	return ok
 }
@@ -168,9 +168,9 @@
 		MaxIdle:     maxIdlePerWorker,
 		IdleTimeout: defaultIdleTimeout,
 		Guard:       r.options.Guard,
-		LongestIdle: maxIdleTimeout,
+		MaxIdleTime: maxIdleTimeout,
 		OnDial:      r.options.OnDial,
-		OnLook:      r.options.OnLook,
+		OnProbe:     r.options.OnReconnect,
 	}
 	if r.options.Dial != nil {
 		options.Dial = func(ctx context.Context) (net.Conn, error) { return r.options.Dial(ctx, address) }
@@ -180,8 +180,8 @@
 
 // noteConnected records how long opening a connection to a zone took.
 func (r *Registry) noteConnected(zone string, took time.Duration) {
-	if roundTrip, changed := r.roundTrips.Observe(zone, took); changed && r.options.OnWay != nil {
-		r.options.OnWay(zone, roundTrip)
+	if roundTrip, changed := r.roundTrips.Observe(zone, took); changed && r.options.OnRoundTrip != nil {
+		r.options.OnRoundTrip(zone, roundTrip)
 	}
 }
 
@@ -213,9 +213,9 @@
 	return ids
 }
 
-// Of returns the workers of a service. If it has none, it returns those that were removed
+// Workers returns the workers of a service. If it has none, it returns those that were removed
 // within lingerPeriod. The slice must not be changed.
-func (r *Registry) Of(service string) []*Worker {
+func (r *Registry) Workers(service string) []*Worker {
 	return r.rosterOf(service).workers
 }
 
@@ -249,8 +249,8 @@
 	return worker, ok && worker.service == service
 }
 
-// Has reports whether the worker with a key belongs to the service and accepts new work.
-func (r *Registry) Has(service, key string) bool {
+// Usable reports whether the worker with a key belongs to the service and accepts new work.
+func (r *Registry) Usable(service, key string) bool {
 	worker, ok := r.byKey(key)
 	return ok && worker.service == service && !worker.Leaving()
 }
--- a/internal/backend/restart_test.go
+++ b/internal/backend/restart_test.go
@@ -14,7 +14,7 @@
 
 // entryStartedAt returns an entry of worker w that started at the given second.
 func entryStartedAt(second int64, revision uint64) Record {
-	return Record{ID: "w", Born: startTime(second), Service: "s", Address: "first", Zone: "z", Slots: 4, Revision: revision}
+	return Record{ID: "w", StartedAt: startTime(second), Service: "s", Address: "first", Zone: "z", Slots: 4, Revision: revision}
 }
 
 // newRestartRegistry returns a registry with one worker, and the number of dials by address.
@@ -31,7 +31,7 @@
 
 // single returns the only worker of a service.
 func (r *Registry) single(t *testing.T, service string) *Worker {
-	workers := r.Of(service)
+	workers := r.Workers(service)
 	require.Len(t, workers, 1)
 	return workers[0]
 }
@@ -44,17 +44,17 @@
 		"at another address":  func(r *Record) { r.Address = "second" },
 		"in another zone":     func(r *Record) { r.Zone = "y" },
 		"for another service": func(r *Record) { r.Service = "t" },
-		"cold":                func(r *Record) { r.ColdLeft = time.Second },
+		"cold":                func(r *Record) { r.ColdRemaining = time.Second },
 		"while draining":      func(r *Record) { r.Revision = 3 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			registry, dials := newRestartRegistry(entryStartedAt(1, 1))
 			old := registry.single(t, "s")
-			require.NoError(t, old.Pool().Reach(t.Context()))
+			require.NoError(t, old.Pool().Probe(t.Context()))
 			old.Begin()
-			old.Paced(time.Minute)
-			old.Unreachable(time.Now())
-			old.Serves(time.Now(), 0)
+			old.RecordTokenTime(time.Minute)
+			old.RecordUnreachable(time.Now())
+			old.RecordServed(time.Now(), 0)
 			if name == "while draining" {
 				leaving := entryStartedAt(1, 2)
 				leaving.Draining = true
@@ -72,14 +72,14 @@
 			require.Zero(t, restarted.failureRate)
 			require.Zero(t, restarted.avoidUntil)
 			require.False(t, restarted.Overtaken(time.Now().Add(-time.Hour), 0))
-			require.Equal(t, next.ColdLeft, restarted.warmth.coldUntil.Sub(restarted.warmth.learnedAt))
-			require.True(t, old.Succeeded())
-			require.False(t, restarted.Succeeded())
+			require.Equal(t, next.ColdRemaining, restarted.warmth.coldUntil.Sub(restarted.warmth.learnedAt))
+			require.True(t, old.Replaced())
+			require.False(t, restarted.Replaced())
 			require.True(t, old.Leaving())
-			require.NoError(t, restarted.Pool().Reach(t.Context()))
+			require.NoError(t, restarted.Pool().Probe(t.Context()))
 			require.Positive(t, dials[next.Address])
-			require.False(t, registry.Has(next.Service, old.Key()), "its cached context is lost")
-			require.True(t, registry.Has(next.Service, restarted.Key()))
+			require.False(t, registry.Usable(next.Service, old.Key()), "its cached context is lost")
+			require.True(t, registry.Usable(next.Service, restarted.Key()))
 			_, err := registry.Choose(Query{Service: next.Service, Key: "k", Only: []string{old.Key()}})
 			require.Error(t, err)
 			chosen, err := registry.Choose(Query{Service: next.Service, Key: "k", Home: old.Key(), Prompt: 100, Exclude: []string{old.Key()}})
@@ -109,7 +109,7 @@
 // that the previous process has ended.
 func TestWorkerWithoutStartTime(t *testing.T) {
 	unstamped := entryStartedAt(1, 1)
-	unstamped.Born = time.Time{}
+	unstamped.StartedAt = time.Time{}
 	registry, dials := newRestartRegistry(unstamped)
 	old := registry.single(t, "s")
 	require.Equal(t, "w", old.Key())
@@ -122,8 +122,8 @@
 	require.True(t, registry.Put(moved))
 	restarted := registry.single(t, "s")
 	require.NotSame(t, old, restarted)
-	require.False(t, old.Succeeded())
-	require.NoError(t, restarted.Pool().Reach(t.Context()))
+	require.False(t, old.Replaced())
+	require.NoError(t, restarted.Pool().Probe(t.Context()))
 	require.Equal(t, map[string]int{"second": 1}, dials)
 	require.Equal(t, []string{"w"}, registry.IDs())
 }
@@ -133,7 +133,7 @@
 	for end, lingers := range map[End]int{Removed: 1, Unusable: 0} {
 		registry, _ := newRestartRegistry(entryStartedAt(1, 1))
 		require.Equal(t, []bool{true, false}, registry.Apply([]Update{{Record: Record{ID: "w"}, End: end}, {Record: Record{ID: "x"}, End: end}}))
-		require.Len(t, registry.Of("s"), lingers)
+		require.Len(t, registry.Workers("s"), lingers)
 		require.Empty(t, registry.IDs())
 	}
 }
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -36,12 +36,12 @@
 				revision++
 				record := Record{
 					ID: fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "id")), Service: rapid.SampledFrom([]string{"s", "t"}).Draw(t, "service"),
-					Zone: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "zone"), Born: startTime(int64(revision)), Revision: revision,
+					Zone: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "zone"), StartedAt: startTime(int64(revision)), Revision: revision,
 				}
-				end := rapid.SampledFrom([]End{Stays, Stays, Removed, Unusable}).Draw(t, "end")
+				end := rapid.SampledFrom([]End{NotEnded, NotEnded, Removed, Unusable}).Draw(t, "end")
 				updates = append(updates, Update{Record: record, End: end})
 				delete(want, record.ID)
-				if end == Stays {
+				if end == NotEnded {
 					want[record.ID] = record
 				}
 			}
--- a/internal/backend/simulation_test.go
+++ b/internal/backend/simulation_test.go
@@ -57,11 +57,11 @@
 	clock := func() time.Time { return start.Add(at) }
 	got := result{ejected: map[string]bool{}}
 	board := experience.New(func(change experience.Change) {
-		if change.Out {
+		if change.Ejected {
 			got.ejected[change.Worker] = true
 		}
 	})
-	board.SetBusy(0.6)
+	board.SetUtilization(0.6)
 	registries := make([]*Registry, l.nodes)
 	for node := range registries {
 		registries[node] = newTestRegistry(Options{Now: clock, Node: fmt.Sprint(node)}, l.workers)
@@ -82,7 +82,7 @@
 		})
 		for range l.perSecond * int(tick) / int(time.Second) {
 			registry := registries[random.IntN(l.nodes)]
-			chosen, err := registry.Choose(modelCall(func(q *Query) { q.Service, q.Key, q.Spare = "s", fmt.Sprint(random.Uint64()), true }))
+			chosen, err := registry.Choose(modelCall(func(q *Query) { q.Service, q.Key, q.Retryable = "s", fmt.Sprint(random.Uint64()), true }))
 			require.NoError(t, err)
 			took := l.duration(chosen, at)
 			for piece := range time.Duration(tokenSamples) {
@@ -95,7 +95,7 @@
 				continue
 			}
 			board.Add(fmt.Sprint(node), registry.TakeSamples("s"), clock())
-			registry.NoteVerdicts(board.Verdicts(keys, clock()))
+			registry.ApplyVerdicts(board.Verdicts(keys, clock()))
 		}
 	}
 	return got
@@ -112,7 +112,9 @@
 	if l.refuses(workerIndex(worker), sent) {
 		return func() {}
 	}
-	return func() { worker.Paced(time.Duration(l.slow(workerIndex(worker), sent) * float64(normalTokenTime))) }
+	return func() {
+		worker.RecordTokenTime(time.Duration(l.slow(workerIndex(worker), sent) * float64(normalTokenTime)))
+	}
 }
 
 // duration returns how long a request takes that is sent to a worker at the given time.
@@ -143,11 +145,11 @@
 		now := worker.registry.options.Now()
 		switch {
 		case refused:
-			worker.Unreachable(now)
+			worker.RecordUnreachable(now)
 		case failed:
-			worker.Broke(now)
+			worker.RecordFailure(now)
 		default:
-			worker.Answered()
+			worker.RecordSuccess()
 		}
 	}
 }
--- a/internal/backend/update.go
+++ b/internal/backend/update.go
@@ -16,15 +16,15 @@
 
 // The values of End.
 const (
-	// Stays means that the entry has not ended.
-	Stays End = iota
+	// NotEnded means that the entry has not ended.
+	NotEnded End = iota
 	// Removed means that the list has no entry with this ID any more.
 	Removed
 	// Unusable means that the entry no longer describes a valid worker. Nothing more is sent to
 	// the worker of the previous entry.
 	Unusable
-	// Unkept means that the entry is outside the part of the list that this node keeps.
-	Unkept
+	// OutOfScope means that the entry is outside the part of the list that this node keeps.
+	OutOfScope
 )
 
 // String implements fmt.Stringer.
@@ -53,7 +53,7 @@
 	batch := &batch{registry: r, now: r.options.Now(), rosters: map[string]*rosterChange{}}
 	changed = make([]bool, len(updates))
 	for index, update := range updates {
-		if update.End == Stays {
+		if update.End == NotEnded {
 			changed[index] = batch.put(update.Record)
 		} else {
 			changed[index] = batch.end(update.Record.ID, update.End)
--- a/internal/backend/warmth.go
+++ b/internal/backend/warmth.go
@@ -25,11 +25,11 @@
 
 // Warmth says whether a worker is cold.
 type Warmth struct {
-	Left   time.Duration // remaining cold start; 0: none
-	Source Source
-	Age    time.Duration // time since Source reported it
-	// Lapsed says that the information has expired: the worker may be cold again.
-	Lapsed bool
+	Remaining time.Duration // remaining cold start; 0: none
+	Source    Source
+	Age       time.Duration // time since Source reported it
+	// Expired says that the information has expired: the worker may be cold again.
+	Expired bool
 }
 
 // warmth is the state behind Warmth. Its times are of this process's monotonic clock.
@@ -49,7 +49,7 @@
 	if record.Revision <= w.reopenedRevision && w.reopenedRevision > 0 {
 		return
 	}
-	w.coldUntil, w.source, w.learnedAt = now.Add(record.ColdLeft), SourceEntry, now
+	w.coldUntil, w.source, w.learnedAt = now.Add(record.ColdRemaining), SourceEntry, now
 }
 
 // updateFromHealth applies the response to a health check that was sent at the given time. It is
@@ -82,7 +82,7 @@
 		return warmth
 	}
 	if less, _ := r.options.Cold(worker.record.Service); less {
-		warmth.Left, warmth.Lapsed = max(0, left), expired
+		warmth.Remaining, warmth.Expired = max(0, left), expired
 	}
 	return warmth
 }
@@ -90,11 +90,11 @@
 // cold reports whether the worker is cold or may be.
 func (r *Registry) cold(worker *Worker) bool {
 	warmth := r.Warmth(worker)
-	return warmth.Left > 0 || warmth.Lapsed
+	return warmth.Remaining > 0 || warmth.Expired
 }
 
-// Heard records that the worker list was confirmed to be current, even if nothing changed.
-func (r *Registry) Heard() {
+// ListConfirmed records that the worker list was confirmed to be current, even if nothing changed.
+func (r *Registry) ListConfirmed() {
 	now := r.options.Now()
 	r.listConfirmed.Store(&now)
 }
@@ -107,10 +107,10 @@
 	return time.Time{}
 }
 
-// MayAskHealth reports whether a health check of a worker is due because the information about it
+// BeginHealthCheck reports whether a health check of a worker is due because the information about it
 // has expired. If so, it records one as sent. Checks are limited because each takes up worker capacity.
-func (r *Registry) MayAskHealth(worker *Worker) bool {
-	if !r.Warmth(worker).Lapsed {
+func (r *Registry) BeginHealthCheck(worker *Worker) bool {
+	if !r.Warmth(worker).Expired {
 		return false
 	}
 	now := r.options.Now()
@@ -145,9 +145,9 @@
 	return cold
 }
 
-// NoteHealth records the response to a health check that was sent at the given time: the worker's
+// ApplyHealth records the response to a health check that was sent at the given time: the worker's
 // remaining cold start.
-func (r *Registry) NoteHealth(worker *Worker, left time.Duration, sent time.Time) {
+func (r *Registry) ApplyHealth(worker *Worker, left time.Duration, sent time.Time) {
 	worker.mutex.Lock()
 	defer worker.mutex.Unlock()
 	worker.warmth.updateFromHealth(left, sent, r.options.Now())
--- a/internal/backend/warmth_test.go
+++ b/internal/backend/warmth_test.go
@@ -26,13 +26,13 @@
 
 // put applies a new entry of w0.
 func put(registry *Registry, revision uint64, left time.Duration) {
-	registry.Put(Record{ID: "w0", Zone: "z", Service: "s", Revision: revision, ColdLeft: left})
+	registry.Put(Record{ID: "w0", Zone: "z", Service: "s", Revision: revision, ColdRemaining: left})
 }
 
 // Guards against overloading a cold worker, and against limiting it after its cold start.
 func TestWorkerIsColdUntilColdStartEnds(t *testing.T) {
-	registry, worker, advance := newColdRegistry(t, Record{Revision: 1, ColdLeft: 2 * time.Second})
-	require.Equal(t, permit.Metered, registry.Check(worker, nil))
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 1, ColdRemaining: 2 * time.Second})
+	require.Equal(t, permit.NeedsWarmupPlace, registry.Check(worker, nil))
 	advance(2 * time.Second)
 	require.Equal(t, permit.Allowed, registry.Check(worker, nil))
 }
@@ -47,15 +47,15 @@
 
 // Guards against restarting the countdown when the same revision is read again.
 func TestRepeatedEntryDoesNotExtendColdStart(t *testing.T) {
-	registry, worker, advance := newColdRegistry(t, Record{Revision: 2, ColdLeft: time.Second})
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 2, ColdRemaining: time.Second})
 	advance(500 * time.Millisecond)
 	put(registry, 2, time.Second)
-	require.Equal(t, 500*time.Millisecond, registry.Warmth(worker).Left)
+	require.Equal(t, 500*time.Millisecond, registry.Warmth(worker).Remaining)
 }
 
 // Guards against entries that arrive out of order.
 func TestOlderEntryIsIgnored(t *testing.T) {
-	registry, worker, _ := newColdRegistry(t, Record{Revision: 5, ColdLeft: time.Second})
+	registry, worker, _ := newColdRegistry(t, Record{Revision: 5, ColdRemaining: time.Second})
 	put(registry, 4, 0)
 	require.True(t, registry.cold(worker))
 }
@@ -64,7 +64,7 @@
 func TestReopenedZoneIsColdUntilNewerEntry(t *testing.T) {
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 5})
 	registry.ZoneReopened("z", 10)
-	require.Equal(t, Warmth{Left: 3 * time.Second, Source: SourceZone}, registry.Warmth(worker))
+	require.Equal(t, Warmth{Remaining: 3 * time.Second, Source: SourceZone}, registry.Warmth(worker))
 	put(registry, 8, 0) // written before the zone was reopened
 	require.True(t, registry.cold(worker))
 	put(registry, 11, 0)
@@ -83,39 +83,39 @@
 		registry.ZoneReopened("z", 10)
 		return false
 	}
-	require.Equal(t, permit.Metered, registry.Check(worker, nil))
+	require.Equal(t, permit.NeedsWarmupPlace, registry.Check(worker, nil))
 }
 
 // Guards against replacing a longer cold start by the default one.
 func TestReopenedZoneDoesNotShortenColdStart(t *testing.T) {
-	registry, worker, _ := newColdRegistry(t, Record{Revision: 5, ColdLeft: 9 * time.Second})
+	registry, worker, _ := newColdRegistry(t, Record{Revision: 5, ColdRemaining: 9 * time.Second})
 	registry.ZoneReopened("z", 10)
-	require.Equal(t, 9*time.Second, registry.Warmth(worker).Left)
+	require.Equal(t, 9*time.Second, registry.Warmth(worker).Remaining)
 }
 
 // Guards against a late health response overriding a newer entry.
 func TestHealthResponseAppliesUnlessOutdated(t *testing.T) {
-	registry, worker, advance := newColdRegistry(t, Record{Revision: 5, ColdLeft: 2 * time.Second})
+	registry, worker, advance := newColdRegistry(t, Record{Revision: 5, ColdRemaining: 2 * time.Second})
 	advance(time.Second)
 	sent := registry.options.Now()
-	registry.NoteHealth(worker, 0, sent)
+	registry.ApplyHealth(worker, 0, sent)
 	require.False(t, registry.cold(worker))
 	advance(time.Second)
 	put(registry, 6, time.Second)
-	registry.NoteHealth(worker, 0, sent)
+	registry.ApplyHealth(worker, 0, sent)
 	require.True(t, registry.cold(worker), "the answer is older than the entry")
 }
 
 // Guards against limiting services for which cold starts are not configured.
 func TestColdStartAppliesOnlyToConfiguredServices(t *testing.T) {
 	registry, _, _ := newColdRegistry(t, Record{})
-	registry.Put(Record{ID: "w1", Zone: "z", Service: "other", ColdLeft: time.Second})
+	registry.Put(Record{ID: "w1", Zone: "z", Service: "other", ColdRemaining: time.Second})
 	require.False(t, registry.cold(registry.get("w1")))
 }
 
 // Guards against choosing a cold worker because it has fewer requests.
 func TestWarmWorkersComeBeforeColdOnes(t *testing.T) {
-	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdLeft: time.Second})
+	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdRemaining: time.Second})
 	registry.Put(Record{ID: "w1", Zone: "z", Service: "s"})
 	for range 30 {
 		registry.get("w1").Begin()
@@ -125,29 +125,29 @@
 
 // Guards against refusing requests when all warm workers are full.
 func TestColdWorkersAreUsedWhenWarmOnesAreFull(t *testing.T) {
-	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdLeft: time.Second})
+	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdRemaining: time.Second})
 	registry.Put(Record{ID: "w1", Zone: "z", Service: "s"})
-	registry.get("w1").Declined(registry.options.Now())
+	registry.get("w1").RecordRefusal(registry.options.Now())
 	require.Equal(t, "w0", choose(t, registry, Query{Key: "k"}))
 }
 
 // Guards against shortlists without a warm worker when all workers of the node's zone are cold.
 func TestWarmWorkersOfOtherZonesAreOnTheShortlist(t *testing.T) {
-	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdLeft: time.Second})
+	registry, _, _ := newColdRegistry(t, Record{Revision: 1, ColdRemaining: time.Second})
 	for index := range 40 {
-		registry.Put(Record{ID: string(rune('a' + index)), Zone: "z", Service: "s", ColdLeft: time.Second})
+		registry.Put(Record{ID: string(rune('a' + index)), Zone: "z", Service: "s", ColdRemaining: time.Second})
 	}
 	registry.Put(Record{ID: "warm", Zone: "y", Service: "s"})
-	require.Equal(t, "warm", choose(t, registry, Query{Key: "k", Warm: true}))
+	require.Equal(t, "warm", choose(t, registry, Query{Key: "k", WarmOnly: true}))
 }
 
 // Guards against full load on a worker whose state has not been confirmed for long.
 func TestWarmthExpires(t *testing.T) {
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
 	advance(registry.warmthTTL + time.Millisecond)
-	require.True(t, registry.Warmth(worker).Lapsed)
-	require.Equal(t, permit.Metered, registry.Check(worker, nil))
-	registry.Heard()
+	require.True(t, registry.Warmth(worker).Expired)
+	require.Equal(t, permit.NeedsWarmupPlace, registry.Check(worker, nil))
+	registry.ListConfirmed()
 	require.Equal(t, permit.Allowed, registry.Check(worker, nil), "the list was confirmed without changes")
 }
 
@@ -155,19 +155,19 @@
 func TestHealthResponseRenewsExpiredWarmth(t *testing.T) {
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
 	advance(registry.warmthTTL + time.Millisecond)
-	registry.NoteHealth(worker, 0, registry.options.Now())
+	registry.ApplyHealth(worker, 0, registry.options.Now())
 	require.Equal(t, permit.Allowed, registry.Check(worker, nil))
 }
 
 // Guards against health checks for every request, or while the information is current.
 func TestHealthChecksAreRateLimited(t *testing.T) {
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
-	require.False(t, registry.MayAskHealth(worker), "the information is current")
+	require.False(t, registry.BeginHealthCheck(worker), "the information is current")
 	advance(registry.warmthTTL + time.Millisecond)
-	require.True(t, registry.MayAskHealth(worker))
-	require.False(t, registry.MayAskHealth(worker))
+	require.True(t, registry.BeginHealthCheck(worker))
+	require.False(t, registry.BeginHealthCheck(worker))
 	advance(minHealthCheckInterval)
-	require.True(t, registry.MayAskHealth(worker))
+	require.True(t, registry.BeginHealthCheck(worker))
 }
 
 // Guards against health checks by all nodes at once after they lose the worker list.
--- a/internal/backend/ways.go
+++ b/internal/backend/ways.go
@@ -30,7 +30,7 @@
 // RoundTripEstimator estimates the round trip to each zone from the time that opening connections
 // to its workers takes. It is safe for concurrent use.
 type RoundTripEstimator struct {
-	vantage locality.Vantage
+	vantage locality.Location
 	now     func() time.Time
 
 	mutex sync.RWMutex
@@ -49,7 +49,7 @@
 }
 
 // NewRoundTripEstimator returns an estimator without samples for a node at vantage. now is the clock.
-func NewRoundTripEstimator(vantage locality.Vantage, now func() time.Time) *RoundTripEstimator {
+func NewRoundTripEstimator(vantage locality.Location, now func() time.Time) *RoundTripEstimator {
 	return &RoundTripEstimator{vantage: vantage, now: now, zones: map[string]*zoneEstimate{}}
 }
 
@@ -85,7 +85,7 @@
 
 // roundTrip is RoundTrip. The caller holds the mutex.
 func (e *RoundTripEstimator) roundTrip(zone string) time.Duration {
-	if e.vantage.To(zone) == locality.SameZone {
+	if e.vantage.DistanceTo(zone) == locality.SameZone {
 		return 0
 	}
 	estimate, ok := e.zones[zone]
@@ -100,7 +100,7 @@
 
 // defaultRoundTrip is the round trip that is assumed without samples.
 func (e *RoundTripEstimator) defaultRoundTrip(zone string) time.Duration {
-	if e.vantage.To(zone) == locality.SameRegion {
+	if e.vantage.DistanceTo(zone) == locality.SameRegion {
 		return defaultSameRegion
 	}
 	return defaultOtherRegion
--- a/internal/backend/ways_test.go
+++ b/internal/backend/ways_test.go
@@ -11,12 +11,12 @@
 )
 
 // testPlaces has three regions of two zones each; the tests run as a node in zone z.
-func testPlaces() *locality.Map {
+func testPlaces() *locality.ZoneMap {
 	return locality.NewMap(map[string]string{"z": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"})
 }
 
 func newTestEstimator() *RoundTripEstimator {
-	return NewRoundTripEstimator(locality.Vantage{Places: testPlaces(), Zone: "z"}, time.Now)
+	return NewRoundTripEstimator(locality.Location{Zones: testPlaces(), Zone: "z"}, time.Now)
 }
 
 // Zones without samples must get the default of their distance.
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -115,9 +115,9 @@
 	w.replaced = true
 }
 
-// Succeeded reports whether another process has started under the worker's ID, so that this one
+// Replaced reports whether another process has started under the worker's ID, so that this one
 // has ended.
-func (w *Worker) Succeeded() bool {
+func (w *Worker) Replaced() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.replaced
@@ -142,8 +142,8 @@
 	})
 }
 
-// Answered records a complete, successful answer.
-func (w *Worker) Answered() {
+// RecordSuccess records a complete, successful answer.
+func (w *Worker) RecordSuccess() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.registry.options.Now()
@@ -155,8 +155,8 @@
 	w.avoidUntil = time.Time{}
 }
 
-// Serves records that the worker has begun to answer a request that was sent at the given time.
-func (w *Worker) Serves(sent time.Time, priority int) {
+// RecordServed records that the worker has begun to answer a request that was sent at the given time.
+func (w *Worker) RecordServed(sent time.Time, priority int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.lastServed == nil {
@@ -184,8 +184,8 @@
 	return false
 }
 
-// Paced records the time that one token of a stream took.
-func (w *Worker) Paced(took time.Duration) {
+// RecordTokenTime records the time that one token of a stream took.
+func (w *Worker) RecordTokenTime(took time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.registry.options.Now()
@@ -196,15 +196,15 @@
 	w.tokenTime = average(w.tokenTime, took)
 }
 
-// Declined records that the worker refused a request because it is at capacity.
-func (w *Worker) Declined(now time.Time) {
+// RecordRefusal records that the worker refused a request because it is at capacity.
+func (w *Worker) RecordRefusal(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.busyUntil = now.Add(busyPeriod)
 }
 
-// Broke records an answer that was truncated, malformed or an error.
-func (w *Worker) Broke(now time.Time) {
+// RecordFailure records an answer that was truncated, malformed or an error.
+func (w *Worker) RecordFailure(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.addFailure(now)
@@ -214,8 +214,8 @@
 	}
 }
 
-// Unreachable records a failed connection attempt, or a connection that stopped responding.
-func (w *Worker) Unreachable(now time.Time) {
+// RecordUnreachable records a failed connection attempt, or a connection that stopped responding.
+func (w *Worker) RecordUnreachable(now time.Time) {
 	w.mutex.Lock()
 	w.addFailure(now)
 	w.avoid(now)
--- a/internal/backend/zones.go
+++ b/internal/backend/zones.go
@@ -31,12 +31,12 @@
 	})
 }
 
-// Closed returns why no worker of a service may get a request that may be served in the given regions,
+// WhyClosed returns why no worker of a service may get a request that may be served in the given regions,
 // and which zones would accept it if they were not evacuated. The verdict is permit.Allowed if some
 // worker's zone accepts the request or if the service has no workers. Draining workers do not count. If
 // only is not empty, just the workers with these keys are considered.
-func (r *Registry) Closed(service string, regions locality.Regions, only []string) (why permit.Verdict, evacuated []string) {
-	workers := r.Of(service)
+func (r *Registry) WhyClosed(service string, regions locality.Regions, only []string) (why permit.Verdict, evacuated []string) {
+	workers := r.Workers(service)
 	for _, worker := range workers {
 		if len(only) > 0 && !slices.Contains(only, worker.key) {
 			continue
--- a/internal/backend/zones_test.go
+++ b/internal/backend/zones_test.go
@@ -53,7 +53,7 @@
 	registry.Remove("w0")
 	_, err := registry.Choose(Query{Service: "s"})
 	require.Error(t, err)
-	why, _ := registry.Closed("s", nil, nil)
+	why, _ := registry.WhyClosed("s", nil, nil)
 	require.Equal(t, permit.Evacuated, why)
 }
 
@@ -91,7 +91,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			registry := newTestRegistry(Options{Places: places, Evacuated: evacuatedFunc(c.evacuated...)}, 3, "z", "y", "x")
-			why, zones := registry.Closed("s", c.regions, c.only)
+			why, zones := registry.WhyClosed("s", c.regions, c.only)
 			require.Equal(t, c.why, why)
 			require.Equal(t, c.zones, zones)
 		})
@@ -102,6 +102,6 @@
 func TestEmptyServiceIsNotClosed(t *testing.T) {
 	now := time.Now()
 	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 0)
-	why, _ := registry.Closed("s", nil, nil)
+	why, _ := registry.WhyClosed("s", nil, nil)
 	require.Equal(t, permit.Allowed, why)
 }
--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -27,7 +27,7 @@
 	mutex         sync.Mutex
 	free          int // tokens held by this node and not reserved by a turn
 	lastWorker    string
-	lastUsed      time.Time  // start of the newest turn; guarded by Book.mutex
+	lastUsed      time.Time  // start of the newest turn; guarded by Accounts.mutex
 	exhaustedAt   time.Time  // when the store last reported the budget as exhausted; zero: never
 	holders       []Holder   // other processes that may hold tokens, newest last
 	recipients    []Holder   // holders that received tokens from this process, newest last
--- a/internal/budget/book.go
+++ b/internal/budget/book.go
@@ -26,17 +26,17 @@
 	giveBackParallelism = 4
 )
 
-// Options configures a Book.
+// Options configures a Accounts.
 type Options struct {
 	Store store.Store
 	Self  Holder
 	Peers Peers // nil: no other node is asked for tokens
 	// Patience adapts the timeout of a request to the latency observed to that process.
 	// Nil means that no latency is known.
-	Patience wait.Patience
+	Patience wait.TimeoutFunc
 	// Vantage is the location of this process. Processes in the same region are asked
 	// first.
-	Vantage locality.Vantage
+	Vantage locality.Location
 	// Locator finds processes that ran turns of a program. Nil: only the store is
 	// consulted.
 	Locator Locator
@@ -45,9 +45,9 @@
 	Granter Granter
 }
 
-// Located is what the locator returns for a program. It may be stale or incomplete. It is
+// LocateResult is what the locator returns for a program. It may be stale or incomplete. It is
 // sent between nodes with gob, so its fields keep their names.
-type Located struct {
+type LocateResult struct {
 	Holders []Holder // other processes that ran turns of the program, newest first
 	// Spent is the size, in tokens, of a turn that the store recently refused to some
 	// process, and SpentAgo is how long ago. Zero Spent means that no refusal is known.
@@ -56,12 +56,12 @@
 }
 
 // refuses reports whether a recent refusal implies that the store would refuse this turn.
-func (l Located) refuses(tokens int) bool {
+func (l LocateResult) refuses(tokens int) bool {
 	return l.Spent > 0 && tokens >= l.Spent && l.SpentAgo < peerExhaustedTTL
 }
 
 // refusal returns the error for a turn that refuses reports as refused.
-func (l Located) refusal(tokens int) error {
+func (l LocateResult) refusal(tokens int) error {
 	return fault.Newf(fault.BudgetExhausted, exhaustedRemedy,
 		"the turn may need %d tokens, but the store refused %d tokens to another node %v ago", tokens, l.Spent, l.SpentAgo.Round(time.Millisecond))
 }
@@ -70,16 +70,16 @@
 type Locator interface {
 	// Locate returns what is known of a program and records that this process runs a turn
 	// of it.
-	Locate(ctx context.Context, program string) Located
-	// NoteSpent records that the store refused a turn of that many tokens.
-	NoteSpent(program string, tokens int)
-	// NoteReturned records that tokens were returned to the store, which invalidates
+	Locate(ctx context.Context, program string) LocateResult
+	// RecordRefusal records that the store refused a turn of that many tokens.
+	RecordRefusal(program string, tokens int)
+	// RecordReturned records that tokens were returned to the store, which invalidates
 	// earlier refusals.
-	NoteReturned(ctx context.Context, program string)
+	RecordReturned(ctx context.Context, program string)
 }
 
-// Book holds the accounts of the programs that this node serves.
-type Book struct {
+// Accounts holds the accounts of the programs that this node serves.
+type Accounts struct {
 	options           Options
 	mutex             sync.Mutex
 	accounts          map[string]*account
@@ -92,9 +92,9 @@
 	lastSweep         time.Time
 }
 
-// NewBook returns a book without accounts.
-func NewBook(options Options) *Book {
-	return &Book{
+// NewAccounts returns a book without accounts.
+func NewAccounts(options Options) *Accounts {
+	return &Accounts{
 		options:          options,
 		accounts:         map[string]*account{},
 		unresponsive:     map[string]unresponsivePeer{},
@@ -105,15 +105,15 @@
 
 // Reservation is the right to generate up to Tokens tokens. It is ended by Settle.
 type Reservation struct {
-	Tokens  int
-	Home    string   // worker of the program's newest turn; empty if unknown
-	Drawn   bool     // this node held too few tokens and had to obtain more
-	Handed  bool     // another process handed tokens over
-	Located bool     // the locator returned processes to ask
-	Granted bool     // the owner of the program's directory slot granted tokens
-	Others  []Holder // other processes that may hold tokens of the program, in the order in which they are asked
-	account *account
-	once    sync.Once
+	Tokens      int
+	LastWorker  string   // worker of the program's newest turn; empty if unknown
+	Drawn       bool     // this node held too few tokens and had to obtain more
+	HandedOver  bool     // another process handed tokens over
+	LocatorUsed bool     // the locator returned processes to ask
+	Granted     bool     // the owner of the program's directory slot granted tokens
+	Holders     []Holder // other processes that may hold tokens of the program, in the order in which they are asked
+	account     *account
+	once        sync.Once
 }
 
 // Claim describes the tokens that a turn needs.
@@ -124,20 +124,20 @@
 	// Continues says that the program has had a turn, so its rows exist. They are read
 	// first, which avoids a transaction that the store would refuse.
 	Continues bool
-	// Kept says that the turn must be written to the store when it ends. While the store
+	// MustPersist says that the turn must be written to the store when it ends. While the store
 	// is unavailable, recent peers and the owner are not asked for the tokens of such a
 	// turn, as it could not end.
-	Kept bool
+	MustPersist bool
 	// Named, if not nil, is called with the other processes that may hold tokens of the
 	// program, if any are known, before the store is called. It may be called more than
 	// once.
-	Named func([]Holder)
+	OnHolders func([]Holder)
 }
 
 // reportHolders calls Named, if it is set and there are holders.
 func (c Claim) reportHolders(others []Holder) {
-	if c.Named != nil && len(others) > 0 {
-		c.Named(others)
+	if c.OnHolders != nil && len(others) > 0 {
+		c.OnHolders(others)
 	}
 }
 
@@ -145,11 +145,11 @@
 // store reports the budget as exhausted. It fails with fault.Unavailable if the store
 // does not answer before ctx ends, or if a process that may hold or grant tokens does not.
 // Nothing is reserved if it fails.
-func (b *Book) Reserve(ctx context.Context, claim Claim) (*Reservation, error) {
+func (b *Accounts) Reserve(ctx context.Context, claim Claim) (*Reservation, error) {
 	account := b.accountOf(claim.Program)
 	reservation := &Reservation{Tokens: claim.Tokens, account: account}
 	if account.reserve(claim.Tokens) {
-		reservation.Home, reservation.Others = account.cachedWorker(), b.responsiveHolders(account)
+		reservation.LastWorker, reservation.Holders = account.cachedWorker(), b.responsiveHolders(account)
 		return reservation, nil
 	}
 	var sources tokenSources
@@ -163,9 +163,9 @@
 	}
 	defer func() { <-account.sharesLock }()
 	account.addHoldersFromRows()
-	reservation.Others = b.responsiveHolders(account)
-	reservation.Home, reservation.Drawn = account.lastKnownWorker(), true
-	reservation.Handed, reservation.Located, reservation.Granted = sources.handedOver, sources.locatorFound, sources.granted
+	reservation.Holders = b.responsiveHolders(account)
+	reservation.LastWorker, reservation.Drawn = account.lastKnownWorker(), true
+	reservation.HandedOver, reservation.LocatorUsed, reservation.Granted = sources.handedOver, sources.locatorFound, sources.granted
 	return reservation, nil
 }
 
@@ -179,7 +179,7 @@
 	})
 }
 
-func (b *Book) accountOf(program string) *account {
+func (b *Accounts) accountOf(program string) *account {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := time.Now()
@@ -196,7 +196,7 @@
 
 // sweep periodically drops idle accounts and old records of unresponsive processes.
 // Tokens that this node still holds for a dropped account stay drawn.
-func (b *Book) sweep(now time.Time) {
+func (b *Accounts) sweep(now time.Time) {
 	if now.Sub(b.lastSweep) < accountIdleTimeout/4 {
 		return
 	}
@@ -216,7 +216,7 @@
 // GiveBack returns to the store the tokens that this node holds for programs with a
 // recent turn. It is called when the node stops. Tokens that cannot be returned before
 // ctx ends stay drawn. The result is the number of tokens returned.
-func (b *Book) GiveBack(ctx context.Context) (returned int) {
+func (b *Accounts) GiveBack(ctx context.Context) (returned int) {
 	var mutex sync.Mutex
 	var group errgroup.Group
 	group.SetLimit(giveBackParallelism)
@@ -233,7 +233,7 @@
 	return returned
 }
 
-func (b *Book) recentAccounts(now time.Time) []*account {
+func (b *Accounts) recentAccounts(now time.Time) []*account {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	var recent []*account
@@ -248,7 +248,7 @@
 // giveBack returns an account's free tokens to its shares, at most as many to each share
 // as are drawn from it. They need not go back to the share that they came from, as only
 // the sum over all shares matters.
-func (b *Book) giveBack(ctx context.Context, account *account) (returned int) {
+func (b *Accounts) giveBack(ctx context.Context, account *account) (returned int) {
 	select {
 	case account.sharesLock <- struct{}{}:
 	case <-ctx.Done():
@@ -262,7 +262,7 @@
 		tokens += found.drawn - found.returned - found.returnInDoubt
 	}
 	if returned > 0 && b.options.Locator != nil {
-		b.options.Locator.NoteReturned(ctx, account.program)
+		b.options.Locator.RecordReturned(ctx, account.program)
 	}
 	return returned
 }
--- a/internal/budget/book_test.go
+++ b/internal/budget/book_test.go
@@ -19,15 +19,15 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-func newTestBook(table store.Store, process string) *Book {
-	return NewBook(Options{Store: table, Self: Holder{Process: process, Address: process}})
+func newTestBook(table store.Store, process string) *Accounts {
+	return NewAccounts(Options{Store: table, Self: Holder{Process: process, Address: process}})
 }
 
 // cluster is a set of books that can send requests to each other.
 type cluster struct {
 	table store.Store
 	mutex sync.Mutex
-	books map[string]*Book
+	books map[string]*Accounts
 	// delivery, if not nil, decides whether a request arrives and whether its answer
 	// does.
 	delivery func() (asked, answered bool)
@@ -61,11 +61,11 @@
 }
 
 func newCluster(table store.Store) *cluster {
-	return &cluster{table: table, books: map[string]*Book{}, unreachable: map[string]bool{}, closed: map[string]bool{}}
+	return &cluster{table: table, books: map[string]*Accounts{}, unreachable: map[string]bool{}, closed: map[string]bool{}}
 }
 
-func (c *cluster) book(process string) *Book {
-	book := NewBook(Options{Store: c.table, Self: Holder{Process: process, Address: process}, Peers: c})
+func (c *cluster) book(process string) *Accounts {
+	book := NewAccounts(Options{Store: c.table, Self: Holder{Process: process, Address: process}, Peers: c})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.books[process] = book
@@ -102,7 +102,7 @@
 func TestBudgetIsEnforcedAcrossNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
-		books := []*Book{nodes.book("a"), nodes.book("b")}
+		books := []*Accounts{nodes.book("a"), nodes.book("b")}
 		used := 0
 		for turn := range 100 {
 			reservation, err := books[turn%2].Reserve(t.Context(), Claim{Program: "p", Budget: 5000, Tokens: 500})
@@ -138,7 +138,7 @@
 // TestReserveSucceedsWhileFirstShareIsDown guards against a turn that waits for an
 // unavailable share.
 func TestReserveSucceedsWhileFirstShareIsDown(t *testing.T) {
-	for _, down := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken} {
+	for _, down := range []storetest.Fault{storetest.Refused, storetest.RequestLost, storetest.ConnectionReset} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			first := rowKey("p", 0).Part
@@ -161,7 +161,7 @@
 func TestStoreOutageIsNotBudgetExhausted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		book := newTestBook(table, "a")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -177,7 +177,7 @@
 // TestLostCommitAnswerIsNotDrawnTwice guards against counting a draw twice when the
 // answer to its commit is lost.
 func TestLostCommitAnswerIsNotDrawnTwice(t *testing.T) {
-	for _, lost := range []storetest.Fault{storetest.Lost, storetest.Applied} {
+	for _, lost := range []storetest.Fault{storetest.ResponseLost, storetest.AppliedThenReset} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			answers := 0
@@ -219,7 +219,7 @@
 		}
 		reservation, err = other.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 		require.NoError(t, err)
-		require.Equal(t, "w7", reservation.Home)
+		require.Equal(t, "w7", reservation.LastWorker)
 		time.Sleep(time.Minute)
 	})
 }
@@ -256,9 +256,9 @@
 		if faultsOff.Load() || draw(100) >= faulty {
 			return storetest.None
 		}
-		return storetest.Fault(draw(int(storetest.Applied) + 1))
+		return storetest.Fault(draw(int(storetest.AppliedThenReset) + 1))
 	})
-	books := make([]*Book, 3)
+	books := make([]*Accounts, 3)
 	nodes := newCluster(table)
 	nodes.delivery = func() (asked, answered bool) { return draw(100) >= faulty, draw(100) >= faulty }
 	restart := func(index int) {
@@ -279,7 +279,7 @@
 		case 0:
 			restart(index)
 		case 1:
-			table.Release(draw)
+			table.ApplyLate(draw)
 		case 2:
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			books[index].GiveBack(ctx)
@@ -321,7 +321,7 @@
 // TestTokensOfAFailedDrawAreNotLost guards against losing tokens that were drawn from one
 // share for a turn that failed because the other shares were down.
 func TestTokensOfAFailedDrawAreNotLost(t *testing.T) {
-	for _, down := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken, storetest.Late, storetest.Lost} {
+	for _, down := range []storetest.Fault{storetest.Refused, storetest.RequestLost, storetest.ConnectionReset, storetest.AppliedLate, storetest.ResponseLost} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			nodes := newCluster(table)
@@ -342,7 +342,7 @@
 				all.Store(true) // from now on the whole store is down
 			}
 			table.SetFault(nil)
-			table.Release(func(int) int { return 0 })
+			table.ApplyLate(func(int) int { return 0 })
 			_, err := nodes.book("b").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
 			require.NoError(t, err, "fault %d: no turn has run", down)
 			time.Sleep(time.Minute)
@@ -358,16 +358,16 @@
 		nodes := newCluster(table)
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
 		a, b := nodes.book("a"), nodes.book("b")
-		for _, book := range []*Book{a, b} {
+		for _, book := range []*Accounts{a, b} {
 			reservation, err := book.Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			reservation.Settle(100, "w1")
 		}
-		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		ran := 0
 		for turn := range 20 {
 			ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
-			reservation, err := []*Book{a, b}[turn%2].Reserve(ctx, claim)
+			reservation, err := []*Accounts{a, b}[turn%2].Reserve(ctx, claim)
 			cancel()
 			if err != nil {
 				break
@@ -394,8 +394,8 @@
 		two := nodes.book("b")
 		reservation, err = two.Reserve(t.Context(), claim)
 		require.NoError(t, err)
-		require.Equal(t, "w7", reservation.Home)
-		require.True(t, reservation.Handed)
+		require.Equal(t, "w7", reservation.LastWorker)
+		require.True(t, reservation.HandedOver)
 		reservation.Settle(500, "w8")
 		three := nodes.book("c")
 		_, err = three.Reserve(t.Context(), claim)
@@ -428,7 +428,7 @@
 // TestStoppingNodeReturnsItsTokens guards against losing tokens, or returning them twice,
 // when a node stops while store calls fail.
 func TestStoppingNodeReturnsItsTokens(t *testing.T) {
-	for _, lost := range []storetest.Fault{storetest.None, storetest.Refused, storetest.Lost, storetest.Broken, storetest.Applied} {
+	for _, lost := range []storetest.Fault{storetest.None, storetest.Refused, storetest.ResponseLost, storetest.ConnectionReset, storetest.AppliedThenReset} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			book := newTestBook(table, "a")
@@ -480,7 +480,7 @@
 // store outage because its new node has not served it before, although that node has been
 // in contact with the one that has.
 func TestUnknownProgramIsBroadcastToRecentPeers(t *testing.T) {
-	for _, down := range []storetest.Fault{storetest.Silent, storetest.Refused, storetest.Broken} {
+	for _, down := range []storetest.Fault{storetest.RequestLost, storetest.Refused, storetest.ConnectionReset} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			nodes := newCluster(table)
@@ -501,13 +501,13 @@
 			start := time.Now()
 			reservation, err := b.Reserve(ctx, claim)
 			require.NoError(t, err)
-			require.Equal(t, "w7", reservation.Home)
-			require.Equal(t, "a", reservation.Others[0].Process)
+			require.Equal(t, "w7", reservation.LastWorker)
+			require.Equal(t, "a", reservation.Holders[0].Process)
 			require.Less(t, time.Since(start), 200*time.Millisecond)
 
 			claim.Program = "q"
 			for _, kept := range []bool{true, false} {
-				claim.Kept = kept // if set, the turn cannot end without the store
+				claim.MustPersist = kept // if set, the turn cannot end without the store
 				ctx, cancel = context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer cancel()
 				_, err = b.Reserve(ctx, claim)
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -39,7 +39,7 @@
 // draw obtains the tokens that this node lacks for a turn, from other nodes or the store,
 // and reserves them for the turn. If it succeeds, the caller holds account.sharesLock and
 // must release it.
-func (b *Book) draw(ctx context.Context, account *account, claim Claim, sources *tokenSources) error {
+func (b *Accounts) draw(ctx context.Context, account *account, claim Claim, sources *tokenSources) error {
 	select {
 	case account.sharesLock <- struct{}{}:
 	case <-ctx.Done():
@@ -69,7 +69,7 @@
 	if errors.Is(err, store.ErrThrottled) {
 		return throttled.Wait(ctx)
 	}
-	return wait.For(ctx, retryPause)
+	return wait.Sleep(ctx, retryPause)
 }
 
 // isFinal reports whether retrying cannot change the result.
@@ -81,12 +81,12 @@
 // stopping early if the store throttles calls, and finally asks the owner for a grant. If
 // no row was read yet, the budget was reported exhausted before, or a share fails, it also
 // asks the processes that the locator returns. If the store does not answer, it also asks
-// recent peers and the owner, unless the turn needs the store to end (see Claim.Kept).
+// recent peers and the owner, unless the turn needs the store to end (see Claim.MustPersist).
 //
 // It fails with fault.BudgetExhausted if the turn exceeds the whole budget, if a recent
 // refusal by the store still applies, or if all shares were read and are exhausted and no
 // other process may still hand over or grant the missing tokens.
-func (b *Book) drawOnce(ctx context.Context, account *account, claim Claim, sources *tokenSources) (taken bool, failure error) {
+func (b *Accounts) drawOnce(ctx context.Context, account *account, claim Claim, sources *tokenSources) (taken bool, failure error) {
 	budget, tokens := claim.Budget, claim.Tokens
 	if account.reserve(tokens) {
 		return true, nil
@@ -107,23 +107,23 @@
 			return false, located.refusal(tokens)
 		}
 	}
-	if b.storeUnavailable() && !claim.Kept && b.reserveWithoutStore(ctx, account, claim, sources) {
+	if b.storeUnavailable() && !claim.MustPersist && b.reserveWithoutStore(ctx, account, claim, sources) {
 		return true, nil
 	}
 	failures := 0
 	claim.reportHolders(b.responsiveHolders(account))
 	for _, index := range account.shareOrder(budget, account.shortfall(tokens)) {
-		limited, cancel := context.WithTimeout(ctx, store.PatienceWith(b.options.Store, shareTimeout))
+		limited, cancel := context.WithTimeout(ctx, store.PatienceAtLeast(b.options.Store, shareTimeout))
 		err := b.drawFromShare(limited, account, index, claim, sources)
 		cancel()
 		b.recordShareResult(err)
 		if err != nil {
 			failure = err
 			b.requestFromLocated(ctx, account, tokens, sources)
-			if !claim.Kept {
+			if !claim.MustPersist {
 				b.broadcastRequest(ctx, account, tokens, sources)
 			}
-			if failures++; failures > 1 && !claim.Kept && b.requestGrant(ctx, account, claim, sources) {
+			if failures++; failures > 1 && !claim.MustPersist && b.requestGrant(ctx, account, claim, sources) {
 				return true, nil
 			}
 		}
@@ -137,7 +137,7 @@
 			break // all shares lie in the same throttled table
 		}
 	}
-	if (failure == nil || !claim.Kept) && b.requestGrant(ctx, account, claim, sources) {
+	if (failure == nil || !claim.MustPersist) && b.requestGrant(ctx, account, claim, sources) {
 		return true, nil
 	}
 	if failure != nil {
@@ -151,7 +151,7 @@
 	}
 	account.markExhausted()
 	if b.options.Locator != nil {
-		b.options.Locator.NoteSpent(account.program, tokens)
+		b.options.Locator.RecordRefusal(account.program, tokens)
 	}
 	return false, exhaustedError(account.undrawn(budget), budget, tokens)
 }
@@ -159,7 +159,7 @@
 // reserveWithoutStore obtains a turn's tokens while the store is unavailable: from
 // processes that the locator returns, from recent peers and from the owner. It reports
 // whether the turn's tokens are reserved.
-func (b *Book) reserveWithoutStore(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
+func (b *Accounts) reserveWithoutStore(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
 	b.requestFromLocated(ctx, account, claim.Tokens, sources)
 	b.broadcastRequest(ctx, account, claim.Tokens, sources)
 	return account.reserve(claim.Tokens) || b.requestGrant(ctx, account, claim, sources)
@@ -169,7 +169,7 @@
 // exhausted. If it finds that other processes have drawn from the share, it asks them
 // first. A nil error means that the turn has its tokens or that the row is known to be
 // current.
-func (b *Book) drawFromShare(ctx context.Context, account *account, index int, claim Claim, sources *tokenSources) error {
+func (b *Accounts) drawFromShare(ctx context.Context, account *account, index int, claim Claim, sources *tokenSources) error {
 	budget, tokens := claim.Budget, claim.Tokens
 	share, limit := account.shares[index], account.limit(budget, index)
 	certain := false
--- a/internal/budget/giveback_test.go
+++ b/internal/budget/giveback_test.go
@@ -27,7 +27,7 @@
 		return c.Store.Commit(ctx, transaction)
 	}
 	if c.closed.Swap(true) {
-		return 0, store.ErrPartClosed
+		return 0, store.ErrPartUnavailable
 	}
 	_, _ = c.Store.Commit(ctx, transaction)
 	<-ctx.Done()
--- a/internal/budget/grant_test.go
+++ b/internal/budget/grant_test.go
@@ -48,7 +48,7 @@
 }
 
 // newOwnedBook returns a book of the cluster that requests grants from owner.
-func newOwnedBook(nodes *cluster, process string, owner *fakeOwner) *Book {
+func newOwnedBook(nodes *cluster, process string, owner *fakeOwner) *Accounts {
 	book := nodes.book(process)
 	book.options.Granter = ownerClient{owner, book.options.Self}
 	return book
@@ -60,7 +60,7 @@
 // TestProgramStartsDuringStoreOutage guards against programs that cannot start, or
 // start slowly, while the store is unavailable.
 func TestProgramStartsDuringStoreOutage(t *testing.T) {
-	for _, outage := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken} {
+	for _, outage := range []storetest.Fault{storetest.Refused, storetest.RequestLost, storetest.ConnectionReset} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			nodes, owner := newCluster(table), newFakeOwner()
@@ -92,7 +92,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 		defer cancel()
 		claim := largeClaim
-		claim.Kept = true
+		claim.MustPersist = true
 		_, err := newOwnedBook(nodes, "a", owner).Reserve(ctx, claim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
 		require.Zero(t, owner.requests)
@@ -101,7 +101,7 @@
 }
 
 // spendAll runs turns that use all their tokens until one is refused.
-func spendAll(t *testing.T, b *Book, claim Claim) (used int, refusal error) {
+func spendAll(t *testing.T, b *Accounts, claim Claim) (used int, refusal error) {
 	for {
 		reservation, err := b.Reserve(t.Context(), claim)
 		if err != nil {
@@ -170,7 +170,7 @@
 		reservation.Settle(100, "")
 		moved, err := b.Reserve(t.Context(), largeClaim)
 		require.NoError(t, err)
-		require.True(t, moved.Handed)
+		require.True(t, moved.HandedOver)
 		time.Sleep(time.Minute)
 	})
 }
@@ -193,7 +193,7 @@
 		owner.delay = 0
 		moved, err := b.Reserve(t.Context(), largeClaim)
 		require.NoError(t, err)
-		require.True(t, moved.Handed)
+		require.True(t, moved.HandedOver)
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/budget/hint_test.go
+++ b/internal/budget/hint_test.go
@@ -29,7 +29,7 @@
 			claim.Tokens = tokens
 			reservation, err = book.Reserve(t.Context(), claim)
 			require.NoError(t, err)
-			require.True(t, reservation.Handed)
+			require.True(t, reservation.HandedOver)
 			reservation.Settle(claim.Tokens, "w1")
 		}
 		commits, reads := table.Calls()
@@ -85,7 +85,7 @@
 		_, err := hinted.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 
-		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		hinted = newTestBook(table, "b")
 		hinted.accountOf("p").addHints(exhaustedRows())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -144,10 +144,10 @@
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
 		_, err := books[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
-		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		var reported []Holder
 		claim.Tokens, claim.Continues = 10_000, true
-		claim.Named = func(others []Holder) { reported = others }
+		claim.OnHolders = func(others []Holder) { reported = others }
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err = books[1].Reserve(ctx, claim)
--- a/internal/budget/latency_test.go
+++ b/internal/budget/latency_test.go
@@ -21,7 +21,7 @@
 
 // HandOver implements Peers.
 func (d delayedPeers) HandOver(ctx context.Context, address string, request HandOverRequest) (HandOverAnswer, error) {
-	if err := wait.For(ctx, d.delay); err != nil {
+	if err := wait.Sleep(ctx, d.delay); err != nil {
 		return HandOverAnswer{}, err
 	}
 	return d.Peers.HandOver(ctx, address, request)
@@ -29,8 +29,8 @@
 
 // delayedBook returns a book whose peers answer after delay and whose request timeout is
 // adapted to that.
-func (c *cluster) delayedBook(process string, delay time.Duration) *Book {
-	return NewBook(Options{
+func (c *cluster) delayedBook(process string, delay time.Duration) *Accounts {
+	return NewAccounts(Options{
 		Store: c.table, Self: Holder{Process: process, Address: process}, Peers: delayedPeers{c, delay},
 		Patience: func(_ string, least, most time.Duration) time.Duration { return min(max(delay+delay/4, least), most) },
 	})
@@ -50,7 +50,7 @@
 				claim.Continues = true
 				reservation, err = nodes.delayedBook("b", delay).Reserve(t.Context(), claim)
 				require.NoError(t, err)
-				require.True(t, reservation.Handed)
+				require.True(t, reservation.HandedOver)
 			})
 		})
 	}
@@ -73,6 +73,6 @@
 		require.Error(t, err)
 		reservation, err = two.Reserve(t.Context(), claim)
 		require.NoError(t, err)
-		require.True(t, reservation.Handed)
+		require.True(t, reservation.HandedOver)
 	})
 }
--- a/internal/budget/locate_test.go
+++ b/internal/budget/locate_test.go
@@ -23,7 +23,7 @@
 }
 
 // Locate implements Locator.
-func (l fakeLocator) Locate(_ context.Context, program string) (located Located) {
+func (l fakeLocator) Locate(_ context.Context, program string) (located LocateResult) {
 	*l.calls++
 	for _, holder := range l.askers[program] {
 		if holder != l.self {
@@ -35,16 +35,16 @@
 	return located
 }
 
-// NoteSpent implements Locator.
-func (l fakeLocator) NoteSpent(program string, tokens int) {
+// RecordRefusal implements Locator.
+func (l fakeLocator) RecordRefusal(program string, tokens int) {
 	l.refused[program], l.refusedAt[program] = tokens, time.Now()
 }
 
-// NoteReturned implements Locator.
-func (l fakeLocator) NoteReturned(_ context.Context, program string) { delete(l.refused, program) }
+// RecordReturned implements Locator.
+func (l fakeLocator) RecordReturned(_ context.Context, program string) { delete(l.refused, program) }
 
 // newLocatedBooks returns books that share a locator and have not seen each other.
-func newLocatedBooks(table *storetest.Table, count int) (books []*Book, calls *int) {
+func newLocatedBooks(table *storetest.Table, count int) (books []*Accounts, calls *int) {
 	nodes := newCluster(table)
 	calls = new(int)
 	shared := fakeLocator{askers: map[string][]Holder{}, calls: calls, refused: map[string]int{}, refusedAt: map[string]time.Time{}}
@@ -73,9 +73,9 @@
 			reservation, err = book.Reserve(ctx, claim)
 			cancel()
 			require.NoError(t, err, "no node has seen another before")
-			require.True(t, reservation.Handed)
-			require.True(t, reservation.Located)
-			require.Equal(t, "w1", reservation.Home)
+			require.True(t, reservation.HandedOver)
+			require.True(t, reservation.LocatorUsed)
+			require.Equal(t, "w1", reservation.LastWorker)
 			reservation.Settle(100, "w1")
 		}
 	})
@@ -146,7 +146,7 @@
 func TestTurnSmallerThanTheRefusedOneIsTried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		books, _ := newLocatedBooks(storetest.New(), 2)
-		books[0].options.Locator.NoteSpent("p", 600)
+		books[0].options.Locator.RecordRefusal("p", 600)
 		reservation, err := books[1].Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 300})
 		require.NoError(t, err)
 		reservation.Settle(300, "w1")
--- a/internal/budget/overdraft_test.go
+++ b/internal/budget/overdraft_test.go
@@ -96,7 +96,7 @@
 // particular share.
 func TestReserveSucceedsWhileAnyShareIsDown(t *testing.T) {
 	for down := range shareCount {
-		for _, failure := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken} {
+		for _, failure := range []storetest.Fault{storetest.Refused, storetest.RequestLost, storetest.ConnectionReset} {
 			synctest.Test(t, func(t *testing.T) {
 				table := storetest.New()
 				failing := rowKey("p", down).Part
--- a/internal/budget/owned.go
+++ b/internal/budget/owned.go
@@ -106,7 +106,7 @@
 // requestGrant asks the owner for its part of the budget, unless the owner has already
 // answered this turn. It reports whether the turn's tokens are reserved. The caller holds
 // account.sharesLock.
-func (b *Book) requestGrant(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
+func (b *Accounts) requestGrant(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
 	part := ownedPart(claim.Budget)
 	if b.options.Granter == nil || part == 0 || sources.ownerAnswered || account.shortfall(claim.Tokens) <= 0 {
 		return false
@@ -136,7 +136,7 @@
 // startGrant returns the account's running request to the owner, or starts one. The
 // request continues if the turn gives up. Its tokens are then available to the next turn,
 // and to other nodes, which the owner refers to this process.
-func (b *Book) startGrant(account *account, part int) *grantCall {
+func (b *Accounts) startGrant(account *account, part int) *grantCall {
 	account.mutex.Lock()
 	defer account.mutex.Unlock()
 	if account.grantInFlight != nil {
@@ -152,7 +152,7 @@
 }
 
 // runGrant sends the request up to grantAttempts times, until the owner answers.
-func (b *Book) runGrant(account *account, call *grantCall, part int, number uint64) {
+func (b *Accounts) runGrant(account *account, call *grantCall, part int, number uint64) {
 	for range grantAttempts {
 		call.answer, call.ok = b.options.Granter.Grant(context.Background(), account.program, part, number)
 		if call.ok {
@@ -171,13 +171,13 @@
 
 // ownerUnanswered reports whether an owner may grant tokens to the program but has not
 // answered.
-func (b *Book) ownerUnanswered(claim Claim, sources *tokenSources) bool {
+func (b *Accounts) ownerUnanswered(claim Claim, sources *tokenSources) bool {
 	return b.options.Granter != nil && ownedPart(claim.Budget) > 0 && !sources.ownerAnswered
 }
 
 // recordShareResult records whether a call for a share was answered. Throttling counts as
 // an answer.
-func (b *Book) recordShareResult(err error) {
+func (b *Accounts) recordShareResult(err error) {
 	if err == nil || errors.Is(err, store.ErrThrottled) {
 		b.shareFailures.Store(0)
 		return
@@ -191,7 +191,7 @@
 
 // storeUnavailable reports whether recent calls to the store, for any program, went
 // unanswered.
-func (b *Book) storeUnavailable() bool {
+func (b *Accounts) storeUnavailable() bool {
 	if table, ok := b.options.Store.(suspectReporter); ok && table.Suspect() {
 		return true
 	}
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -91,7 +91,7 @@
 // requestFromHolders asks the processes that may hold tokens of the program, one after
 // the other, until the turn has enough or maxRequestsPerTurn is reached. The caller holds
 // account.sharesLock.
-func (b *Book) requestFromHolders(ctx context.Context, account *account, tokens int, sources *tokenSources) {
+func (b *Accounts) requestFromHolders(ctx context.Context, account *account, tokens int, sources *tokenSources) {
 	if b.options.Peers == nil {
 		return
 	}
@@ -111,9 +111,9 @@
 }
 
 // requestFromLocated asks the processes that the locator returns, once a turn.
-func (b *Book) requestFromLocated(ctx context.Context, account *account, tokens int, sources *tokenSources) (located Located) {
+func (b *Accounts) requestFromLocated(ctx context.Context, account *account, tokens int, sources *tokenSources) (located LocateResult) {
 	if b.options.Locator == nil || sources.locatorAsked || account.shortfall(tokens) <= 0 {
-		return Located{}
+		return LocateResult{}
 	}
 	sources.locatorAsked = true
 	located = b.options.Locator.Locate(ctx, account.program)
@@ -129,7 +129,7 @@
 
 // broadcastRequest asks recent peers in parallel, once a turn, when the store cannot say
 // which of them ran the program. It keeps running programs going during a store outage.
-func (b *Book) broadcastRequest(ctx context.Context, account *account, tokens int, sources *tokenSources) {
+func (b *Accounts) broadcastRequest(ctx context.Context, account *account, tokens int, sources *tokenSources) {
 	missing := account.shortfall(tokens)
 	if b.options.Peers == nil || sources.broadcastDone || missing <= 0 || !b.broadcastLimiter.Allow() {
 		return
@@ -151,7 +151,7 @@
 }
 
 // addPeers records processes as recently seen.
-func (b *Book) addPeers(holders ...Holder) {
+func (b *Accounts) addPeers(holders ...Holder) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for _, holder := range holders {
@@ -161,12 +161,12 @@
 	}
 }
 
-// Met returns the recently seen processes that are not known to be unresponsive, at most
+// RecentPeers returns the recently seen processes that are not known to be unresponsive, at most
 // maxBroadcastPeers: those in this process's region first, then the newest.
-func (b *Book) Met() []Holder { return b.reachablePeers(nil) }
+func (b *Accounts) RecentPeers() []Holder { return b.reachablePeers(nil) }
 
 // reachablePeers is Met without the processes in asked.
-func (b *Book) reachablePeers(asked []string) []Holder {
+func (b *Accounts) reachablePeers(asked []string) []Holder {
 	b.mutex.Lock()
 	nodes := slices.Clone(b.recentPeers)
 	b.mutex.Unlock()
@@ -174,12 +174,12 @@
 	nodes = slices.DeleteFunc(nodes, func(holder Holder) bool {
 		return slices.Contains(asked, holder.Process) || b.isUnresponsive(holder)
 	})
-	locality.NearFirst(b.options.Vantage, nodes, Holder.Zone)
+	locality.OwnRegionFirst(b.options.Vantage, nodes, Holder.Zone)
 	return nodes[:min(len(nodes), maxBroadcastPeers)]
 }
 
 // nextHolder returns the first responsive holder that this turn has not asked.
-func (b *Book) nextHolder(account *account, sources *tokenSources) (Holder, bool) {
+func (b *Accounts) nextHolder(account *account, sources *tokenSources) (Holder, bool) {
 	for _, holder := range b.responsiveHolders(account) {
 		if !slices.Contains(sources.askedProcesses, holder.Process) {
 			return holder, true
@@ -190,18 +190,18 @@
 
 // responsiveHolders returns the other processes that may hold tokens and are not known to
 // be unresponsive: those in this process's region first, then the newest.
-func (b *Book) responsiveHolders(account *account) []Holder {
+func (b *Accounts) responsiveHolders(account *account) []Holder {
 	holders := account.knownHolders()
 	slices.Reverse(holders)
-	locality.NearFirst(b.options.Vantage, holders, Holder.Zone)
+	locality.OwnRegionFirst(b.options.Vantage, holders, Holder.Zone)
 	return slices.DeleteFunc(holders, func(holder Holder) bool {
 		return holder.Process == b.options.Self.Process || b.isUnresponsive(holder)
 	})
 }
 
 // requestFrom asks one process and reports whether it handed tokens over.
-func (b *Book) requestFrom(ctx context.Context, account *account, holder Holder, missing int) bool {
-	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(holder.Process, minRequestTimeout, maxRequestTimeout))
+func (b *Accounts) requestFrom(ctx context.Context, account *account, holder Holder, missing int) bool {
+	limited, cancel := context.WithTimeout(ctx, b.options.Patience.For(holder.Process, minRequestTimeout, maxRequestTimeout))
 	defer cancel()
 	answer, err := b.options.Peers.HandOver(limited, holder.Address, HandOverRequest{
 		Process: holder.Process,
@@ -231,7 +231,7 @@
 }
 
 // HandOver transfers free tokens of this node to the requesting process.
-func (b *Book) HandOver(ctx context.Context, request HandOverRequest) HandOverAnswer {
+func (b *Accounts) HandOver(ctx context.Context, request HandOverRequest) HandOverAnswer {
 	if request.Process != b.options.Self.Process || request.Tokens <= 0 {
 		return HandOverAnswer{}
 	}
@@ -250,7 +250,7 @@
 
 // resolveInDoubt reads the rows with transactions in doubt to find out which of them took
 // effect. It does nothing if sharesLock is held.
-func (b *Book) resolveInDoubt(ctx context.Context, account *account) {
+func (b *Accounts) resolveInDoubt(ctx context.Context, account *account) {
 	select {
 	case account.sharesLock <- struct{}{}:
 	default:
--- a/internal/budget/row.go
+++ b/internal/budget/row.go
@@ -73,7 +73,7 @@
 	if stored.Version == 0 {
 		return decoded, nil
 	}
-	_, payload, err := store.CutExpiry(stored.Value)
+	_, payload, err := store.SplitExpiry(stored.Value)
 	if err != nil {
 		return decoded, err
 	}
--- a/internal/budget/share.go
+++ b/internal/budget/share.go
@@ -74,7 +74,7 @@
 		found, err = s.applyStored(refused.Find(s.key))
 		return found, false, err
 	}
-	if errors.Is(err, store.ErrNotDone) {
+	if errors.Is(err, store.ErrNotApplied) {
 		s.inDoubt = slices.DeleteFunc(s.inDoubt, func(c change) bool { return c == planned })
 	}
 	if err != nil {
--- a/internal/budget/silence.go
+++ b/internal/budget/silence.go
@@ -10,7 +10,7 @@
 }
 
 // isUnresponsive reports whether a process is in its backoff after an unanswered request.
-func (b *Book) isUnresponsive(holder Holder) bool {
+func (b *Accounts) isUnresponsive(holder Holder) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return time.Now().Before(b.unresponsive[holder.Process].retryAt)
@@ -18,7 +18,7 @@
 
 // markUnresponsive records that a request to a process failed. timedOut distinguishes a
 // timeout from a failed connection.
-func (b *Book) markUnresponsive(holder Holder, timedOut bool) {
+func (b *Accounts) markUnresponsive(holder Holder, timedOut bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := time.Now()
@@ -32,7 +32,7 @@
 }
 
 // markResponsive records that a process answered.
-func (b *Book) markResponsive(holder Holder) {
+func (b *Accounts) markResponsive(holder Holder) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	delete(b.unresponsive, holder.Process)
@@ -40,7 +40,7 @@
 
 // mayRecover reports whether a process that may hold tokens of the program became
 // unresponsive so recently that it may still hand them over.
-func (b *Book) mayRecover(account *account) bool {
+func (b *Accounts) mayRecover(account *account) bool {
 	holders := account.knownHolders()
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/budget/throttle_test.go
+++ b/internal/budget/throttle_test.go
@@ -29,7 +29,7 @@
 			return storetest.None
 		})
 		book := newTestBook(table, "a")
-		claim := Claim{Program: "p", Budget: 1000, Tokens: 100, Kept: true}
+		claim := Claim{Program: "p", Budget: 1000, Tokens: 100, MustPersist: true}
 		limited, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		_, err := book.Reserve(limited, claim)
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -154,7 +154,7 @@
 		if elsewhere(failure) {
 			c.current.Add(1)
 		}
-		if wait.For(ctx, max(delays.NextBackOff(), jittered(failure.RetryAfter))) != nil {
+		if wait.Sleep(ctx, max(delays.NextBackOff(), jittered(failure.RetryAfter))) != nil {
 			return failure
 		}
 	}
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -48,7 +48,7 @@
 	var found error
 	delays := newDelays()
 	for tries := 1; c.mayHaveRun(ctx, err) && tries < c.options.Attempts; tries++ {
-		if tries > 1 && wait.For(ctx, delays.NextBackOff()) != nil {
+		if tries > 1 && wait.Sleep(ctx, delays.NextBackOff()) != nil {
 			break
 		}
 		s.answer.Resumes++
--- a/internal/config/cluster_test.go
+++ b/internal/config/cluster_test.go
@@ -38,7 +38,7 @@
 	t.mutex.Lock()
 	latency, down := t.latency, t.down
 	t.mutex.Unlock()
-	if wait.For(ctx, latency) != nil || down {
+	if wait.Sleep(ctx, latency) != nil || down {
 		return fault.New(fault.Unavailable, "table down", "wait")
 	}
 	return nil
@@ -172,7 +172,7 @@
 		if err == nil || fault.From(err).Ran != fault.RanNo || !(fault.Is(err, fault.NotLeader) || fault.Is(err, fault.Unavailable)) {
 			return err
 		}
-		if wait.For(ctx, 50*time.Millisecond) != nil {
+		if wait.Sleep(ctx, 50*time.Millisecond) != nil {
 			return fault.New(fault.Unavailable, "no leader found", "try again")
 		}
 	}
@@ -291,8 +291,8 @@
 	c.mutex.Lock()
 	c.tableCut = isolated
 	c.mutex.Unlock()
-	c.network.SetJudge(func(from, to peer.Address, _ string) peer.Verdict {
-		return peer.Verdict{Delay: time.Millisecond, Drop: isolated[id.Node(from)] != isolated[id.Node(to)]}
+	c.network.SetFaultInjector(func(from, to peer.Address, _ string) peer.InjectedFault {
+		return peer.InjectedFault{Delay: time.Millisecond, Drop: isolated[id.Node(from)] != isolated[id.Node(to)]}
 	})
 }
 
--- a/internal/config/scale_test.go
+++ b/internal/config/scale_test.go
@@ -24,12 +24,12 @@
 		for _, n := range c.nodes {
 			dead[n.member.Address] = n.member.Zone == deadZone
 		}
-		c.network.SetJudge(func(from, to peer.Address, method string) peer.Verdict {
+		c.network.SetFaultInjector(func(from, to peer.Address, method string) peer.InjectedFault {
 			sent.Add(1)
 			c.mutex.Lock()
 			lost := random.Float64() < loss
 			c.mutex.Unlock()
-			return peer.Verdict{Delay: 2 * time.Millisecond, Drop: dead[from] || dead[to] || lost}
+			return peer.InjectedFault{Delay: 2 * time.Millisecond, Drop: dead[from] || dead[to] || lost}
 		})
 		began := time.Now()
 		for i := range 5 {
--- a/internal/config/service_test.go
+++ b/internal/config/service_test.go
@@ -237,8 +237,8 @@
 
 func TestHeartbeatsAloneSpreadAVersion(t *testing.T) {
 	run(t, 4, func(c *cluster) {
-		c.network.SetJudge(func(_, _ peer.Address, method string) peer.Verdict {
-			return peer.Verdict{Drop: method == MethodPush || method == MethodHead}
+		c.network.SetFaultInjector(func(_, _ peer.Address, method string) peer.InjectedFault {
+			return peer.InjectedFault{Drop: method == MethodPush || method == MethodHead}
 		})
 		_, err := c.apply(c.nodes[0], ApplyRequest{Change: marketTemplate(1)})
 		require.NoError(t, err)
--- a/internal/config/spread.go
+++ b/internal/config/spread.go
@@ -40,7 +40,7 @@
 	for len(missing) > 0 {
 		missing = s.push(ctx, s.toPush(), missing)
 		missing = stillThere(s.options.Members(), missing)
-		if s.Current().Version > head || len(missing) == 0 || wait.For(ctx, pushRetry) != nil {
+		if s.Current().Version > head || len(missing) == 0 || wait.Sleep(ctx, pushRetry) != nil {
 			break
 		}
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -60,7 +60,7 @@
 // Answer is the owner's reply to a Request.
 type Answer struct {
 	Owner   bool // whether the receiver owns the slot; if false, the other fields are empty
-	Located budget.Located
+	Located budget.LocateResult
 	RanBy   budget.Holder // process that ran the turn Request.After; empty Process if unknown
 }
 
@@ -75,12 +75,12 @@
 	Self  budget.Holder
 	Peers Peers
 	// Patience gives the response times observed per process; nil if not measured.
-	Patience wait.Patience
+	Patience wait.TimeoutFunc
 	// Vantage is the location of this node, which owns slots of its own region only.
-	Vantage locality.Vantage
-	// LentFor is how long a loan stays in effect. Once a process has owned a slot for longer,
+	Vantage locality.Location
+	// PermitDuration is how long a loan stays in effect. Once a process has owned a slot for longer,
 	// loans made by its predecessors have expired.
-	LentFor time.Duration
+	PermitDuration time.Duration
 	// Grants sends grant requests to other nodes. CountGrant, if not nil, is called with the
 	// outcome of each grant request that this node answers.
 	Grants     GrantPeers
@@ -117,7 +117,7 @@
 type owner struct {
 	budget.Holder
 	revision store.Version
-	lending  Bequest
+	lending  PriorPermits
 	grants   grants
 }
 
@@ -131,7 +131,7 @@
 }
 
 // located returns the entry as a hint for asker, leaving out asker itself.
-func (e *entry) located(asker budget.Holder, now time.Time) (located budget.Located) {
+func (e *entry) located(asker budget.Holder, now time.Time) (located budget.LocateResult) {
 	for _, holder := range slices.Backward(e.holders) {
 		if holder != asker {
 			located.Holders = append(located.Holders, holder)
@@ -166,12 +166,12 @@
 
 // New returns a directory whose slots have not been read yet; Run reads them.
 func New(options Options) *Directory {
-	layout := NewLayout(options.Vantage.Places)
+	layout := NewLayout(options.Vantage.Zones)
 	return &Directory{
 		options:     options,
 		layout:      layout,
-		region:      layout.index(options.Vantage.Region()),
-		owners:      make([]owner, layout.Count()),
+		region:      layout.index(options.Vantage.OwnRegion()),
+		owners:      make([]owner, layout.SlotCount()),
 		refreshNow:  make(chan struct{}, 1),
 		suspicions:  map[int]suspicion{},
 		entries:     map[string]*entry{},
@@ -185,17 +185,17 @@
 
 // Locate implements budget.Locator. It returns nothing if the owner of the program's slot is
 // unknown or does not answer.
-func (d *Directory) Locate(ctx context.Context, program string) budget.Located {
+func (d *Directory) Locate(ctx context.Context, program string) budget.LocateResult {
 	return d.ask(ctx, Request{Program: program, From: d.options.Self}).Located
 }
 
-// NoteSpent implements budget.Locator. It does not wait for the owner's answer.
-func (d *Directory) NoteSpent(program string, tokens int) {
+// RecordRefusal implements budget.Locator. It does not wait for the owner's answer.
+func (d *Directory) RecordRefusal(program string, tokens int) {
 	go d.ask(context.Background(), Request{Program: program, From: d.options.Self, Spent: tokens})
 }
 
-// NoteReturned implements budget.Locator.
-func (d *Directory) NoteReturned(ctx context.Context, program string) {
+// RecordReturned implements budget.Locator.
+func (d *Directory) RecordReturned(ctx context.Context, program string) {
 	d.ask(ctx, Request{Program: program, From: d.options.Self, Returned: true})
 }
 
@@ -209,24 +209,24 @@
 	}
 	request.Process = asked.Process
 	if asked.Process == d.options.Self.Process {
-		return d.Answer(request)
+		return d.HandleRequest(request)
 	}
-	limited, cancel := context.WithTimeout(ctx, d.options.Patience.Of(asked.Process, minLocateTimeout, maxLocateTimeout))
+	limited, cancel := context.WithTimeout(ctx, d.options.Patience.For(asked.Process, minLocateTimeout, maxLocateTimeout))
 	defer cancel()
 	answer, err := d.options.Peers.Locate(limited, asked.Address, request)
 	if ctx.Err() != nil {
 		return Answer{}
 	}
 	if err != nil || !answer.Owner {
-		d.Missed(slot, asked)
+		d.RecordNoAnswer(slot, asked)
 		return Answer{}
 	}
-	d.Heard(slot)
+	d.RecordAnswer(slot)
 	return answer
 }
 
-// Answer handles a request from another node.
-func (d *Directory) Answer(request Request) Answer {
+// HandleRequest handles a request from another node.
+func (d *Directory) HandleRequest(request Request) Answer {
 	slot := request.Slot
 	if !request.Probe {
 		slot = d.slotOf(request.Program)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -30,7 +30,7 @@
 	cancels           map[string]context.CancelFunc
 	isolated          map[string]bool // nodes whose messages are dropped
 	slow              map[string]bool // nodes whose messages are delayed by slowMessage
-	places            *locality.Map
+	places            *locality.ZoneMap
 	zones             map[string]string // by node address
 	partitionedRegion string            // region that is partitioned from the others; empty if none
 	starts            int
@@ -58,7 +58,7 @@
 		Self:    budget.Holder{Process: fmt.Sprintf("p%d", c.starts), Address: address},
 		Peers:   clusterPeers{c, address},
 		Grants:  clusterPeers{c, address},
-		Vantage: locality.Vantage{Places: c.places, Zone: c.zones[address]},
+		Vantage: locality.Location{Zones: c.places, Zone: c.zones[address]},
 		Logger:  &log.Logger{Handler: discard.New()},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -124,7 +124,7 @@
 	if !ok || partitioned {
 		return Answer{}, errDown
 	}
-	return d.Answer(request), nil
+	return d.HandleRequest(request), nil
 }
 
 func programOf(index int) string { return fmt.Sprintf("program-%d", index) }
@@ -301,7 +301,7 @@
 		var count atomic.Int64 // several nodes call at once
 		c.table.SetFault(func(_ string, write bool) storetest.Fault {
 			if count.Add(1)%3 == 0 && write {
-				return storetest.Applied
+				return storetest.AppliedThenReset
 			}
 			return storetest.None
 		})
@@ -318,12 +318,12 @@
 		c := newCluster(3)
 		defer c.stop()
 		time.Sleep(10 * time.Second)
-		c.node(0).NoteSpent("p", 580)
+		c.node(0).RecordRefusal("p", 580)
 		time.Sleep(300 * time.Millisecond)
 		located := c.node(1).Locate(t.Context(), "p")
 		require.Equal(t, 580, located.Spent)
 		require.Equal(t, 300*time.Millisecond, located.SpentAgo)
-		c.node(2).NoteReturned(t.Context(), "p")
+		c.node(2).RecordReturned(t.Context(), "p")
 		require.Zero(t, c.node(1).Locate(t.Context(), "p").Spent)
 	})
 }
--- a/internal/directory/grant.go
+++ b/internal/directory/grant.go
@@ -104,12 +104,12 @@
 
 // Outcomes of a grant request.
 const (
-	GrantMade     GrantOutcome = "granted"  // the part was granted
-	GrantRepeated GrantOutcome = "repeated" // a retry of a request that was granted before
-	GrantTaken    GrantOutcome = "taken"    // this owner's part was already granted to another request
-	GrantDoubt    GrantOutcome = "doubt"    // earlier owners may have granted all parts
-	GrantLapsed   GrantOutcome = "lapsed"   // the last read of the slots is older than maxGrantStaleness
-	GrantFull     GrantOutcome = "full"     // maxGrants grants are remembered already
+	GrantMade      GrantOutcome = "granted"  // the part was granted
+	GrantRepeated  GrantOutcome = "repeated" // a retry of a request that was granted before
+	GrantTaken     GrantOutcome = "taken"    // this owner's part was already granted to another request
+	GrantExhausted GrantOutcome = "doubt"    // earlier owners may have granted all parts
+	GrantStale     GrantOutcome = "lapsed"   // the last read of the slots is older than maxGrantStaleness
+	GrantFull      GrantOutcome = "full"     // maxGrants grants are remembered already
 )
 
 // grantRecord is a grant that this process made.
@@ -131,7 +131,7 @@
 	}
 	request := GrantRequest{Process: asked.Process, Program: program, Tokens: tokens, From: d.options.Self, Number: number}
 	if asked.Process == d.options.Self.Process {
-		answer := d.AnswerGrant(request)
+		answer := d.HandleGrantRequest(request)
 		return answer.Grant, answer.Owner
 	}
 	limited, cancel := context.WithTimeout(ctx, grantTimeout)
@@ -141,10 +141,10 @@
 		return budget.Grant{}, false
 	}
 	if err != nil || !answer.Owner {
-		d.Missed(slot, asked)
+		d.RecordNoAnswer(slot, asked)
 		return budget.Grant{}, false
 	}
-	d.Heard(slot)
+	d.RecordAnswer(slot)
 	return answer.Grant, true
 }
 
@@ -153,11 +153,11 @@
 // each part twice.
 func (d *Directory) grantSlotOf(program string) int {
 	hash := xxhash.Sum64String(program)
-	return d.layout.Spread(hash/slotsPerRegion, hash)
+	return d.layout.RoundRobinSlot(hash/slotsPerRegion, hash)
 }
 
-// AnswerGrant handles a grant request from another node.
-func (d *Directory) AnswerGrant(request GrantRequest) GrantAnswer {
+// HandleGrantRequest handles a grant request from another node.
+func (d *Directory) HandleGrantRequest(request GrantRequest) GrantAnswer {
 	slot := d.grantSlotOf(request.Program)
 	if request.Process != d.options.Self.Process || request.Tokens <= 0 {
 		return GrantAnswer{}
@@ -193,9 +193,9 @@
 	}
 	switch {
 	case !known.grants.mayGrant():
-		return budget.Grant{}, GrantDoubt, true
+		return budget.Grant{}, GrantExhausted, true
 	case time.Since(d.lastRead) > maxGrantStaleness:
-		return budget.Grant{}, GrantLapsed, true
+		return budget.Grant{}, GrantStale, true
 	case len(held.granted) >= maxGrants:
 		return budget.Grant{}, GrantFull, true
 	}
@@ -216,9 +216,9 @@
 	}
 }
 
-// GrantRights returns the number of slots that this process owns, and in how many of them it may
+// CountGrantableSlots returns the number of slots that this process owns, and in how many of them it may
 // grant.
-func (d *Directory) GrantRights() (may, owned int) {
+func (d *Directory) CountGrantableSlots() (may, owned int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for slot := range d.ownerships {
--- a/internal/directory/grant_simulation_test.go
+++ b/internal/directory/grant_simulation_test.go
@@ -39,7 +39,7 @@
 // grantNode is a process of a node.
 type grantNode struct {
 	directory *Directory
-	book      *budget.Book
+	book      *budget.Accounts
 	cancel    context.CancelFunc
 	denied    bool // the store refuses this node's calls
 	isolated  bool // partitioned from the other nodes
@@ -73,7 +73,7 @@
 			}
 		},
 	})
-	node.book = budget.NewBook(budget.Options{Store: table, Self: self, Peers: peers, Locator: node.directory, Granter: node.directory})
+	node.book = budget.NewAccounts(budget.Options{Store: table, Self: self, Peers: peers, Locator: node.directory, Granter: node.directory})
 	ctx, cancel := context.WithCancel(context.Background())
 	node.cancel = cancel
 	w.nodes[index] = node
@@ -96,7 +96,7 @@
 // Commit implements store.Store.
 func (s nodeStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	if s.refused() {
-		return 0, store.ErrNotDone
+		return 0, store.ErrNotApplied
 	}
 	return s.Table.Commit(ctx, transaction)
 }
@@ -104,7 +104,7 @@
 // Range implements store.Store.
 func (s nodeStore) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	if s.refused() {
-		return store.Page{}, store.ErrNotDone
+		return store.Page{}, store.ErrNotApplied
 	}
 	return s.Table.Range(ctx, table, part, from, to, limit)
 }
@@ -112,7 +112,7 @@
 // Watch implements store.Store.
 func (s nodeStore) Watch(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Page, error) {
 	if s.refused() {
-		return store.Page{}, store.ErrNotDone
+		return store.Page{}, store.ErrNotApplied
 	}
 	return s.Table.Watch(ctx, table, after, wait)
 }
@@ -153,12 +153,12 @@
 
 // Locate implements Peers.
 func (p simulationPeers) Locate(ctx context.Context, address string, request Request) (Answer, error) {
-	return send(ctx, p, address, func(to *grantNode) Answer { return to.directory.Answer(request) })
+	return send(ctx, p, address, func(to *grantNode) Answer { return to.directory.HandleRequest(request) })
 }
 
 // Grant implements GrantPeers.
 func (p simulationPeers) Grant(ctx context.Context, address string, request GrantRequest) (GrantAnswer, error) {
-	return send(ctx, p, address, func(to *grantNode) GrantAnswer { return to.directory.AnswerGrant(request) })
+	return send(ctx, p, address, func(to *grantNode) GrantAnswer { return to.directory.HandleGrantRequest(request) })
 }
 
 // HandOver implements budget.Peers.
@@ -222,7 +222,7 @@
 	case 8:
 		change(func() { w.lossPercent = w.random.IntN(50) })
 	case 9:
-		w.table.Release(w.draw)
+		w.table.ApplyLate(w.draw)
 	default:
 		change(func() { w.lossPercent, w.storeDown = 0, false })
 	}
@@ -257,12 +257,12 @@
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 		if w.storeDown {
-			return storetest.Silent
+			return storetest.RequestLost
 		}
 		if w.random.IntN(100) >= faulty {
 			return storetest.None
 		}
-		return storetest.Fault(w.random.IntN(int(storetest.Applied) + 1))
+		return storetest.Fault(w.random.IntN(int(storetest.AppliedThenReset) + 1))
 	})
 	for index := range w.nodes {
 		w.start(index)
--- a/internal/directory/grant_test.go
+++ b/internal/directory/grant_test.go
@@ -26,7 +26,7 @@
 	if !ok || partitioned {
 		return GrantAnswer{}, errDown
 	}
-	return d.AnswerGrant(request), nil
+	return d.HandleGrantRequest(request), nil
 }
 
 // grantRequestFor returns a grant request for 100 tokens of a program in the slot.
@@ -66,15 +66,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		require.Equal(t, 100, d.AnswerGrant(grantRequestFor(d, slot, 1)).Grant.Tokens)
-		require.Equal(t, 100, d.AnswerGrant(grantRequestFor(d, slot, 1)).Grant.Tokens, "a retry gets the same tokens")
-		again := d.AnswerGrant(grantRequestFor(d, slot, 2)).Grant
+		require.Equal(t, 100, d.HandleGrantRequest(grantRequestFor(d, slot, 1)).Grant.Tokens)
+		require.Equal(t, 100, d.HandleGrantRequest(grantRequestFor(d, slot, 1)).Grant.Tokens, "a retry gets the same tokens")
+		again := d.HandleGrantRequest(grantRequestFor(d, slot, 2)).Grant
 		require.Equal(t, budget.Grant{Taker: budget.Holder{Process: "asker", Address: "a"}}, again)
 		other := grantRequestFor(d, slot, 1)
 		other.From.Process = "other"
-		require.Zero(t, d.AnswerGrant(other).Grant.Tokens)
+		require.Zero(t, d.HandleGrantRequest(other).Grant.Tokens)
 		other.Process = "one that ended"
-		require.False(t, d.AnswerGrant(other).Owner)
+		require.False(t, d.HandleGrantRequest(other).Owner)
 	})
 }
 
@@ -83,16 +83,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		time.Sleep(10 * time.Minute)
 		grant, ok := c.node(1).Grant(t.Context(), programIn(slot), 100, 1)
 		require.True(t, ok)
 		require.Equal(t, 100, grant.Tokens)
 		time.Sleep(maxGrantStaleness)
-		require.Zero(t, d.AnswerGrant(grantRequestFor(d, slot, 7)).Grant.Tokens)
+		require.Zero(t, d.HandleGrantRequest(grantRequestFor(d, slot, 7)).Grant.Tokens)
 		program := grantRequestFor(d, slot, 8)
 		program.Program = otherProgramIn(slot)
-		require.Zero(t, d.AnswerGrant(program).Grant.Tokens, "later owners may not count this one any more")
+		require.Zero(t, d.HandleGrantRequest(program).Grant.Tokens, "later owners may not count this one any more")
 	})
 }
 
@@ -115,17 +115,17 @@
 		total := 0
 		for number := range uint64(4) {
 			d := c.owned(slot)
-			total += d.AnswerGrant(grantRequestFor(d, slot, number)).Grant.Tokens
+			total += d.HandleGrantRequest(grantRequestFor(d, slot, number)).Grant.Tokens
 			c.restartAll()
 		}
 		require.Equal(t, 100*budget.OwnedParts, total)
 		d := c.owned(slot)
-		may, owned := d.GrantRights()
+		may, owned := d.CountGrantableSlots()
 		require.Positive(t, owned)
 		require.Zero(t, may)
 		time.Sleep(earlierOwnersTTL + 2*time.Hour)
 		d = c.owned(slot)
-		require.Equal(t, 100, d.AnswerGrant(grantRequestFor(d, slot, 9)).Grant.Tokens)
+		require.Equal(t, 100, d.HandleGrantRequest(grantRequestFor(d, slot, 9)).Grant.Tokens)
 	})
 }
 
@@ -169,9 +169,9 @@
 				other = candidate
 			}
 		}
-		require.Equal(t, 100, d.AnswerGrant(grantRequestFor(d, slot, 1)).Grant.Tokens)
+		require.Equal(t, 100, d.HandleGrantRequest(grantRequestFor(d, slot, 1)).Grant.Tokens)
 		d.Leave(t.Context())
-		require.Zero(t, d.AnswerGrant(grantRequestFor(d, other, 2)).Grant.Tokens, "the released row says that nothing was granted")
+		require.Zero(t, d.HandleGrantRequest(grantRequestFor(d, other, 2)).Grant.Tokens, "the released row says that nothing was granted")
 		c.kill(address(0))
 		time.Sleep(time.Minute)
 		require.Equal(t, grants{Known: true, Earlier: 1}, c.owned(slot).slotOwner(slot).grants)
@@ -184,9 +184,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		d.Leave(t.Context())
-		require.Zero(t, d.AnswerGrant(grantRequestFor(d, slot, 1)).Grant.Tokens)
+		require.Zero(t, d.HandleGrantRequest(grantRequestFor(d, slot, 1)).Grant.Tokens)
 	})
 }
 
@@ -197,7 +197,7 @@
 		defer c.stop()
 		c.restartAll()
 		d := c.owned(slot)
-		require.True(t, d.Raise(t.Context(), slot, "tenant"))
+		require.True(t, d.AllowFullLimit(t.Context(), slot, "tenant"))
 		require.Equal(t, grants{Known: true, Earlier: 1}, d.slotOwner(slot).grants)
 	})
 }
@@ -209,11 +209,11 @@
 		defer c.stop()
 		var encoded bytes.Buffer
 		require.NoError(t, gob.NewEncoder(&encoded).Encode(struct{ Process, Address string }{"old", address(0)}))
-		require.NoError(t, c.table.Operate(store.Transaction{Put: []store.Row{{Key: keyOf(5), Value: encoded.Bytes()}}}))
+		require.NoError(t, c.table.CommitWithoutFaults(store.Transaction{Put: []store.Row{{Key: keyOf(5), Value: encoded.Bytes()}}}))
 		d := c.start(address(0))
 		time.Sleep(8 * time.Second)
 		require.Equal(t, grants{Known: true, Earlier: budget.OwnedParts}, d.slotOwner(5).grants)
-		require.Zero(t, d.AnswerGrant(grantRequestFor(d, 5, 1)).Grant.Tokens)
+		require.Zero(t, d.HandleGrantRequest(grantRequestFor(d, 5, 1)).Grant.Tokens)
 	})
 }
 
@@ -225,7 +225,7 @@
 		program := programOf(index)
 		var slot int
 		for _, zone := range []string{"a1", "b1", "c1"} {
-			d := New(Options{Vantage: locality.Vantage{Places: places, Zone: zone}})
+			d := New(Options{Vantage: locality.Location{Zones: places, Zone: zone}})
 			if zone != "a1" {
 				require.Equal(t, slot, d.grantSlotOf(program))
 			}
--- a/internal/directory/layout.go
+++ b/internal/directory/layout.go
@@ -16,13 +16,13 @@
 }
 
 // NewLayout returns the layout of the regions in places; a nil map is a single region.
-func NewLayout(places *locality.Map) Layout { return Layout{regions: places.Regions()} }
+func NewLayout(places *locality.ZoneMap) Layout { return Layout{regions: places.Regions()} }
 
-// Count returns the number of slots of all regions.
-func (l Layout) Count() int { return l.count() * slotsPerRegion }
+// SlotCount returns the number of slots of all regions.
+func (l Layout) SlotCount() int { return l.count() * slotsPerRegion }
 
-// Regions returns the number of regions that have slots, at least one.
-func (l Layout) Regions() int { return l.count() }
+// RegionCount returns the number of regions that have slots, at least one.
+func (l Layout) RegionCount() int { return l.count() }
 
 func (l Layout) count() int { return max(1, len(l.regions)) }
 
@@ -32,10 +32,10 @@
 	return l.index(region)*slotsPerRegion + SlotOf(hash)
 }
 
-// Spread returns the slot that a hash falls into, within the region number selector modulo the number
+// RoundRobinSlot returns the slot that a hash falls into, within the region number selector modulo the number
 // of regions. It is for keys that have one slot over all regions instead of one per region;
 // consecutive selectors spread them over the regions.
-func (l Layout) Spread(selector, hash uint64) int {
+func (l Layout) RoundRobinSlot(selector, hash uint64) int {
 	return int(selector%uint64(l.count()))*slotsPerRegion + SlotOf(hash)
 }
 
@@ -59,8 +59,8 @@
 	return int(xxhash.Sum64String(region) % uint64(len(l.regions)))
 }
 
-// Of returns the slots of a region.
-func (l Layout) Of(region string) []int {
+// SlotsOf returns the slots of a region.
+func (l Layout) SlotsOf(region string) []int {
 	first := l.index(region) * slotsPerRegion
 	listed := make([]int, slotsPerRegion)
 	for offset := range listed {
--- a/internal/directory/lease.go
+++ b/internal/directory/lease.go
@@ -19,37 +19,39 @@
 // store. It is also how long the slot lends nothing after it was taken over from a failed owner.
 const leaseDuration = 4 * time.Second
 
-// LongestLease is how long a process that lost a slot without noticing may go on lending.
-const LongestLease = leaseDuration
+// MaxLeaseDuration is how long a process that lost a slot without noticing may go on lending.
+const MaxLeaseDuration = leaseDuration
 
 // ownership is a continuous ownership of a slot by this process.
 type ownership struct {
-	number      uint64    // increases with each acquisition by this process
-	lendFrom    time.Time // earliest time to lend; earlier owners' leases have expired by then
-	confirmedAt time.Time // send time of the last request that confirmed the ownership; zero if none
-	before      Bequest   // what earlier owners may have lent
-	acquiredAt  time.Time // when this process acquired the slot
+	number      uint64       // increases with each acquisition by this process
+	lendFrom    time.Time    // earliest time to lend; earlier owners' leases have expired by then
+	confirmedAt time.Time    // send time of the last request that confirmed the ownership; zero if none
+	before      PriorPermits // what earlier owners may have lent
+	acquiredAt  time.Time    // when this process acquired the slot
 	// granted holds the grants made, by program.
 	granted map[string]grantRecord
 }
 
-// Bequest is what a new owner must assume its predecessors to have lent. It always
+// PriorPermits is what a new owner must assume its predecessors to have lent. It always
 // assumes ordinary lending, up to a part of each limit, which needs no record in the store.
-type Bequest struct {
-	All    bool     // the full limit of every tenant
-	Raised []string // tenants whose full limit may be lent
+type PriorPermits struct {
+	All              bool     // the full limit of every tenant
+	FullLimitTenants []string // tenants whose full limit may be lent
 }
 
-// Lent reports whether the full limit of a tenant may have been lent.
-func (b Bequest) Lent(tenant string) bool { return b.All || slices.Contains(b.Raised, tenant) }
+// MayHaveIssued reports whether the full limit of a tenant may have been lent.
+func (b PriorPermits) MayHaveIssued(tenant string) bool {
+	return b.All || slices.Contains(b.FullLimitTenants, tenant)
+}
 
 // Lease is an owner's right to lend out of the limits that belong to a slot.
 type Lease struct {
-	Number uint64    // identifies the ownership; differs if the slot was lost and acquired again
-	Since  time.Time // start of the lease; earlier owners lend nothing from then on
-	Until  time.Time // end of the lease unless it is renewed
-	Before Bequest   // what earlier owners may have lent
-	Raised []string  // tenants whose full limit may be lent, as recorded in the store
+	Number           uint64       // identifies the ownership; differs if the slot was lost and acquired again
+	Since            time.Time    // start of the lease; earlier owners lend nothing from then on
+	Until            time.Time    // end of the lease unless it is renewed
+	Prior            PriorPermits // what earlier owners may have lent
+	FullLimitTenants []string     // tenants whose full limit may be lent, as recorded in the store
 }
 
 // Valid reports whether the owner may lend at time now.
@@ -64,11 +66,11 @@
 		return Lease{}, false
 	}
 	return Lease{
-		Number: held.number,
-		Since:  held.lendFrom,
-		Until:  held.confirmedAt.Add(leaseDuration),
-		Before: held.before,
-		Raised: d.owners[slot].lending.Raised,
+		Number:           held.number,
+		Since:            held.lendFrom,
+		Until:            held.confirmedAt.Add(leaseDuration),
+		Prior:            held.before,
+		FullLimitTenants: d.owners[slot].lending.FullLimitTenants,
 	}, true
 }
 
@@ -98,8 +100,8 @@
 	return claims
 }
 
-// Proven renews the leases of the claims that the store confirmed in a request sent at time sent.
-func (d *Directory) Proven(claims []store.Condition, sent time.Time) {
+// ConfirmClaims renews the leases of the claims that the store confirmed in a request sent at time sent.
+func (d *Directory) ConfirmClaims(claims []store.Condition, sent time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for slot, held := range d.ownerships {
@@ -110,9 +112,9 @@
 	}
 }
 
-// Disproven handles a conflict on a request sent at time sent with claims as conditions. It applies
+// HandleConflict handles a conflict on a request sent at time sent with claims as conditions. It applies
 // the rows in the conflict and renews the leases of the claims that did hold.
-func (d *Directory) Disproven(claims []store.Condition, conflict *store.Conflict, sent time.Time) {
+func (d *Directory) HandleConflict(claims []store.Condition, conflict *store.Conflict, sent time.Time) {
 	var proven []store.Condition
 	for _, claim := range claims {
 		stored := conflict.Find(claim.Key)
@@ -122,7 +124,7 @@
 		}
 		d.applyRow(stored)
 	}
-	d.Proven(proven, sent)
+	d.ConfirmClaims(proven, sent)
 }
 
 // updateOwnership begins or ends this process's ownership of a slot after its row has changed from
@@ -138,7 +140,7 @@
 	d.acquisitions++
 	held := &ownership{number: d.acquisitions, lendFrom: time.Now(), acquiredAt: time.Now(), before: before.lending}
 	if before.Process == d.options.Self.Process {
-		held.before = Bequest{All: true} // the response to the claim was lost, and the previous row with it
+		held.before = PriorPermits{All: true} // the response to the claim was lost, and the previous row with it
 	}
 	mayLive := before.Process != "" && before.Address != d.options.Self.Address
 	switch {
@@ -159,10 +161,10 @@
 	clear(d.ownerships)
 }
 
-// Settle clears Unsettled in the row of one slot that this process has owned for so long that all
+// MarkSettled clears Unsettled in the row of one slot that this process has owned for so long that all
 // loans of its predecessors have expired. It reports whether there was such a slot, also if the
 // write failed.
-func (d *Directory) Settle(ctx context.Context) bool {
+func (d *Directory) MarkSettled(ctx context.Context) bool {
 	slot, ok := d.slotToSettle()
 	if !ok {
 		return false
@@ -186,13 +188,13 @@
 // caller must hold d.mutex.
 func (d *Directory) priorLoansExpired(slot int) bool {
 	held, ok := d.ownerships[slot]
-	return ok && time.Since(held.lendFrom) > d.options.LentFor
+	return ok && time.Since(held.lendFrom) > d.options.PermitDuration
 }
 
-// Raise records in the store that the full limit of a tenant may be lent from now on, so that the
+// AllowFullLimit records in the store that the full limit of a tenant may be lent from now on, so that the
 // slot's next owner takes it into account. Lease shows the tenant once the store has it. Raise
 // returns true if the store has confirmed the write; no earlier write can take effect after that.
-func (d *Directory) Raise(ctx context.Context, slot int, tenant string) bool {
+func (d *Directory) AllowFullLimit(ctx context.Context, slot int, tenant string) bool {
 	return d.rewrite(ctx, slot, func(raised []string) []string {
 		if slices.Contains(raised, tenant) {
 			return raised
@@ -201,8 +203,8 @@
 	}, "raised a tenant in the directory slot")
 }
 
-// Lower reverts Raise. The caller must already have stopped lending more than the ordinary part.
-func (d *Directory) Lower(ctx context.Context, slot int, tenant string) {
+// RevokeFullLimit reverts Raise. The caller must already have stopped lending more than the ordinary part.
+func (d *Directory) RevokeFullLimit(ctx context.Context, slot int, tenant string) {
 	d.rewrite(ctx, slot, func(raised []string) []string {
 		return slices.DeleteFunc(slices.Clone(raised), func(name string) bool { return name == tenant })
 	}, "lowered a tenant in the directory slot")
@@ -225,7 +227,7 @@
 	}
 	known := d.owners[slot].lending
 	next := rowOf(d.options.Self)
-	next.Raised = update(known.Raised)
+	next.Raised = update(known.FullLimitTenants)
 	next.Unsettled = known.All && !d.priorLoansExpired(slot)
 	d.mutex.Unlock()
 	written, err := d.put(ctx, slot, next, event)
--- a/internal/directory/lease_test.go
+++ b/internal/directory/lease_test.go
@@ -23,15 +23,15 @@
 	var conflict *store.Conflict
 	switch {
 	case err == nil:
-		d.Proven(claims, sent)
+		d.ConfirmClaims(claims, sent)
 	case errors.As(err, &conflict):
-		d.Disproven(claims, conflict, sent)
+		d.HandleConflict(claims, conflict, sent)
 	}
 }
 
 // ownedSlot returns a slot that a node owns.
 func ownedSlot(t *testing.T, d *Directory) int {
-	for slot := range d.layout.Count() {
+	for slot := range d.layout.SlotCount() {
 		if d.owns(slot) {
 			return slot
 		}
@@ -75,7 +75,7 @@
 		defer c.stop()
 		claims, sent := d.Claims(), time.Now()
 		time.Sleep(leaseDuration)
-		d.Proven(claims, sent)
+		d.ConfirmClaims(claims, sent)
 		require.False(t, leaseValid(d, slot))
 	})
 }
@@ -143,7 +143,7 @@
 		lease, ok := d.Lease(slot)
 		require.True(t, ok)
 		require.True(t, lease.Valid(time.Now()))
-		require.True(t, lease.Before.All, "the previous process had not settled")
+		require.True(t, lease.Prior.All, "the previous process had not settled")
 	})
 }
 
@@ -155,7 +155,7 @@
 		c.table.SetFault(func(_ string, write bool) storetest.Fault {
 			if write && first {
 				first = false
-				return storetest.Applied
+				return storetest.AppliedThenReset
 			}
 			return storetest.None
 		})
@@ -187,12 +187,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		require.True(t, d.Raise(t.Context(), slot, "stalls"))
-		require.True(t, d.Raise(t.Context(), slot, "cellars"))
-		d.Lower(t.Context(), slot, "stalls")
+		require.True(t, d.AllowFullLimit(t.Context(), slot, "stalls"))
+		require.True(t, d.AllowFullLimit(t.Context(), slot, "cellars"))
+		d.RevokeFullLimit(t.Context(), slot, "stalls")
 		lease, _ := d.Lease(slot)
-		require.Equal(t, []string{"cellars"}, lease.Raised)
-		for d.Settle(t.Context()) {
+		require.Equal(t, []string{"cellars"}, lease.FullLimitTenants)
+		for d.MarkSettled(t.Context()) {
 			time.Sleep(time.Millisecond)
 		}
 		c.kill(address(0))
@@ -200,14 +200,14 @@
 		time.Sleep(1500 * time.Millisecond)
 		lease, ok := next.Lease(slot)
 		require.True(t, ok)
-		require.False(t, lease.Before.All)
-		require.True(t, lease.Before.Lent("cellars"))
-		require.False(t, lease.Before.Lent("stalls"))
+		require.False(t, lease.Prior.All)
+		require.True(t, lease.Prior.MayHaveIssued("cellars"))
+		require.False(t, lease.Prior.MayHaveIssued("stalls"))
 		c.kill(address(0))
 		last := c.start(address(0))
 		time.Sleep(1500 * time.Millisecond)
 		lease, _ = last.Lease(slot)
-		require.True(t, lease.Before.All, "its predecessor did not own the slot for long enough to settle")
+		require.True(t, lease.Prior.All, "its predecessor did not own the slot for long enough to settle")
 	})
 }
 
@@ -216,9 +216,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Broken })
-		require.False(t, d.Raise(t.Context(), slot, "stalls"))
+		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.ConnectionReset })
+		require.False(t, d.AllowFullLimit(t.Context(), slot, "stalls"))
 		lease, _ := d.Lease(slot)
-		require.False(t, slices.Contains(lease.Raised, "stalls"))
+		require.False(t, slices.Contains(lease.FullLimitTenants, "stalls"))
 	})
 }
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -41,7 +41,7 @@
 // misplacedSlots counts the slots owned by nodes of other regions, according to all nodes' views.
 func (c *cluster) misplacedSlots() (count int) {
 	for address, d := range c.nodes {
-		for slot := range d.layout.Count() {
+		for slot := range d.layout.SlotCount() {
 			if d.owns(slot) && d.layout.RegionOf(slot) != c.places.Region(c.zones[address]) {
 				count++
 			}
@@ -52,16 +52,16 @@
 
 func TestLayoutOfRegions(t *testing.T) {
 	layout := NewLayout(locality.NewMap(regionZones))
-	require.Equal(t, 3*slotsPerRegion, layout.Count())
+	require.Equal(t, 3*slotsPerRegion, layout.SlotCount())
 	require.Equal(t, slotsPerRegion+7, layout.SlotIn("b", 7+slotsPerRegion))
 	require.Equal(t, "b", layout.RegionOf(slotsPerRegion+7))
 	unlisted := layout.SlotIn("elsewhere", 7)
 	require.Equal(t, 7, unlisted%slotsPerRegion, "an unlisted region is mapped to a listed one")
-	require.Equal(t, []int{7, slotsPerRegion + 7, 2*slotsPerRegion + 7, 7}, []int{layout.Spread(0, 7), layout.Spread(1, 7), layout.Spread(2, 7), layout.Spread(3, 7)})
+	require.Equal(t, []int{7, slotsPerRegion + 7, 2*slotsPerRegion + 7, 7}, []int{layout.RoundRobinSlot(0, 7), layout.RoundRobinSlot(1, 7), layout.RoundRobinSlot(2, 7), layout.RoundRobinSlot(3, 7)})
 	for _, one := range []Layout{{}, NewLayout(nil), NewLayout(locality.NewMap(map[string]string{"z": "r"}))} {
-		require.Equal(t, slotsPerRegion, one.Count())
+		require.Equal(t, slotsPerRegion, one.SlotCount())
 		require.Equal(t, 7, one.SlotIn("x", 7))
-		require.Equal(t, 7, one.Spread(5, 7))
+		require.Equal(t, 7, one.RoundRobinSlot(5, 7))
 	}
 	require.Equal(t, "07", keyOf(7).Name)
 	require.Equal(t, "107", keyOf(107).Name)
@@ -74,7 +74,7 @@
 		time.Sleep(12 * time.Second)
 		owned := 0
 		for _, d := range c.nodes {
-			for slot := range d.layout.Count() {
+			for slot := range d.layout.SlotCount() {
 				if d.owns(slot) {
 					owned++
 				}
@@ -215,7 +215,7 @@
 func (c *cluster) allOwners() (owned map[string]int, total int) {
 	owned = map[string]int{}
 	for _, d := range c.nodes {
-		for slot := range d.layout.Count() {
+		for slot := range d.layout.SlotCount() {
 			if d.owns(slot) {
 				owned[d.options.Self.Process]++
 				total++
--- a/internal/directory/row.go
+++ b/internal/directory/row.go
@@ -31,7 +31,7 @@
 	return owner{
 		Holder:   budget.Holder{Process: r.Process, Address: r.Address},
 		revision: revision,
-		lending:  Bequest{All: r.Unsettled, Raised: r.Raised},
+		lending:  PriorPermits{All: r.Unsettled, FullLimitTenants: r.Raised},
 		grants:   r.Grants,
 	}
 }
--- a/internal/directory/slots.go
+++ b/internal/directory/slots.go
@@ -70,8 +70,8 @@
 	return s.failures >= takeoverMinFailures && now.Sub(s.since) >= takeoverDelay
 }
 
-// Missed records that the process asked did not answer as the owner of a slot.
-func (d *Directory) Missed(slot int, asked budget.Holder) {
+// RecordNoAnswer records that the process asked did not answer as the owner of a slot.
+func (d *Directory) RecordNoAnswer(slot int, asked budget.Holder) {
 	d.mutex.Lock()
 	now := time.Now()
 	known := d.suspicions[slot]
@@ -82,19 +82,19 @@
 	known.lastFailure = now
 	d.suspicions[slot] = known
 	d.mutex.Unlock()
-	d.Doubt()
+	d.RequestRefresh()
 }
 
-// Doubt requests an early refresh of the slots, after a sign that this node's view is stale.
-func (d *Directory) Doubt() {
+// RequestRefresh requests an early refresh of the slots, after a sign that this node's view is stale.
+func (d *Directory) RequestRefresh() {
 	select {
 	case d.refreshNow <- struct{}{}:
 	default:
 	}
 }
 
-// Heard records that the owner of a slot has answered.
-func (d *Directory) Heard(slot int) {
+// RecordAnswer records that the owner of a slot has answered.
+func (d *Directory) RecordAnswer(slot int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.lastAnswer = time.Now()
@@ -107,13 +107,13 @@
 	if d.refresh(ctx) == nil {
 		d.reclaim(ctx)
 	}
-	if wait.For(ctx, rand.N(startJitter)) != nil {
+	if wait.Sleep(ctx, rand.N(startJitter)) != nil {
 		return
 	}
 	for ctx.Err() == nil {
 		if err := d.refresh(ctx); err != nil {
 			d.options.Logger.WithError(err).WithField("revision", uint64(d.newestRevision())).Warn("failed to read the directory slots; will retry")
-			_ = wait.For(ctx, retryDelay/2+rand.N(retryDelay))
+			_ = wait.Sleep(ctx, retryDelay/2+rand.N(retryDelay))
 			continue
 		}
 		d.probeOtherRegion(ctx)
@@ -122,7 +122,7 @@
 		if d.claimOne(ctx) {
 			pause = claimInterval
 		}
-		if wait.For(ctx, minRefreshInterval) != nil {
+		if wait.Sleep(ctx, minRefreshInterval) != nil {
 			return
 		}
 		timer := time.NewTimer(pause/2 + rand.N(pause))
@@ -147,7 +147,7 @@
 		return d.readAll(ctx)
 	}
 	page, err := d.options.Store.Watch(ctx, Table, revision, 0)
-	if errors.Is(err, store.ErrHistoryGone) {
+	if errors.Is(err, store.ErrHistoryCompacted) {
 		return d.readAll(ctx)
 	}
 	if err != nil {
@@ -252,7 +252,7 @@
 	if err != nil || !answer.Owner {
 		return ctx.Err() != nil
 	}
-	d.Heard(slot)
+	d.RecordAnswer(slot)
 	return true
 }
 
@@ -269,7 +269,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	before := d.owners[slot].lending
-	return row{Unsettled: before.All, Raised: before.Raised}
+	return row{Unsettled: before.All, Raised: before.FullLimitTenants}
 }
 
 // claimable returns the slots of this node's region that are vacant, were owned by an earlier
--- a/internal/directory/turns.go
+++ b/internal/directory/turns.go
@@ -48,15 +48,15 @@
 	return budget.Holder{}
 }
 
-// NoteRan reports to the owner of the program's slot that this process has run a turn. It does not
+// RecordRun reports to the owner of the program's slot that this process has run a turn. It does not
 // wait for the owner's answer.
-func (d *Directory) NoteRan(program, turn string) {
+func (d *Directory) RecordRun(program, turn string) {
 	go d.ask(context.Background(), Request{Program: program, From: d.options.Self, Ran: turn})
 }
 
-// RanBy returns the other process that ran a turn of a program, as a hint. It returns false if this
+// Lookup returns the other process that ran a turn of a program, as a hint. It returns false if this
 // process ran the turn, or if the slot's owner has no record, is unknown or does not answer.
-func (d *Directory) RanBy(ctx context.Context, program, turn string) (budget.Holder, bool) {
+func (d *Directory) Lookup(ctx context.Context, program, turn string) (budget.Holder, bool) {
 	answer := d.ask(ctx, Request{Program: program, From: d.options.Self, After: turn})
 	return answer.RanBy, answer.RanBy.Process != "" && answer.RanBy != d.options.Self
 }
--- a/internal/dispatch/leadership.go
+++ b/internal/dispatch/leadership.go
@@ -264,7 +264,7 @@
 			l.wakeSettler()
 			return
 		}
-		if wait.For(l.ctx, retryPause) != nil {
+		if wait.Sleep(l.ctx, retryPause) != nil {
 			return
 		}
 	}
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -232,7 +232,7 @@
 			calls := 0
 			w.tools = func(ctx context.Context, _ outside.ToolRequest) (string, error) {
 				calls++
-				_ = wait.For(ctx, tokenTime*5)
+				_ = wait.Sleep(ctx, tokenTime*5)
 				return "40 bob", ctx.Err()
 			}
 			got := callThenMove(w, askTool("p", tool))
--- a/internal/dispatch/moved.go
+++ b/internal/dispatch/moved.go
@@ -39,7 +39,7 @@
 }
 
 // wait lets the ownership settle.
-func (s *ownerSearch) wait(ctx context.Context) { _ = wait.For(ctx, s.waits.NextBackOff()) }
+func (s *ownerSearch) wait(ctx context.Context) { _ = wait.Sleep(ctx, s.waits.NextBackOff()) }
 
 // forCaller hides a code that a gateway would take for its own search of a
 // leader.
--- a/internal/dispatch/notices.go
+++ b/internal/dispatch/notices.go
@@ -26,7 +26,7 @@
 	d.spawn(func() {
 		waits := wait.NewBackoff(retryPause, maxRetryPause)
 		for range noticeTries {
-			if notifyOnce(l.ctx, d, name, method, notice) == nil || wait.For(l.ctx, waits.NextBackOff()) != nil {
+			if notifyOnce(l.ctx, d, name, method, notice) == nil || wait.Sleep(l.ctx, waits.NextBackOff()) != nil {
 				return
 			}
 		}
--- a/internal/dispatch/prepare.go
+++ b/internal/dispatch/prepare.go
@@ -90,7 +90,7 @@
 			return location, problem
 		}
 		m.exclude = nil // the one that failed may be the only one
-		if wait.For(ctx, waits.NextBackOff()) != nil {
+		if wait.Sleep(ctx, waits.NextBackOff()) != nil {
 			return location, problem
 		}
 	}
--- a/internal/dispatch/rejoin.go
+++ b/internal/dispatch/rejoin.go
@@ -32,7 +32,7 @@
 	v := m.rejoin(ctx, errNoOutcome)
 	v.inherited = m.call.Position != m.leadership.position
 	if v.outcome == nil && v.inherited && m.call.Repeatable && m.stream().tokens() == 0 {
-		_ = wait.For(ctx, callersReturn)
+		_ = wait.Sleep(ctx, callersReturn)
 	}
 	return v
 }
@@ -59,7 +59,7 @@
 			until = time.Now().Add(window)
 			waits.Reset()
 		}
-		if !time.Now().Before(until) || wait.For(ctx, waits.NextBackOff()) != nil {
+		if !time.Now().Before(until) || wait.Sleep(ctx, waits.NextBackOff()) != nil {
 			return verdict{problem: lost(cause)}
 		}
 	}
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -96,7 +96,7 @@
 		case r.runCall(call, view):
 			waits.Reset()
 		default:
-			_ = wait.For(r.leadership.ctx, waits.NextBackOff())
+			_ = wait.Sleep(r.leadership.ctx, waits.NextBackOff())
 		}
 	}
 }
@@ -196,7 +196,7 @@
 		if err == nil {
 			return true
 		}
-		if fault.Is(err, fault.NotLeader) || wait.For(l.ctx, waits.NextBackOff()) != nil {
+		if fault.Is(err, fault.NotLeader) || wait.Sleep(l.ctx, waits.NextBackOff()) != nil {
 			return false
 		}
 	}
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -42,7 +42,7 @@
 			return
 		case <-l.settle:
 		}
-		if wait.For(l.ctx, settleDelay) != nil {
+		if wait.Sleep(l.ctx, settleDelay) != nil {
 			return
 		}
 		l.settleRound()
--- a/internal/evacuation/board_test.go
+++ b/internal/evacuation/board_test.go
@@ -9,49 +9,49 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-func evacuated(zone string, revision store.Version) Word {
-	return Word{Zone: zone, Evacuated: true, Revision: revision}
+func evacuated(zone string, revision store.Version) ZoneState {
+	return ZoneState{Zone: zone, Evacuated: true, Revision: revision}
 }
 
-func ended(zone string, revision store.Version) Word {
-	return Word{Zone: zone, Revision: revision}
+func ended(zone string, revision store.Version) ZoneState {
+	return ZoneState{Zone: zone, Revision: revision}
 }
 
 func TestOlderStateIsIgnored(t *testing.T) {
 	board := New(nil)
-	board.Hear(evacuated("a", 5), FromTable)
-	board.Hear(ended("a", 7), FromTable)
-	board.Hear(evacuated("a", 5), FromNode)
+	board.Apply(evacuated("a", 5), FromStore)
+	board.Apply(ended("a", 7), FromStore)
+	board.Apply(evacuated("a", 5), FromNode)
 	require.False(t, board.Evacuated("a"), "the evacuation ended at a newer revision")
-	board.Hear(evacuated("a", 9), FromTable)
-	board.Hear(ended("a", 7), FromNode)
+	board.Apply(evacuated("a", 9), FromStore)
+	board.Apply(ended("a", 7), FromNode)
 	require.True(t, board.Evacuated("a"), "the zone was evacuated again at a newer revision")
 }
 
 func TestFullReadEndsMissingEvacuations(t *testing.T) {
 	board := New(nil)
-	board.Hear(evacuated("a", 5), FromTable)
-	board.Hear(evacuated("b", 12), FromNode)
-	board.Whole(10, []Word{evacuated("c", 8)})
+	board.Apply(evacuated("a", 5), FromStore)
+	board.Apply(evacuated("b", 12), FromNode)
+	board.ApplyFullRead(10, []ZoneState{evacuated("c", 8)})
 	require.False(t, board.Evacuated("a"), "its row is missing from a newer full read")
 	require.True(t, board.Evacuated("b"), "a newer state must be kept")
 	require.True(t, board.Evacuated("c"))
-	board.Hear(evacuated("a", 5), FromNode)
+	board.Apply(evacuated("a", 5), FromNode)
 	require.False(t, board.Evacuated("a"), "the full read is newer")
 	require.Len(t, board.Snapshot().Words, 2, "no entry is needed for what a full read covers")
 }
 
 func TestOlderFullReadIsIgnored(t *testing.T) {
 	board := New(nil)
-	board.Whole(10, []Word{evacuated("a", 8)})
-	board.Whole(6, nil)
+	board.ApplyFullRead(10, []ZoneState{evacuated("a", 8)})
+	board.ApplyFullRead(6, nil)
 	require.True(t, board.Evacuated("a"))
 }
 
 func TestZonesAreIndependent(t *testing.T) {
 	board := New(nil)
-	board.Whole(10, []Word{evacuated("a", 8), evacuated("b", 9)})
-	board.Hear(ended("a", 11), FromTable)
+	board.ApplyFullRead(10, []ZoneState{evacuated("a", 8), evacuated("b", 9)})
+	board.Apply(ended("a", 11), FromStore)
 	require.False(t, board.Evacuated("a"))
 	require.True(t, board.Evacuated("b"))
 	require.False(t, board.Evacuated("unknown"))
@@ -60,11 +60,11 @@
 // Guards against an empty store that is never known, and against taking a single row for a full read.
 func TestKnownAfterEmptyFullRead(t *testing.T) {
 	board := New(nil)
-	board.Learn(Snapshot{})
+	board.Merge(Snapshot{})
 	require.False(t, board.Known(), "the other node has no state")
-	board.Hear(evacuated("a", 3), FromTable)
+	board.Apply(evacuated("a", 3), FromStore)
 	require.False(t, board.Known(), "one row is not a full read")
-	board.Whole(0, nil)
+	board.ApplyFullRead(0, nil)
 	require.True(t, board.Known())
 	require.True(t, board.Evacuated("a"))
 }
@@ -72,28 +72,28 @@
 func TestEachChangeIsNotifiedOnce(t *testing.T) {
 	var notified []Change
 	board := New(func(change Change) { notified = append(notified, change) })
-	board.Hear(evacuated("a", 5), FromTable)
-	board.Hear(evacuated("a", 6), FromTable) // the row was written again
-	board.Learn(Snapshot{Revision: 9})
-	require.Equal(t, []Change{{evacuated("a", 5), FromTable}, {ended("a", 9), FromNode}}, notified)
+	board.Apply(evacuated("a", 5), FromStore)
+	board.Apply(evacuated("a", 6), FromStore) // the row was written again
+	board.Merge(Snapshot{Revision: 9})
+	require.Equal(t, []Change{{evacuated("a", 5), FromStore}, {ended("a", 9), FromNode}}, notified)
 }
 
 // Guards against reopening a zone before its workers are marked cold, which the callback does.
 func TestNotificationPrecedesChange(t *testing.T) {
-	var board *Board
+	var board *Tracker
 	notified := 0
 	board = New(func(change Change) {
 		notified++
 		require.Equal(t, !change.Evacuated, board.Evacuated(change.Zone))
 	})
-	board.Hear(evacuated("a", 5), FromTable)
-	board.Hear(ended("a", 7), FromTable)
+	board.Apply(evacuated("a", 5), FromStore)
+	board.Apply(ended("a", 7), FromStore)
 	require.Equal(t, 2, notified)
 	require.False(t, board.Evacuated("a"))
 }
 
 // operatorTable is the reference model: the operator's change at each revision, from 1.
-type operatorTable []Word
+type operatorTable []ZoneState
 
 // at reports whether a zone is evacuated at a revision.
 func (t operatorTable) at(zone string, revision store.Version) bool {
@@ -109,10 +109,10 @@
 var zones = []string{"a", "b", "c"}
 
 // rows returns the rows of a full read at a revision.
-func (t operatorTable) rows(revision store.Version) (rows []Word) {
+func (t operatorTable) rows(revision store.Version) (rows []ZoneState) {
 	for _, zone := range zones {
 		if t.at(zone, revision) {
-			last := Word{}
+			last := ZoneState{}
 			for _, word := range t[:revision] {
 				if word.Zone == zone {
 					last = word
@@ -129,7 +129,7 @@
 func TestBoardsNeverRegress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := operatorTable{}
-		boards := []*Board{New(nil), New(nil), New(nil)}
+		boards := []*Tracker{New(nil), New(nil), New(nil)}
 		seen := make([]map[string]store.Version, len(boards))
 		for index := range seen {
 			seen[index] = map[string]store.Version{}
@@ -143,20 +143,20 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				zone := rapid.SampledFrom(zones).Draw(t, "zone")
-				table = append(table, Word{Zone: zone, Evacuated: !table.at(zone, store.Version(len(table))), Revision: store.Version(len(table) + 1)})
+				table = append(table, ZoneState{Zone: zone, Evacuated: !table.at(zone, store.Version(len(table))), Revision: store.Version(len(table) + 1)})
 			case 1:
 				if revision > 0 {
-					boards[board].Hear(table[revision-1], FromTable)
+					boards[board].Apply(table[revision-1], FromStore)
 					markSeen(board, table[revision-1].Zone, revision)
 				}
 			case 2:
-				boards[board].Whole(revision, table.rows(revision))
+				boards[board].ApplyFullRead(revision, table.rows(revision))
 				for _, zone := range zones {
 					markSeen(board, zone, revision)
 				}
 			default:
 				other := rapid.IntRange(0, len(boards)-1).Draw(t, "other")
-				boards[board].Learn(boards[other].Snapshot())
+				boards[board].Merge(boards[other].Snapshot())
 				for zone, revision := range seen[other] {
 					markSeen(board, zone, revision)
 				}
--- a/internal/experience/board.go
+++ b/internal/experience/board.go
@@ -25,42 +25,42 @@
 
 // Reasons for a Change.
 const (
-	Failing Reason = "failing" // ejected: it fails clearly more requests than the others of its group
-	Tried   Reason = "tried"   // ejected for longer: a trial failed
-	Sound   Reason = "sound"   // readmitted: its trials succeeded
-	Needed  Reason = "needed"  // readmitted: the other workers lack capacity for the load
-	Untried Reason = "untried" // readmitted: no trial outcome was reported in time
+	TooManyFailures Reason = "failing" // ejected: it fails clearly more requests than the others of its group
+	TrialFailed     Reason = "tried"   // ejected for longer: a trial failed
+	TrialsSucceeded Reason = "sound"   // readmitted: its trials succeeded
+	CapacityNeeded  Reason = "needed"  // readmitted: the other workers lack capacity for the load
+	NoTrialOutcome  Reason = "untried" // readmitted: no trial outcome was reported in time
 )
 
 // Change is a decision about a worker, for logs and metrics.
 type Change struct {
-	Worker string // key of the worker's incarnation
-	Out    bool   // whether the worker is ejected
-	Reason Reason
-	Share  float64       // the worker's failure rate, from 0 to 1
-	Weight float64       // decayed number of requests behind the decision
-	Nodes  int           // number of nodes that saw failures
-	Wait   time.Duration // until the next trial, if Out
-	Lasted time.Duration // since the ejection
-	Busy   float64       // utilization of the group's capacity; above 1 if requests are queued
+	Worker      string // key of the worker's incarnation
+	Ejected     bool   // whether the worker is ejected
+	Reason      Reason
+	FailureRate float64       // the worker's failure rate, from 0 to 1
+	Requests    float64       // decayed number of requests behind the decision
+	Nodes       int           // number of nodes that saw failures
+	TrialDelay  time.Duration // until the next trial, if Out
+	EjectedFor  time.Duration // since the ejection
+	Utilization float64       // utilization of the group's capacity; above 1 if requests are queued
 }
 
 // Event returns the name of the decision, for log messages and metric labels: "ejected", "tried
 // again" if a failed trial lengthened the ejection, or "back".
 func (c Change) Event() string {
 	switch {
-	case !c.Out:
+	case !c.Ejected:
 		return "back"
-	case c.Reason == Tried:
+	case c.Reason == TrialFailed:
 		return "tried again"
 	default:
 		return "ejected"
 	}
 }
 
-// Board merges the reports of all nodes about the workers of one group and decides which workers
+// Detector merges the reports of all nodes about the workers of one group and decides which workers
 // are ejected. It is not safe for concurrent use.
-type Board struct {
+type Detector struct {
 	onChange    func(Change)
 	workers     map[string]*worker // by key
 	trust       map[string]float64 // by node, 0 to 1; nodes that are fully trusted are absent
@@ -90,20 +90,20 @@
 }
 
 // New returns an empty board. onChange is called for each decision; nil ignores them.
-func New(onChange func(Change)) *Board {
+func New(onChange func(Change)) *Detector {
 	if onChange == nil {
 		onChange = func(Change) {}
 	}
-	return &Board{onChange: onChange, workers: map[string]*worker{}, trust: map[string]float64{}}
+	return &Detector{onChange: onChange, workers: map[string]*worker{}, trust: map[string]float64{}}
 }
 
-// SetBusy sets the utilization of the group's capacity; above 1 if requests are queued. Until it is
+// SetUtilization sets the utilization of the group's capacity; above 1 if requests are queued. Until it is
 // called, utilization counts as 0, which never prevents an ejection.
-func (b *Board) SetBusy(share float64) { b.utilization = share }
+func (b *Detector) SetUtilization(share float64) { b.utilization = share }
 
 // Add merges the report of the node from. It ignores invalid samples, and workers beyond
 // maxWorkers.
-func (b *Board) Add(from string, samples []Sample, now time.Time) {
+func (b *Detector) Add(from string, samples []Sample, now time.Time) {
 	trust := b.trustIn(from)
 	for _, sample := range samples {
 		if w := b.findOrAddWorker(sample.Worker); w != nil && valid(sample) {
@@ -120,7 +120,7 @@
 }
 
 // findOrAddWorker returns the state of a worker, or nil if the board is full.
-func (b *Board) findOrAddWorker(key string) *worker {
+func (b *Detector) findOrAddWorker(key string) *worker {
 	w, ok := b.workers[key]
 	if !ok && len(b.workers) < maxWorkers {
 		w = &worker{key: key, byNode: map[string]*nodeStats{}}
@@ -131,7 +131,7 @@
 
 // addSample merges one sample. While the worker is ejected, its requests count as trials, if the
 // node is trusted.
-func (b *Board) addSample(w *worker, from string, sample Sample, trust float64, now time.Time) {
+func (b *Detector) addSample(w *worker, from string, sample Sample, trust float64, now time.Time) {
 	requests, failures, late := float64(sample.Requests), float64(sample.Failures), float64(sample.Silences)
 	w.lastReport = now
 	stats, ok := w.byNode[from]
@@ -162,25 +162,25 @@
 
 // addTrialOutcome processes the outcomes of an ejected worker's trials. It reports a failure only
 // if it lengthens the trial delay.
-func (b *Board) addTrialOutcome(w *worker, sample Sample, now time.Time) {
+func (b *Detector) addTrialOutcome(w *worker, sample Sample, now time.Time) {
 	before := w.ejection.delay
 	if w.ejection.recordOutcome(sample.Requests, sample.Failures, now) {
-		b.readmit(w, Sound, now)
+		b.readmit(w, TrialsSucceeded, now)
 		return
 	}
 	if w.ejection.delay != before {
-		b.notify(w, true, Tried, now)
+		b.notify(w, true, TrialFailed, now)
 	}
 }
 
-func (b *Board) eject(candidate evidence, now time.Time) {
+func (b *Detector) eject(candidate evidence, now time.Time) {
 	w := candidate.worker
 	w.ejection = newEjection(candidate.failureRate, delayAfter(w.lastDelay, w.readmittedAt, now), now)
 	w.lastDelay = w.ejection.delay
-	b.notify(w, true, Failing, now)
+	b.notify(w, true, TooManyFailures, now)
 }
 
-func (b *Board) readmit(w *worker, reason Reason, now time.Time) {
+func (b *Detector) readmit(w *worker, reason Reason, now time.Time) {
 	b.notify(w, false, reason, now)
 	w.lastDelay = w.ejection.delay
 	w.ejection = nil
@@ -189,18 +189,18 @@
 	w.clearSuspicion()
 }
 
-func (b *Board) notify(w *worker, ejected bool, reason Reason, now time.Time) {
+func (b *Detector) notify(w *worker, ejected bool, reason Reason, now time.Time) {
 	b.onChange(Change{
-		Worker: w.key, Out: ejected, Reason: reason, Share: w.ejection.failureRate,
-		Weight: w.evidence.weight, Nodes: w.evidence.nodes, Wait: w.ejection.delay,
-		Lasted: now.Sub(w.ejection.since), Busy: b.utilization,
+		Worker: w.key, Ejected: ejected, Reason: reason, FailureRate: w.ejection.failureRate,
+		Requests: w.evidence.weight, Nodes: w.evidence.nodes, TrialDelay: w.ejection.delay,
+		EjectedFor: now.Sub(w.ejection.since), Utilization: b.utilization,
 	})
 }
 
 // Verdicts returns the verdicts on a group's workers for one node: the restrictive ones, and for
 // clearNoticeDuration afterwards the clear ones. Each trial is offered to a single caller, so the
 // result must be sent to one node only.
-func (b *Board) Verdicts(workers []string, now time.Time) []Verdict {
+func (b *Detector) Verdicts(workers []string, now time.Time) []Verdict {
 	b.evaluateIfDue(workers, now)
 	var verdicts []Verdict
 	for _, key := range workers {
@@ -219,13 +219,13 @@
 	return verdicts
 }
 
-func (b *Board) evaluateIfDue(workers []string, now time.Time) {
+func (b *Detector) evaluateIfDue(workers []string, now time.Time) {
 	if now.Sub(b.evaluatedAt) >= evaluationInterval || !slices.Equal(workers, b.lastGroup) {
 		b.evaluate(workers, now)
 	}
 }
 
-func (b *Board) evaluate(workers []string, now time.Time) {
+func (b *Detector) evaluate(workers []string, now time.Time) {
 	b.evaluatedAt, b.lastGroup = now, slices.Clone(workers)
 	members := make([]*worker, 0, len(workers))
 	for _, key := range workers {
@@ -250,7 +250,7 @@
 }
 
 // sweep removes the state of nodes and workers without recent reports.
-func (b *Board) sweep(now time.Time) {
+func (b *Detector) sweep(now time.Time) {
 	if now.Sub(b.sweptAt) < stateTTL/4 {
 		return
 	}
--- a/internal/experience/board_test.go
+++ b/internal/experience/board_test.go
@@ -19,7 +19,7 @@
 
 // group is a board with the workers it covers, its clock and the changes it reported.
 type group struct {
-	board   *Board
+	board   *Detector
 	workers []string
 	changes []Change
 	now     time.Time
@@ -83,7 +83,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGroup(test.workers)
-			g.board.SetBusy(test.busy)
+			g.board.SetUtilization(test.busy)
 			for range 5 {
 				g.report(3, failFirst(test.bad, test.failures))
 			}
@@ -95,16 +95,16 @@
 // Guards against overload of the remaining workers when the load rises after ejections.
 func TestEjectedWorkerIsReadmittedWhenCapacityIsNeeded(t *testing.T) {
 	g := newGroup(10)
-	g.board.SetBusy(0.5)
+	g.board.SetUtilization(0.5)
 	g.report(3, failFirst(2, 6))
 	require.Len(t, g.ejected(), 2)
-	g.board.SetBusy(0.9)
+	g.board.SetUtilization(0.9)
 	g.now = g.now.Add(evaluationInterval)
 	require.Len(t, g.ejected(), 1, "nine workers can carry the load")
-	g.board.SetBusy(1.1)
+	g.board.SetUtilization(1.1)
 	g.now = g.now.Add(evaluationInterval)
 	require.Empty(t, g.ejected())
-	require.Equal(t, Needed, g.changes[len(g.changes)-1].Reason)
+	require.Equal(t, CapacityNeeded, g.changes[len(g.changes)-1].Reason)
 	g.report(3, failFirst(2, 6))
 	require.Empty(t, g.ejected(), "ejected again at high load")
 	require.Positive(t, g.board.Verdicts(g.workers, g.now)[0].Cost, "a readmitted worker that still fails has a cost")
@@ -145,7 +145,7 @@
 	g.outcome(4, 0)
 	require.Empty(t, g.ejected())
 	last := g.changes[len(g.changes)-1]
-	require.Equal(t, Sound, last.Reason)
+	require.Equal(t, TrialsSucceeded, last.Reason)
 	require.True(t, g.board.Verdicts(g.workers, g.now)[0].Clear(), "nodes receive a clear verdict")
 	g.now = g.now.Add(clearNoticeDuration)
 	require.Empty(t, g.board.Verdicts(g.workers, g.now))
@@ -176,7 +176,7 @@
 	g.now = g.now.Add(initialTrialDelay)
 	require.Len(t, g.offeredTrials(20), 1)
 	g.outcome(1, 1)
-	require.Equal(t, Tried, g.changes[len(g.changes)-1].Reason)
+	require.Equal(t, TrialFailed, g.changes[len(g.changes)-1].Reason)
 	g.now = g.now.Add(2*initialTrialDelay - evaluationInterval)
 	require.Empty(t, g.offeredTrials(20))
 	g.now = g.now.Add(evaluationInterval)
@@ -187,7 +187,7 @@
 	require.Empty(t, g.ejected())
 	g.report(3, failFirst(1, 6))
 	require.Len(t, g.ejected(), 1)
-	require.Equal(t, maxTrialDelay, g.changes[len(g.changes)-1].Wait)
+	require.Equal(t, maxTrialDelay, g.changes[len(g.changes)-1].TrialDelay)
 }
 
 // Guards against a worker that stays ejected because the nodes offered a trial have no suitable
@@ -203,7 +203,7 @@
 	}
 	g.now = g.now.Add(untriedTimeout)
 	require.Empty(t, g.ejected())
-	require.Equal(t, Untried, g.changes[len(g.changes)-1].Reason)
+	require.Equal(t, NoTrialOutcome, g.changes[len(g.changes)-1].Reason)
 }
 
 // Guards against counting requests from before the ejection as successful trials.
@@ -286,7 +286,7 @@
 		now := startTime
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(-100, 2000).Draw(t, "ms")) * time.Millisecond)
-			board.SetBusy(rapid.Float64Range(0, 2).Draw(t, "busy"))
+			board.SetUtilization(rapid.Float64Range(0, 2).Draw(t, "busy"))
 			node := rapid.IntRange(0, 5).Draw(t, "node")
 			var samples []Sample
 			for worker := range workers {
