--- a/internal/experience/boards_test.go
+++ b/internal/experience/boards_test.go
@@ -10,17 +10,17 @@
 func TestGroupsAreEvaluatedIndependently(t *testing.T) {
 	busy := 0.0
 	var changedGroups []int
-	boards := NewBoards(Options[int]{
-		Members:  func(group int) []string { return names[10*group : 10*group+10] },
-		Busy:     func(int) float64 { return busy },
-		OnChange: func(group int, _ Change) { changedGroups = append(changedGroups, group) },
+	boards := NewDetectors(Options[int]{
+		Members:     func(group int) []string { return names[10*group : 10*group+10] },
+		Utilization: func(int) float64 { return busy },
+		OnChange:    func(group int, _ Change) { changedGroups = append(changedGroups, group) },
 	})
 	now := startTime
 	reportAll := func() {
 		now = now.Add(evaluationInterval)
 		for _, node := range []string{"n0", "n1", "n2"} {
 			for worker := range 20 {
-				boards.Learn(worker/10, node, []Sample{sampleOf(worker, 10, failFirst(1, 6)(worker))}, now)
+				boards.Add(worker/10, node, []Sample{sampleOf(worker, 10, failFirst(1, 6)(worker))}, now)
 			}
 		}
 	}
@@ -37,9 +37,9 @@
 
 // Guards against unbounded growth of the number of groups.
 func TestBoardsAreBounded(t *testing.T) {
-	boards := NewBoards(Options[int]{Members: func(int) []string { return nil }})
+	boards := NewDetectors(Options[int]{Members: func(int) []string { return nil }})
 	for group := range 2 * maxBoards {
-		boards.Learn(group, "n0", []Sample{sampleOf(0, 1, 0)}, startTime)
+		boards.Add(group, "n0", []Sample{sampleOf(0, 1, 0)}, startTime)
 	}
 	require.Len(t, boards.boards, maxBoards)
 	boards.Verdicts(-1, startTime.Add(2*stateTTL))
--- a/internal/experience/judge.go
+++ b/internal/experience/judge.go
@@ -62,7 +62,7 @@
 // collectEvidence merges the reports of all nodes about a worker. It discounts the node whose
 // reports weigh most against the worker, since the fault may be that node's own links: no single
 // node can cause an ejection.
-func (b *Board) collectEvidence(w *worker, h hypotheses, now time.Time) evidence {
+func (b *Detector) collectEvidence(w *worker, h hypotheses, now time.Time) evidence {
 	if !w.suspected {
 		return evidence{worker: w}
 	}
@@ -100,14 +100,14 @@
 
 // evaluateFailures readmits untried and needed workers of a group, then ejects workers, beginning
 // with the strongest evidence.
-func (b *Board) evaluateFailures(workers []*worker, now time.Time) {
+func (b *Detector) evaluateFailures(workers []*worker, now time.Time) {
 	h := hypothesesFor(medianFailureRate(workers, now))
 	var candidates []evidence
 	for _, w := range workers {
 		w.evidence = b.collectEvidence(w, h, now)
 		switch {
 		case w.ejection != nil && w.ejection.isUntried(now):
-			b.readmit(w, Untried, now)
+			b.readmit(w, NoTrialOutcome, now)
 		case w.ejection == nil && w.evidence.corroborated > ejectionThreshold:
 			candidates = append(candidates, w.evidence)
 		case w.ejection == nil && w.evidence.total <= 0:
@@ -138,7 +138,7 @@
 }
 
 // canEject reports whether the group's limit and capacity permit another ejection.
-func (b *Board) canEject(workers []*worker, candidate evidence) bool {
+func (b *Detector) canEject(workers []*worker, candidate evidence) bool {
 	ejected, lostCapacity := countEjected(workers)
 	return ejected+1 <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity+1-candidate.failureRate, ejectUtilization)
 }
@@ -154,7 +154,7 @@
 
 // hasCapacity reports whether utilization stays within maxUtilization when the group loses the
 // capacity of lostCapacity healthy workers.
-func (b *Board) hasCapacity(workers int, lostCapacity, maxUtilization float64) bool {
+func (b *Detector) hasCapacity(workers int, lostCapacity, maxUtilization float64) bool {
 	return b.utilization*float64(workers) <= maxUtilization*(float64(workers)-lostCapacity)
 }
 
@@ -172,7 +172,7 @@
 
 // readmitNeeded readmits ejected workers, the lowest failure rate first, while the group exceeds
 // its ejection limit or the others lack capacity. For capacity, it readmits no useless worker.
-func (b *Board) readmitNeeded(workers []*worker, now time.Time) {
+func (b *Detector) readmitNeeded(workers []*worker, now time.Time) {
 	for {
 		ejected, lostCapacity := countEjected(workers)
 		if ejected <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity, readmitUtilization) {
@@ -182,7 +182,7 @@
 		if best == nil || best.ejection.failureRate >= uselessFailureRate && ejected <= maxEjected(len(workers)) {
 			return
 		}
-		b.readmit(best, Needed, now)
+		b.readmit(best, CapacityNeeded, now)
 	}
 }
 
--- a/internal/experience/load_test.go
+++ b/internal/experience/load_test.go
@@ -68,12 +68,12 @@
 	board := New(func(change Change) {
 		var worker int
 		_, _ = fmt.Sscanf(change.Worker, "w%d", &worker)
-		if change.Out && change.Reason == Failing {
+		if change.Ejected && change.Reason == TooManyFailures {
 			if _, ok := got.ejected[worker]; !ok {
 				got.ejected[worker] = now
 			}
 		}
-		if !change.Out {
+		if !change.Ejected {
 			got.readmitted[worker] = now
 			delete(out, change.Worker)
 		} else {
@@ -81,7 +81,7 @@
 		}
 		got.maxEjected = max(got.maxEjected, len(out))
 	})
-	board.SetBusy(f.busy)
+	board.SetUtilization(f.busy)
 	keys := names[:f.workers]
 	seen := make([]map[int]*Sample, f.nodes)
 	verdicts := make([]map[string]Verdict, f.nodes)
--- a/internal/experience/trust.go
+++ b/internal/experience/trust.go
@@ -26,7 +26,7 @@
 )
 
 // updateTrust recomputes the trust in each node. While no worker is suspected, all are trusted.
-func (b *Board) updateTrust(workers []*worker, now time.Time) {
+func (b *Detector) updateTrust(workers []*worker, now time.Time) {
 	clear(b.trust)
 	if !slices.ContainsFunc(workers, func(w *worker) bool { return w.suspected }) {
 		return
@@ -62,7 +62,7 @@
 }
 
 // trustIn returns the trust in a node, from 0 to 1.
-func (b *Board) trustIn(node string) float64 {
+func (b *Detector) trustIn(node string) float64 {
 	if trust, ok := b.trust[node]; ok {
 		return trust
 	}
--- a/internal/follow/churn.go
+++ b/internal/follow/churn.go
@@ -12,7 +12,7 @@
 // stops reading the feed and rereads its part at intervals instead.
 
 const (
-	// freshDivisor divides Options.Fresh to give the interval between rereads, which is maxRereadInterval
+	// freshDivisor divides Options.MaxStaleness to give the interval between rereads, which is maxRereadInterval
 	// at most.
 	freshDivisor      = 2
 	maxRereadInterval = 3 * time.Second
@@ -32,7 +32,7 @@
 	minRateWindow = 50 * time.Millisecond
 	// wholeRereadInterval is the interval between rereads of a table that is kept whole and grows fast.
 	wholeRereadInterval = time.Second
-	// firstGatherDivisor divides Options.Gather for the first changes after a quiet time. The shorter wait
+	// firstGatherDivisor divides Options.BatchDelay for the first changes after a quiet time. The shorter wait
 	// shows sooner whether many changes follow.
 	firstGatherDivisor = 8
 )
@@ -42,10 +42,10 @@
 	if f.span.whole {
 		return wholeRereadInterval
 	}
-	if f.options.Fresh <= 0 {
+	if f.options.MaxStaleness <= 0 {
 		return maxRereadInterval
 	}
-	return min(f.options.Fresh/freshDivisor, maxRereadInterval)
+	return min(f.options.MaxStaleness/freshDivisor, maxRereadInterval)
 }
 
 // assessChanges switches to rereading if the table changes too fast; changes is the number of rows just
@@ -88,7 +88,7 @@
 // outgrown reports whether too many rows are kept, so that the table must be read anew: a short table
 // has become long, or many rows were added within the part.
 func (f *Follower) outgrown() bool {
-	kept := f.options.Part.Kept()
+	kept := f.options.Part.RowCount()
 	if f.span.whole {
 		return !f.span.grown && kept > maxWholeRows
 	}
@@ -150,5 +150,5 @@
 			}
 		}
 	}
-	return max(len(rows), f.names.Load().Size(names))
+	return max(len(rows), f.names.Load().EstimateCount(names))
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -36,31 +36,31 @@
 	Store store.Store
 	Table string
 	// Replace replaces all rows that the caller keeps.
-	Replace func(Reading)
+	Replace func(Snapshot)
 	// Change applies changed rows.
 	Change func(rows []store.Row)
-	// Lost is called with true when the table stops responding, and with false when it responds
+	// OnLost is called with true when the table stops responding, and with false when it responds
 	// again; may be nil.
-	Lost func(lost bool)
-	// Fresh is how soon after trouble with the table the copy must be up to date again; 0 means no
+	OnLost func(lost bool)
+	// MaxStaleness is how soon after trouble with the table the copy must be up to date again; 0 means no
 	// requirement. A lost response is noticed only when the poll times out, so polls are shorter
 	// than that.
-	Fresh time.Duration
-	// Gather is how long to wait after changes before the next poll, so that changes are batched.
+	MaxStaleness time.Duration
+	// BatchDelay is how long to wait after changes before the next poll, so that changes are batched.
 	// It limits the calls for a table that changes all the time; 0 means no wait.
-	Gather time.Duration
-	// Heard is called after each successful read, with or without changes; may be nil.
-	Heard func()
+	BatchDelay time.Duration
+	// OnResponse is called after each successful read, with or without changes; may be nil.
+	OnResponse func()
 	// Part makes the follower keep only a part of a long table; nil keeps all rows. With a part,
 	// Change may also be called from Ask and AskAt; calls never overlap.
 	Part   *Part
 	Logger log.Interface
 }
 
-// Reading is a snapshot of a table, or of a part of it. Version is the table's version when the read
+// Snapshot is a snapshot of a table, or of a part of it. Version is the table's version when the read
 // began; rows may be newer. A row that is not in Rows did not exist at Version, has been removed
 // since or, if Whole is false, may be outside the part.
-type Reading struct {
+type Snapshot struct {
 	Rows    []store.Row
 	Version store.Version
 	Whole   bool
@@ -70,7 +70,7 @@
 type Follower struct {
 	options   Options
 	lostSince time.Time // when the table stopped responding; zero if it responds
-	names     atomic.Pointer[ring.Names]
+	names     atomic.Pointer[ring.Format]
 
 	// The following fields are used by Run only.
 	rows       int       // rows in the part when it was last read
@@ -103,24 +103,24 @@
 			pauses.Reset()
 			continue
 		}
-		if errors.Is(err, store.ErrHistoryGone) {
+		if errors.Is(err, store.ErrHistoryCompacted) {
 			f.invalidate()
 			continue
 		}
-		_ = wait.For(ctx, pauses.NextBackOff())
+		_ = wait.Sleep(ctx, pauses.NextBackOff())
 	}
 }
 
 func (f *Follower) notifyHeard() {
-	if f.options.Heard != nil {
-		f.options.Heard()
+	if f.options.OnResponse != nil {
+		f.options.OnResponse()
 	}
 }
 
 func (f *Follower) step(ctx context.Context) error {
 	switch {
 	case f.churning:
-		if err := wait.For(ctx, f.rereadInterval()); err != nil {
+		if err := wait.Sleep(ctx, f.rereadInterval()); err != nil {
 			return err
 		}
 		return f.reread(ctx)
@@ -148,14 +148,14 @@
 		return err
 	}
 	rows := f.applyChanges(page)
-	quiet := time.Since(f.lastFeed) > 2*f.options.Gather
+	quiet := time.Since(f.lastFeed) > 2*f.options.BatchDelay
 	f.assessChanges(rows)
-	if rows > 0 && f.options.Gather > 0 && !f.churning {
-		gather := f.options.Gather
+	if rows > 0 && f.options.BatchDelay > 0 && !f.churning {
+		gather := f.options.BatchDelay
 		if quiet && f.options.Part != nil {
 			gather /= firstGatherDivisor
 		}
-		_ = wait.For(ctx, gather+rand.N(gather/4+1))
+		_ = wait.Sleep(ctx, gather+rand.N(gather/4+1))
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 
 // pollDuration returns the duration of one long poll.
 func (f *Follower) pollDuration() time.Duration {
-	return max(minPollDuration, f.options.Fresh-responseTimeout-reconnectTimeout)
+	return max(minPollDuration, f.options.MaxStaleness-responseTimeout-reconnectTimeout)
 }
 
 // errStale reports a response that is older than the known state.
@@ -224,7 +224,7 @@
 	f.version, f.loaded, f.span = version, true, part
 	f.rows = len(rows)
 	f.requested, f.requestedOrder = map[string]bool{}, nil
-	f.options.Replace(Reading{Rows: rows, Version: version, Whole: part.whole})
+	f.options.Replace(Snapshot{Rows: rows, Version: version, Whole: part.whole})
 }
 
 // readPage reads one page. It retries refused calls, since the store refuses many calls while all nodes
@@ -235,10 +235,10 @@
 		limited, cancel := context.WithTimeout(ctx, responseTimeout)
 		page, err := f.options.Store.Range(limited, f.options.Table, "", from, to, limit)
 		cancel()
-		if err == nil || try == maxPageAttempts || !errors.Is(err, store.ErrNotDone) {
+		if err == nil || try == maxPageAttempts || !errors.Is(err, store.ErrNotApplied) {
 			return page, err
 		}
-		if wait.For(ctx, pauses.NextBackOff()) != nil {
+		if wait.Sleep(ctx, pauses.NextBackOff()) != nil {
 			return page, ctx.Err()
 		}
 	}
@@ -249,7 +249,7 @@
 	entry := f.options.Logger.WithField("table", f.options.Table).WithField("version", uint64(f.version))
 	switch {
 	case ctx.Err() != nil:
-	case errors.Is(err, store.ErrHistoryGone):
+	case errors.Is(err, store.ErrHistoryCompacted):
 		entry.Warn("the table's change history is gone; reading the table again")
 	case err != nil && f.lostSince.IsZero():
 		f.lostSince = time.Now()
@@ -263,7 +263,7 @@
 }
 
 func (f *Follower) notifyLost(lost bool) {
-	if f.options.Lost != nil {
-		f.options.Lost(lost)
+	if f.options.OnLost != nil {
+		f.options.OnLost(lost)
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -23,7 +23,7 @@
 	rows  map[string]string
 }
 
-func (p *tableCopy) replace(read Reading) {
+func (p *tableCopy) replace(read Snapshot) {
 	p.mutex.Lock()
 	p.rows = map[string]string{}
 	p.mutex.Unlock()
@@ -95,12 +95,12 @@
 
 func TestTableIsReadAgainWhenHistoryIsGone(t *testing.T) {
 	run(t, func(t *testing.T, table *storetest.Table, p *tableCopy) {
-		table.SetFault(func(string, bool) storetest.Fault { return storetest.Broken })
+		table.SetFault(func(string, bool) storetest.Fault { return storetest.ConnectionReset })
 		time.Sleep(5 * time.Second)
 		table.SetFault(nil)
 		put(t, table, "b", "2")
 		remove(t, table, "a")
-		table.Forget()
+		table.DropHistory()
 		time.Sleep(time.Second)
 		require.Equal(t, "2", p.get("b"))
 		require.Empty(t, p.get("a"), "rows missing from the new snapshot are removed")
@@ -110,7 +110,7 @@
 // Whatever went wrong before, a change must arrive within 2 s of its commit once the table has responded
 // for 3 s. The last known state must remain available meanwhile.
 func TestChangesArriveAfterAnyFault(t *testing.T) {
-	for trouble := storetest.Refused; trouble <= storetest.Applied; trouble++ {
+	for trouble := storetest.Refused; trouble <= storetest.AppliedThenReset; trouble++ {
 		for range 5 {
 			run(t, func(t *testing.T, table *storetest.Table, p *tableCopy) {
 				var mutex sync.Mutex
@@ -180,7 +180,7 @@
 	})
 }
 
-// Polls of an idle table must last as long as Options.Fresh allows.
+// Polls of an idle table must last as long as Options.MaxStaleness allows.
 func TestPollsLastAsLongAsFreshAllows(t *testing.T) {
 	for fresh, maxPolls := range map[time.Duration]int{0: 31, 3 * time.Second: 31, 5 * time.Second: 16} {
 		synctest.Test(t, func(t *testing.T) {
@@ -188,9 +188,9 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			noChange := func([]store.Row) {}
-			noReplace := func(Reading) {}
+			noReplace := func(Snapshot) {}
 			follower := New(Options{
-				Store: table, Table: "t", Replace: noReplace, Change: noChange, Fresh: fresh,
+				Store: table, Table: "t", Replace: noReplace, Change: noChange, MaxStaleness: fresh,
 				Logger: &log.Logger{Handler: discard.New(), Level: log.InfoLevel},
 			})
 			go follower.Run(ctx)
@@ -203,10 +203,10 @@
 	}
 }
 
-// A call without a response must time out before Options.Fresh has passed.
+// A call without a response must time out before Options.MaxStaleness has passed.
 func TestLostResponseTimesOutWithinFresh(t *testing.T) {
 	for _, fresh := range []time.Duration{3 * time.Second, 5 * time.Second, 8 * time.Second} {
-		follower := New(Options{Fresh: fresh})
+		follower := New(Options{MaxStaleness: fresh})
 		require.Less(t, follower.pollDuration()+responseTimeout, fresh)
 	}
 }
--- a/internal/follow/part.go
+++ b/internal/follow/part.go
@@ -13,10 +13,10 @@
 // derived from Text, plus the rows requested with Ask and AskAt. Short tables are kept whole. This
 // bounds what nodes read at startup, which would otherwise be nodes times rows.
 type Part struct {
-	// Text selects the position. Processes with different texts keep evenly spread parts.
-	Text string
-	// Kept returns the number of rows that the caller keeps.
-	Kept func() int
+	// Key selects the position. Processes with different texts keep evenly spread parts.
+	Key string
+	// RowCount returns the number of rows that the caller keeps.
+	RowCount func() int
 	// Enough reports whether the rows received so far suffice. The part grows by a page at a time
 	// until they do.
 	Enough func() bool
@@ -98,8 +98,8 @@
 		return errStale
 	}
 	names := namesOf(sample.Rows)
-	pattern, ok := ring.Observe(names)
-	if !sample.More || !ok || pattern.Size(names) <= maxWholeRows {
+	pattern, ok := ring.InferFormat(names)
+	if !sample.More || !ok || pattern.EstimateCount(names) <= maxWholeRows {
 		return f.readWhole(ctx, sample)
 	}
 	f.names.Store(&pattern)
@@ -120,10 +120,10 @@
 }
 
 // readFirstRows reads the first rows of the part, at a position that has rows after it.
-func (f *Follower) readFirstRows(ctx context.Context, pattern ring.Names) ([]store.Row, span, error) {
+func (f *Follower) readFirstRows(ctx context.Context, pattern ring.Format) ([]store.Row, span, error) {
 	below := ""
 	for range maxDrawAttempts {
-		position := pattern.Draw(f.options.Part.Text, below)
+		position := pattern.Pick(f.options.Part.Key, below)
 		rows, part, _, err := f.readRows(ctx, position)
 		if err != nil || len(rows) > 0 {
 			return rows, part, err
@@ -220,9 +220,9 @@
 	return f.options.Part == nil || f.loaded && f.span.whole
 }
 
-// Ask reads up to limit rows in the range of names [from, to) and keeps them in addition to the part. An
+// Fetch reads up to limit rows in the range of names [from, to) and keeps them in addition to the part. An
 // empty to means the end of the table.
-func (f *Follower) Ask(ctx context.Context, from, to string, limit int) ([]store.Row, error) {
+func (f *Follower) Fetch(ctx context.Context, from, to string, limit int) ([]store.Row, error) {
 	for range maxAskAttempts {
 		page, err := f.options.Store.Range(ctx, f.options.Table, "", from, to, limit)
 		if err != nil {
@@ -235,18 +235,18 @@
 	return nil, errStale
 }
 
-// AskAt calls Ask with a position derived from text. All processes get the same position for the same
+// FetchAt calls Ask with a position derived from text. All processes get the same position for the same
 // text. It returns ErrNoNamePattern if the table has not been read in part yet, or if no position with
 // rows was found.
-func (f *Follower) AskAt(ctx context.Context, text string, limit int) ([]store.Row, error) {
+func (f *Follower) FetchAt(ctx context.Context, text string, limit int) ([]store.Row, error) {
 	pattern := f.names.Load()
 	if pattern == nil {
 		return nil, ErrNoNamePattern
 	}
 	below := ""
 	for range maxDrawAttempts {
-		position := pattern.Draw(text, below)
-		rows, err := f.Ask(ctx, position, "", limit)
+		position := pattern.Pick(text, below)
+		rows, err := f.Fetch(ctx, position, "", limit)
 		if err != nil || len(rows) > 0 {
 			return rows, err
 		}
--- a/internal/follow/part_test.go
+++ b/internal/follow/part_test.go
@@ -71,7 +71,7 @@
 	}
 	follower := New(Options{
 		Store: table, Table: "t", Replace: p.replace, Change: p.change,
-		Part:   &Part{Text: text, Kept: p.size, Enough: func() bool { return enough(p) }},
+		Part:   &Part{Key: text, RowCount: p.size, Enough: func() bool { return enough(p) }},
 		Logger: &log.Logger{Handler: discard.New(), Level: log.InfoLevel},
 	})
 	go follower.Run(ctx)
@@ -275,7 +275,7 @@
 		for node := range 5 {
 			p, follower := followPart(ctx, table, fmt.Sprint("node-", node), nil)
 			time.Sleep(time.Second)
-			rows, err := follower.AskAt(ctx, "part", 32)
+			rows, err := follower.FetchAt(ctx, "part", 32)
 			require.NoError(t, err)
 			var got []string
 			for _, row := range rows {
@@ -311,24 +311,24 @@
 			table.SetFault(func(string, bool) storetest.Fault {
 				mutex.Lock()
 				defer mutex.Unlock()
-				return storetest.Fault(faults.IntN(int(storetest.Applied) + 1))
+				return storetest.Fault(faults.IntN(int(storetest.AppliedThenReset) + 1))
 			})
 			requested := map[string]bool{}
 			for range 300 {
 				name := workerName(random.IntN(1600))
 				switch random.IntN(8) {
 				case 0:
-					table.Forget()
+					table.DropHistory()
 				case 1, 2:
-					_ = table.Operate(store.Transaction{Remove: []store.Key{{Table: "t", Name: name}}})
+					_ = table.CommitWithoutFaults(store.Transaction{Remove: []store.Key{{Table: "t", Name: name}}})
 				case 3:
 					limited, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
-					if rows, err := follower.Ask(limited, name, name+"\x00", 1); err == nil && len(rows) == 1 {
+					if rows, err := follower.Fetch(limited, name, name+"\x00", 1); err == nil && len(rows) == 1 {
 						requested[name] = true
 					}
 					cancel()
 				default:
-					_ = table.Operate(store.Transaction{Put: []store.Row{{Key: store.Key{Table: "t", Name: name}, Value: []byte(fmt.Sprint(random.IntN(9)))}}})
+					_ = table.CommitWithoutFaults(store.Transaction{Put: []store.Row{{Key: store.Key{Table: "t", Name: name}, Value: []byte(fmt.Sprint(random.IntN(9)))}}})
 				}
 				time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 			}
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -74,7 +74,7 @@
 // one, so the request may still have run there.
 func (x *exchange) dropRestarted() {
 	for _, worker := range x.attempted {
-		if slices.Contains(x.attempts.counted, worker.Key()) && worker.Succeeded() {
+		if slices.Contains(x.attempts.counted, worker.Key()) && worker.Replaced() {
 			x.dropAttempt(worker, observedRestarted)
 		}
 	}
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -115,7 +115,7 @@
 					f := newFixture(t, turnRoute(change))
 					f.workersInOrder(func(ctx context.Context, _ Call) (*Answer, error) {
 						pauses := readerFunc(func([]byte) (int, error) {
-							return 0, cmp.Or(wait.For(ctx, pause), io.EOF)
+							return 0, cmp.Or(wait.Sleep(ctx, pause), io.EOF)
 						})
 						return answer(http.StatusOK, true, io.MultiReader(strings.NewReader(events(2)), pauses, strings.NewReader(event(3)))), nil
 					}, streams(3, 0))
@@ -143,7 +143,7 @@
 		"closed, then refused":        {closes, syscall.ECONNREFUSED, true},
 		"reset, then refused":         {func() error { return syscall.ECONNRESET }, syscall.ECONNREFUSED, true},
 		"closed, then dials time out": {closes, context.DeadlineExceeded, false},
-		"answer to another request":   {func() error { return ErrForeign }, syscall.ECONNREFUSED, false},
+		"answer to another request":   {func() error { return ErrAnswerMismatch }, syscall.ECONNREFUSED, false},
 		"connection timed out":        {func() error { return syscall.ETIMEDOUT }, syscall.ECONNREFUSED, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -174,7 +174,7 @@
 		f := newFixture(t, plainRoute(route.Safe, 1))
 		f.reachable, f.missEvery = true, 2
 		f.worker("w", func(ctx context.Context, _ Call) (*Answer, error) {
-			if err := wait.For(ctx, 7*safeSilence/2); err != nil {
+			if err := wait.Sleep(ctx, 7*safeSilence/2); err != nil {
 				return nil, err
 			}
 			return answer(http.StatusOK, false, strings.NewReader("ok")), nil
--- a/internal/forward/auth.go
+++ b/internal/forward/auth.go
@@ -9,8 +9,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
-// Freshness reports how recent this node's configuration is known to be.
-type Freshness interface {
+// ConfigFreshness reports how recent this node's configuration is known to be.
+type ConfigFreshness interface {
 	// Age returns how long ago the current configuration was last confirmed to be the newest.
 	// fresh reports whether that is recent enough to accept keys.
 	Age() (age time.Duration, fresh bool)
@@ -31,11 +31,11 @@
 // lookUpTenant returns the tenant that holds the request's key now; nil if no key is needed.
 func (x *exchange) lookUpTenant() (*tenant.Tenant, *fault.Error) {
 	age, fresh := time.Duration(0), true
-	if x.options.Freshness != nil {
-		age, fresh = x.options.Freshness.Age() // read before the configuration, which can then only be newer
+	if x.options.ConfigFreshness != nil {
+		age, fresh = x.options.ConfigFreshness.Age() // read before the configuration, which can then only be newer
 	}
 	configuration := x.Configuration()
-	if configuration.Tenants == nil || x.route.Open {
+	if configuration.Tenants == nil || x.route.NoAPIKey {
 		return nil, nil
 	}
 	x.configAge = age
@@ -52,7 +52,7 @@
 }
 
 func unknownKeyError(configuration *route.Configuration, key tenant.Key) *fault.Error {
-	if former, ok := configuration.Tenants.Former(key); ok {
+	if former, ok := configuration.Tenants.RemovedKey(key); ok {
 		return fault.Newf(fault.Unauthorized, "ask the operator for a new key",
 			"this key of tenant %q was revoked in configuration version %d", former.Tenant, former.Version)
 	}
@@ -76,4 +76,4 @@
 }
 
 // previousTurn is the stored ID of the turn that this one continues.
-func (x *exchange) previousTurn() string { return x.tenant.Scope(x.request.Continue) }
+func (x *exchange) previousTurn() string { return x.tenant.Scope(x.request.PreviousTurn) }
--- a/internal/forward/auth_test.go
+++ b/internal/forward/auth_test.go
@@ -31,7 +31,7 @@
 	err                error
 }
 
-func (l *fakeLimits) Admit(context.Context, LimitRequest) error {
+func (l *fakeLimits) Admit(context.Context, RateLimitRequest) error {
 	if l.err != nil {
 		return l.err
 	}
@@ -51,7 +51,7 @@
 		})
 	}
 	services := []route.Service{{Name: "s", TokensPerEvent: 10}}
-	f.forwarder.SetConfiguration(route.New(version, routes, services, route.Limits{}).WithTenants(tenant.NewRegistry(entries)))
+	f.forwarder.SetConfiguration(route.New(version, routes, services, route.Limits{}).SetTenants(tenant.NewRegistry(entries)))
 }
 
 func withKey(name string) func(*Request) {
@@ -64,7 +64,7 @@
 	f := newFixture(t)
 	f.worker("w", answers(200, "done"))
 	open := safeRoute
-	open.PathPrefix, open.Open = "/open/", true
+	open.PathPrefix, open.NoAPIKey = "/open/", true
 	f.setTenants(1, []string{"stalls"}, safeRoute, open)
 	for name, change := range map[string]func(*Request){
 		"no key":        nil,
@@ -89,7 +89,7 @@
 	f.setTenants(1, []string{"stalls"}, safeRoute)
 	before := f.forwarder.Configuration().Tenants
 	f.setTenants(4, []string{"cellars"}, safeRoute)
-	f.forwarder.Configuration().Tenants.Follow(before, 4)
+	f.forwarder.Configuration().Tenants.RecordRemovedKeys(before, 4)
 	got := f.serve(t.Context(), withKey("stalls"))
 	require.ErrorContains(t, got.refusal, `this key of tenant "stalls" was revoked in configuration version 4`)
 }
@@ -107,7 +107,7 @@
 func TestStaleConfigurationRefusesAllKeysAlike(t *testing.T) {
 	f := newFixture(t)
 	f.worker("w", answers(200, "done"))
-	f.forwarder.options.Freshness = &fakeFreshness{age: 6 * time.Second, stale: true}
+	f.forwarder.options.ConfigFreshness = &fakeFreshness{age: 6 * time.Second, stale: true}
 	f.setTenants(1, []string{"stalls"}, safeRoute)
 	for _, name := range []string{"stalls", "somebody"} {
 		got := f.serve(t.Context(), withKey(name))
@@ -134,7 +134,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t)
 			fresh := &fakeFreshness{}
-			f.forwarder.options.Freshness = fresh
+			f.forwarder.options.ConfigFreshness = fresh
 			f.setTenants(1, []string{"stalls"}, safeRoute)
 			breaks := func(ctx context.Context, call Call) (*Answer, error) {
 				happen(f, fresh)
@@ -154,20 +154,20 @@
 func (f *fixture) reassignKey(version route.Version, to, keyOf string) {
 	entries := []tenant.Entry{{Tenant: tenant.Tenant{Name: to}, Keys: []tenant.Key{tenant.KeyOf("key of " + keyOf)}}}
 	services := []route.Service{{Name: "s", TokensPerEvent: 10}}
-	f.forwarder.SetConfiguration(route.New(version, []route.Route{safeRoute}, services, route.Limits{}).WithTenants(tenant.NewRegistry(entries)))
+	f.forwarder.SetConfiguration(route.New(version, []route.Route{safeRoute}, services, route.Limits{}).SetTenants(tenant.NewRegistry(entries)))
 }
 
 // Guards against reading another tenant's turns or using its budgets.
 func TestTenantsDoNotShareTurns(t *testing.T) {
 	retained := streamRoute
-	retained.Retain, retained.Retention = true, time.Minute
+	retained.StoreTurns, retained.Retention = true, time.Minute
 	f := newFixture(t)
 	f.worker("w", streams(2, 0))
 	f.setTenants(1, []string{"stalls", "cellars"}, retained)
 	turn := func(name, id, previous string) *client {
 		return f.serve(t.Context(), func(r *Request) {
 			withKey(name)(r)
-			r.ID, r.Continue, r.Program, r.Budget, r.Output = id, previous, "p", 100, 20
+			r.ID, r.PreviousTurn, r.Program, r.TokenBudget, r.MaxOutputTokens = id, previous, "p", 100, 20
 		})
 	}
 	require.True(t, turn("stalls", "t1", "").ended)
@@ -184,7 +184,7 @@
 func TestLimitCountsOnlyRequestsThatMayHaveRun(t *testing.T) {
 	f := newFixture(t)
 	limits := &fakeLimits{}
-	f.forwarder.options.Limits = limits
+	f.forwarder.options.RateLimiter = limits
 	f.setTenants(1, []string{"stalls"}, safeRoute)
 	f.worker("w", answers(200, "done"))
 	f.serve(t.Context(), withKey("stalls"))
@@ -199,7 +199,7 @@
 	for _, kind := range []route.Route{safeRoute, streamRoute} {
 		f := newFixture(t)
 		limited := fault.New(fault.RateLimited, "rate limit reached", "retry later").WithRetryAfter(time.Second)
-		f.forwarder.options.Limits = &fakeLimits{err: limited}
+		f.forwarder.options.RateLimiter = &fakeLimits{err: limited}
 		f.setTenants(1, []string{"stalls"}, kind)
 		f.worker("w", answers(200, "done"))
 		got := f.serve(t.Context(), withKey("stalls"))
--- a/internal/forward/availability_test.go
+++ b/internal/forward/availability_test.go
@@ -21,7 +21,7 @@
 
 func (f *fixture) evacuate(revision store.Version, zones ...string) {
 	for _, zone := range zones {
-		f.board.Hear(evacuation.Word{Zone: zone, Evacuated: true, Revision: revision}, evacuation.FromTable)
+		f.board.Apply(evacuation.ZoneState{Zone: zone, Evacuated: true, Revision: revision}, evacuation.FromStore)
 	}
 }
 
@@ -33,7 +33,7 @@
 		f.workerAt("away", "y", answers(http.StatusOK, "away"))
 		f.evacuate(1, "z")
 		require.Equal(t, "away", f.serve(t.Context(), nil).body.String())
-		f.board.Hear(evacuation.Word{Zone: "z", Revision: 2}, evacuation.FromTable)
+		f.board.Apply(evacuation.ZoneState{Zone: "z", Revision: 2}, evacuation.FromStore)
 		require.Equal(t, "near", f.serve(t.Context(), nil).body.String(), "the evacuation has ended")
 	})
 }
@@ -48,7 +48,7 @@
 				f.worker("near", answers(http.StatusOK, "near"))
 				f.workerAt("away", "y", answers(http.StatusOK, "away"))
 				f.evacuate(1, "z", "y")
-				got := f.serve(t.Context(), func(r *Request) { r.Program, r.Budget, r.Output = "p", 100, 10 })
+				got := f.serve(t.Context(), func(r *Request) { r.Program, r.TokenBudget, r.MaxOutputTokens = "p", 100, 10 })
 				require.Equal(t, fault.ZoneEvacuated, got.refusal.Code)
 				require.Equal(t, fault.RanNo, got.refusal.Ran)
 				require.GreaterOrEqual(t, got.refusal.RetryAfter, time.Second)
@@ -98,7 +98,7 @@
 	f := newFixture(t, plainRoute(route.Safe, 1))
 	f.worker("w1", answers(http.StatusOK, "in"))
 	x := &exchange{Forwarder: f.forwarder, clientCtx: t.Context(), route: &route.Route{}, request: &Request{}}
-	worker := f.workers.Of("s")[0]
+	worker := f.workers.Workers("s")[0]
 	cleared, refusal := x.clear(t.Context(), worker)
 	require.Nil(t, refusal)
 	require.True(t, cleared)
@@ -145,7 +145,7 @@
 				bound.Regions = c.route
 				holder := tenant.Entry{Tenant: tenant.Tenant{Name: "stalls", Regions: c.tenant}, Keys: []tenant.Key{tenant.KeyOf("key of stalls")}}
 				configuration := route.New(1, []route.Route{bound}, nil, route.Limits{})
-				f.forwarder.SetConfiguration(configuration.WithTenants(tenant.NewRegistry([]tenant.Entry{holder})))
+				f.forwarder.SetConfiguration(configuration.SetTenants(tenant.NewRegistry([]tenant.Entry{holder})))
 				f.workerAt("away", "x", answers(http.StatusOK, "away"))
 				got := f.serve(t.Context(), withKey("stalls"))
 				require.Equal(t, c.served, got.refusal == nil)
@@ -163,13 +163,13 @@
 
 // Commit implements store.Store.
 func (s *regionStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
-	s.bound = append(s.bound, locality.Content(ctx))
+	s.bound = append(s.bound, locality.ContentRegions(ctx))
 	return s.Store.Commit(ctx, transaction)
 }
 
 // Range implements store.Store.
 func (s *regionStore) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
-	s.bound = append(s.bound, locality.Content(ctx))
+	s.bound = append(s.bound, locality.ContentRegions(ctx))
 	return s.Store.Range(ctx, table, part, from, to, limit)
 }
 
@@ -186,8 +186,10 @@
 		f.serve(t.Context(), func(r *Request) { r.ID = "t1" })
 		f.forwarder.options.History = newHistory(table) // a node without a cache
 		asked := &regionPeer{}
-		f.forwarder.options.Neighbours = asked
-		f.serve(t.Context(), func(r *Request) { r.ID, r.Continue, r.Program, r.Budget, r.Output = "t2", "t1", "p", 1000, 10 })
+		f.forwarder.options.HistoryPeers = asked
+		f.serve(t.Context(), func(r *Request) {
+			r.ID, r.PreviousTurn, r.Program, r.TokenBudget, r.MaxOutputTokens = "t2", "t1", "p", 1000, 10
+		})
 		require.Len(t, f.sent(), 2)
 		require.GreaterOrEqual(t, len(table.bound), 3, "one read and two writes")
 		for _, regions := range append(table.bound, asked.bound...) {
@@ -200,8 +202,8 @@
 // call.
 type regionPeer struct{ bound []locality.Regions }
 
-// Chain implements Neighbours.
-func (b *regionPeer) Chain(ctx context.Context, _ budget.Holder, _ string) ([]*history.Turn, error) {
-	b.bound = append(b.bound, locality.Content(ctx))
+// History implements HistoryPeers.
+func (b *regionPeer) History(ctx context.Context, _ budget.Holder, _ string) ([]*history.Turn, error) {
+	b.bound = append(b.bound, locality.ContentRegions(ctx))
 	return nil, nil
 }
--- a/internal/forward/capacity.go
+++ b/internal/forward/capacity.go
@@ -12,14 +12,14 @@
 	"github.com/cloverwheel/cloverwheel/internal/standing"
 )
 
-// Room finds workers with free capacity.
-type Room interface {
-	// Find reserves a slot at a worker if capacity is short, and waits until one is free. The
+// Capacity finds workers with free capacity.
+type Capacity interface {
+	// Reserve reserves a slot at a worker if capacity is short, and waits until one is free. The
 	// result has no Place if capacity is not short or no slot was found; the caller then chooses
 	// a worker by local knowledge.
-	Find(ctx context.Context, wanted room.Wanted) room.Found
+	Reserve(ctx context.Context, wanted room.PlacementRequest) room.Placement
 	// Begin counts a request at a worker; nil if the worker's capacity is not tracked.
-	Begin(service, worker string, tokens int) *room.Place
+	Begin(service, worker string, tokens int) *room.Reservation
 }
 
 const (
@@ -33,20 +33,20 @@
 // nil: a worker must be chosen by local knowledge. A request that is restricted to the workers in
 // only goes to them whatever their load.
 func (x *exchange) findCapacity(ctx context.Context, only []string) *backend.Worker {
-	if x.options.Room == nil || len(only) > 0 || x.homeAccepts() {
+	if x.options.Capacity == nil || len(only) > 0 || x.homeAccepts() {
 		return nil
 	}
 	longest := shareOfDeadline(ctx, capacityWaitShare, maxCapacityWait) - x.capacityWait
 	begun := time.Now()
-	x.placement = x.options.Room.Find(ctx, x.capacityRequest(longest))
+	x.placement = x.options.Capacity.Reserve(ctx, x.capacityRequest(longest))
 	x.capacityWait += time.Since(begun)
-	place := x.placement.Place
+	place := x.placement.Reservation
 	if place == nil {
 		return nil
 	}
-	worker, ok := x.options.Workers.WorkerOf(place.Worker())
+	worker, ok := x.options.Workers.WorkerByKey(place.Worker())
 	if !ok || x.options.Workers.Check(worker, x.allowedRegions()).Refused() {
-		place.End()
+		place.Release()
 		return nil
 	}
 	x.releaseSlot()
@@ -62,23 +62,23 @@
 	if x.home == "" || slices.Contains(x.excluded, x.home) {
 		return false
 	}
-	worker, ok := x.options.Workers.WorkerOf(x.home)
-	return ok && !worker.Shunned(time.Now()) && !x.options.Workers.Check(worker, x.allowedRegions()).Refused()
+	worker, ok := x.options.Workers.WorkerByKey(x.home)
+	return ok && !worker.Avoided(time.Now()) && !x.options.Workers.Check(worker, x.allowedRegions()).Refused()
 }
 
 // capacityRequest describes the request for the capacity search, which may take as long as
 // longest.
-func (x *exchange) capacityRequest(longest time.Duration) room.Wanted {
-	return room.Wanted{
+func (x *exchange) capacityRequest(longest time.Duration) room.PlacementRequest {
+	return room.PlacementRequest{
 		Service: x.service,
 		Key:     x.affinityKey(),
 		Home:    x.home,
-		Fresh:   x.request.Prompt - x.request.Shared,
-		Tokens:  x.request.Prompt + x.request.Output,
+		Fresh:   x.request.PromptTokens - x.request.SharedTokens,
+		Tokens:  x.request.PromptTokens + x.request.MaxOutputTokens,
 		Exclude: x.excluded,
 		Program: x.currentProgram(),
-		Longest: longest,
-		Allows:  x.options.Workers.Opens(x.allowedRegions()),
+		MaxWait: longest,
+		Allows:  x.options.Workers.ZoneFilter(x.allowedRegions()),
 	}
 }
 
@@ -88,8 +88,8 @@
 		Key:     x.request.Program,
 		Urgency: x.route.Priority,
 		Begins:  x.home == "",
-		Timed:   x.request.Timed,
-		Finish:  x.request.Finish - time.Since(x.startTime),
+		Timed:   x.request.HasFinish,
+		Finish:  x.request.TimeToFinish - time.Since(x.startTime),
 	}
 	if x.tenant != nil {
 		program.Key, program.Tenant = x.tenant.Scope(x.request.Program), x.tenant.Name
@@ -99,29 +99,29 @@
 
 // takeSlot counts the request at a worker that this node has chosen.
 func (x *exchange) takeSlot(worker *backend.Worker) {
-	if x.options.Room == nil {
+	if x.options.Capacity == nil {
 		return
 	}
 	x.releaseSlot()
-	x.slot = x.options.Room.Begin(x.service, worker.Key(), x.request.Prompt+x.request.Output)
+	x.slot = x.options.Capacity.Begin(x.service, worker.Key(), x.request.PromptTokens+x.request.MaxOutputTokens)
 }
 
 // releaseSlot releases the request's slot, if it holds one.
 func (x *exchange) releaseSlot() {
-	x.slot.End()
+	x.slot.Release()
 	x.slot = nil
 }
 
 // addCapacityFields adds to the request's log line how its worker was found.
 func (x *exchange) addCapacityFields(fields log.Fields) {
 	found := x.placement
-	if found.Source == "" || found.Source == room.SourceNone {
+	if found.Source == "" || found.Source == room.SourceUntracked {
 		return
 	}
 	fields["room"] = string(found.Source)
 	fields["room_group"] = found.Group.String()
 	fields["room_busy"] = float64(int(100*found.Busy)) / 100
-	if found.Source == room.SourceCalm {
+	if found.Source == room.SourceLocal {
 		fields["room_age_ms"] = found.Age.Milliseconds()
 		return
 	}
--- a/internal/forward/capacity_test.go
+++ b/internal/forward/capacity_test.go
@@ -22,7 +22,7 @@
 
 // localCapacity tracks the capacity of service s within the node's own process.
 type localCapacity struct {
-	reporter *room.Reporter
+	reporter *room.Client
 	f        *fixture
 }
 
@@ -32,33 +32,33 @@
 func withCapacity(f *fixture) *localCapacity {
 	o := &localCapacity{f: f}
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
-	slots := &room.Slots{Owners: o}
-	keeper := room.NewKeeper(room.KeeperOptions{Process: "z/n/1", Slots: slots, Members: o.members, Count: func(room.Outcome, room.Reason) {}, Logger: logger})
-	o.reporter = room.NewReporter(room.ReporterOptions{
+	slots := &room.KeeperResolver{Owners: o}
+	keeper := room.NewCoordinator(room.CoordinatorOptions{Process: "z/n/1", Slots: slots, Members: o.members, OnAnswer: func(room.Outcome, room.Reason) {}, Logger: logger})
+	o.reporter = room.NewClient(room.ClientOptions{
 		Self: budget.Holder{Process: "z/n/1"}, Zone: "z", Slots: slots, Workers: o, Keeper: keeper,
-		Count: func(room.Found) {}, Told: func(bool) {}, Logger: logger,
+		OnFind: func(room.Placement) {}, OnReport: func(bool) {}, Logger: logger,
 	})
-	f.forwarder.options.Room = o.reporter
+	f.forwarder.options.Capacity = o.reporter
 	return o
 }
 
 func (o *localCapacity) Owner(int) (budget.Holder, bool) {
 	return budget.Holder{Process: "z/n/1"}, true
 }
-func (o *localCapacity) Doubt() {}
+func (o *localCapacity) RequestRefresh() {}
 
 func (o *localCapacity) members(room.Group) (members []room.Member, ok bool) {
-	for _, worker := range o.f.workers.OfZone("s", "z") {
-		members = append(members, room.Member{Worker: worker.Key(), Places: 2})
+	for _, worker := range o.f.workers.WorkersInZone("s", "z") {
+		members = append(members, room.Member{Worker: worker.Key(), Concurrency: 2})
 	}
 	return members, true
 }
 
 func (o *localCapacity) GroupOf(_, worker string) (room.Group, bool) { return localGroup, worker != "" }
 func (o *localCapacity) GroupIn(_, _, _ string) (room.Group, bool)   { return localGroup, true }
-func (o *localCapacity) Others(_, _ string) []room.Distant           { return nil }
-func (o *localCapacity) Near(string) bool                            { return true }
-func (o *localCapacity) Shunned(room.Group) []string                 { return nil }
+func (o *localCapacity) OtherZones(_, _ string) []room.RemoteZone    { return nil }
+func (o *localCapacity) InRegion(string) bool                        { return true }
+func (o *localCapacity) Excluded(room.Group) []string                { return nil }
 
 // fill occupies slots of workers and waits until the keeper has the report.
 func (o *localCapacity) fill(t *testing.T, requests map[string]int) {
@@ -89,12 +89,12 @@
 					capacity := withCapacity(f)
 					during := 0
 					f.worker("w", func(ctx context.Context, call Call) (*Answer, error) {
-						during = capacity.reporter.Holds()
+						during = capacity.reporter.RunningRequests()
 						return does(ctx, call)
 					})
 					f.serve(t.Context(), nil)
 					require.Equal(t, 1, during)
-					require.Zero(t, capacity.reporter.Holds())
+					require.Zero(t, capacity.reporter.RunningRequests())
 				})
 			})
 		}
@@ -108,7 +108,7 @@
 			defer cancel()
 			got := f.serve(ctx, nil)
 			require.LessOrEqual(t, got.took, 60*time.Millisecond)
-			require.Zero(t, capacity.reporter.Holds())
+			require.Zero(t, capacity.reporter.RunningRequests())
 		})
 	})
 }
@@ -121,12 +121,12 @@
 		f.worker("w", streams(3, 0))
 		f.table.SetFault(func(_ string, write bool) storetest.Fault {
 			if write {
-				return storetest.Silent
+				return storetest.RequestLost
 			}
 			return storetest.None
 		})
 		held := make(chan int, 1)
-		time.AfterFunc(100*time.Millisecond, func() { held <- capacity.reporter.Holds() })
+		time.AfterFunc(100*time.Millisecond, func() { held <- capacity.reporter.RunningRequests() })
 		got := f.serve(t.Context(), nil)
 		require.Greater(t, got.took, 100*time.Millisecond)
 		require.Zero(t, <-held)
@@ -146,7 +146,7 @@
 		got := f.serve(t.Context(), nil)
 		require.True(t, got.ended)
 		require.Equal(t, []string{"b", "c"}, workersOf(f.sent()))
-		require.Equal(t, 3, capacity.reporter.Holds())
+		require.Equal(t, 3, capacity.reporter.RunningRequests())
 	})
 }
 
@@ -159,7 +159,7 @@
 		f.worker("a", streams(1, 0))
 		f.workerAt("y", "y", streams(1, 0))
 		capacity.fill(t, map[string]int{"a": 1})
-		f.board.Hear(evacuation.Word{Zone: "z", Evacuated: true, Revision: 2}, evacuation.FromTable)
+		f.board.Apply(evacuation.ZoneState{Zone: "z", Evacuated: true, Revision: 2}, evacuation.FromStore)
 		got := f.serve(t.Context(), nil)
 		require.True(t, got.ended)
 		require.Equal(t, []string{"y"}, workersOf(f.sent()))
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -51,7 +51,7 @@
 	forwarder *Forwarder
 	workers   *backend.Registry
 	table     *storetest.Table
-	board     *evacuation.Board
+	board     *evacuation.Tracker
 
 	mutex     sync.Mutex
 	scripts   map[string]script
@@ -70,7 +70,7 @@
 	f.forwarder = New(Options{
 		Workers:   f.workers,
 		Transport: f,
-		Budgets:   budget.NewBook(budget.Options{Store: table, Self: budget.Holder{Process: "n"}}),
+		Budgets:   budget.NewAccounts(budget.Options{Store: table, Self: budget.Holder{Process: "n"}}),
 		History:   history.New(history.Options{Store: table, CacheBytes: 1 << 20}),
 		Metrics:   NewMetrics(prometheus.NewRegistry()),
 		Logger:    logger,
@@ -116,7 +116,7 @@
 func (f *fixture) Send(ctx context.Context, worker *backend.Worker, call Call) (*Answer, error) {
 	id := worker.Record().ID
 	f.mutex.Lock()
-	f.calls = append(f.calls, sent{worker: id, resume: call.Resume, body: string(call.Body), tenant: call.Tenant, left: call.Left})
+	f.calls = append(f.calls, sent{worker: id, resume: call.LastEventID, body: string(call.Body), tenant: call.Tenant, left: call.TimeLeft})
 	does := f.scripts[id]
 	f.mutex.Unlock()
 	return does(ctx, call)
@@ -130,7 +130,7 @@
 
 // serve serves a request for /p/x and returns what the client received.
 func (f *fixture) serve(ctx context.Context, change func(*Request)) *client {
-	request := &Request{ID: "r1", Method: http.MethodPost, Target: "/p/x", Host: "h", Path: "/p/x", Header: http.Header{}, Body: []byte("in"), Deadline: 3 * time.Second}
+	request := &Request{ID: "r1", Method: http.MethodPost, Target: "/p/x", Host: "h", Path: "/p/x", Header: http.Header{}, Body: []byte("in"), Timeout: 3 * time.Second}
 	if change != nil {
 		change(request)
 	}
@@ -164,12 +164,12 @@
 	return nil
 }
 
-func (c *client) Start(status int, _ http.Header, _ int64) error {
+func (c *client) WriteHead(status int, _ http.Header, _ int64) error {
 	c.status = status
 	return nil
 }
 
-func (c *client) Event(raw []byte) error {
+func (c *client) Write(raw []byte) error {
 	if c.onEvent != nil {
 		c.onEvent()
 	}
@@ -223,7 +223,7 @@
 
 // atConnectionLimit is a worker to which no further connections may be opened.
 func atConnectionLimit(context.Context, Call) (*Answer, error) {
-	return nil, errors.Join(httpconn.ErrNotWritten, httpconn.ErrCrowded)
+	return nil, errors.Join(httpconn.ErrNotWritten, httpconn.ErrConnectionLimit)
 }
 
 // hangs is a worker that never answers.
@@ -237,8 +237,8 @@
 func streams(last, breakAt int) script {
 	return func(_ context.Context, call Call) (*Answer, error) {
 		first := 1
-		if call.Resume != "" {
-			_, _ = fmt.Sscan(call.Resume, &first)
+		if call.LastEventID != "" {
+			_, _ = fmt.Sscan(call.LastEventID, &first)
 			first++
 		}
 		var body strings.Builder
@@ -263,6 +263,6 @@
 	return all.String()
 }
 
-func newHistory(table store.Store) *history.Keeper {
+func newHistory(table store.Store) *history.TurnStore {
 	return history.New(history.Options{Store: table, CacheBytes: 1 << 20})
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -26,37 +26,37 @@
 type Options struct {
 	Workers   *backend.Registry
 	Transport Transport
-	Budgets   *budget.Book
-	History   *history.Keeper
-	// Neighbours fetches conversation history from other nodes; nil: it is read from the store.
-	Neighbours Neighbours
-	// Turns is the directory of which node ran which turn; nil: there is none.
-	Turns TurnDirectory
-	// Patience returns how long other nodes usually take to respond; nil: the lower bounds apply.
-	Patience wait.Patience
-	// Freshness reports whether the configuration is recent enough to accept keys; nil: always.
-	Freshness Freshness
-	// Limits enforces the tenants' rate limits; nil: there are none.
-	Limits Limits
-	// Allowance grants requests to cold workers; nil: they get none.
-	Allowance Allowance
-	// Admit reserves memory of the node for buffered bytes until release is called; ok is false
+	Budgets   *budget.Accounts
+	History   *history.TurnStore
+	// HistoryPeers fetches conversation history from other nodes; nil: it is read from the store.
+	HistoryPeers HistoryPeers
+	// TurnDirectory is the directory of which node ran which turn; nil: there is none.
+	TurnDirectory TurnDirectory
+	// ResponseTimes returns how long other nodes usually take to respond; nil: the lower bounds apply.
+	ResponseTimes wait.TimeoutFunc
+	// ConfigFreshness reports whether the configuration is recent enough to accept keys; nil: always.
+	ConfigFreshness ConfigFreshness
+	// RateLimiter enforces the tenants' rate limits; nil: there are none.
+	RateLimiter RateLimiter
+	// WarmupLimiter grants requests to cold workers; nil: they get none.
+	WarmupLimiter WarmupLimiter
+	// ReserveMemory reserves memory of the node for buffered bytes until release is called; ok is false
 	// if there is none left. nil: buffers are not counted.
-	Admit func(bytes int64) (release func(), ok bool)
-	// Finder looks up workers that this node has not loaded; nil: it has loaded all.
-	Finder Finder
-	// Room finds workers with free capacity; nil: workers are chosen by local knowledge only.
-	Room Room
+	ReserveMemory func(bytes int64) (release func(), ok bool)
+	// WorkerFinder looks up workers that this node has not loaded; nil: it has loaded all.
+	Finder WorkerFinder
+	// Capacity finds workers with free capacity; nil: workers are chosen by local knowledge only.
+	Capacity Capacity
 	// Prober queries workers' health when there is no other information on whether they are warm;
 	// nil: they are not queried.
 	Prober Prober
 	// Isolated reports whether this node reaches neither the store nor nodes in other zones; nil:
 	// never.
 	Isolated func() bool
-	// Standing estimates how long programs take; nil: there are no estimates.
-	Standing *standing.Learner
+	// Estimator estimates how long programs take; nil: there are no estimates.
+	Estimator *standing.Estimator
 	// Admission decides which programs may start; nil: all may.
-	Admission *admission.Gate
+	Admission *admission.Controller
 	Metrics   *Metrics
 	Logger    log.Interface
 }
@@ -120,37 +120,37 @@
 	out              Responder
 	startTime        time.Time
 	clock            stepClock
-	clientCtx        context.Context   // ends when the client disconnects
-	excluded         []string          // keys of workers that must not be chosen
-	attempts         attempts          // workers that may have run the request
-	attempted        []*backend.Worker // those workers, for restart checks
-	prefixWorkers    []string          // IDs of workers that cache the prompt's shared prefix
-	sends            int               // number of sends so far
-	sendFailures     []string          // outcome of each send that failed or was not made, for the log
-	declines         int               // number of sends that workers declined or had no connection for
-	slot             *room.Place       // capacity held at a worker; nil: none
-	placement        room.Found        // result of the last capacity request
-	capacityWait     time.Duration     // total time spent in capacity requests
-	coldAttempts     int               // permissions requested for cold workers since the exclusions were last reset
-	coldRetryAfter   time.Duration     // until a cold worker may take a request; 0: none was refused
-	lastWorker       string            // key of the worker last sent to
-	crossRegion      backend.Reason    // why that worker is in another region; empty: it is not
-	events           int               // number of events relayed
-	budgetDrawn      bool              // this node had to draw tokens for the turn
-	budgetHandedOver bool              // another node handed tokens over
-	budgetLocated    bool              // the directory named the nodes to ask for tokens
-	budgetGranted    bool              // the owner of a directory slot granted tokens
-	historyFromPeer  bool              // another node returned the conversation history
-	headSent         bool              // the head of a stream or long answer was sent
-	answered         bool              // the client has its final answer
-	lastEventID      string            // ID of the last event that the client has
-	output           []byte            // the turn's output so far, to be stored
-	program          programState      // state of the program that the turn belongs to
+	clientCtx        context.Context           // ends when the client disconnects
+	excluded         []string                  // keys of workers that must not be chosen
+	attempts         attempts                  // workers that may have run the request
+	attempted        []*backend.Worker         // those workers, for restart checks
+	prefixWorkers    []string                  // IDs of workers that cache the prompt's shared prefix
+	sends            int                       // number of sends so far
+	sendFailures     []string                  // outcome of each send that failed or was not made, for the log
+	declines         int                       // number of sends that workers declined or had no connection for
+	slot             *room.Reservation         // capacity held at a worker; nil: none
+	placement        room.Placement            // result of the last capacity request
+	capacityWait     time.Duration             // total time spent in capacity requests
+	coldAttempts     int                       // permissions requested for cold workers since the exclusions were last reset
+	coldRetryAfter   time.Duration             // until a cold worker may take a request; 0: none was refused
+	lastWorker       string                    // key of the worker last sent to
+	crossRegion      backend.CrossRegionReason // why that worker is in another region; empty: it is not
+	events           int                       // number of events relayed
+	budgetDrawn      bool                      // this node had to draw tokens for the turn
+	budgetHandedOver bool                      // another node handed tokens over
+	budgetLocated    bool                      // the directory named the nodes to ask for tokens
+	budgetGranted    bool                      // the owner of a directory slot granted tokens
+	historyFromPeer  bool                      // another node returned the conversation history
+	headSent         bool                      // the head of a stream or long answer was sent
+	answered         bool                      // the client has its final answer
+	lastEventID      string                    // ID of the last event that the client has
+	output           []byte                    // the turn's output so far, to be stored
+	program          programState              // state of the program that the turn belongs to
 }
 
 // Serve answers a request through out, exactly once. ctx must end when the client disconnects.
 func (f *Forwarder) Serve(ctx context.Context, request *Request, out Responder) {
-	x := &exchange{Forwarder: f, request: request, out: out, startTime: time.Now(), clientCtx: ctx, lastEventID: request.Resume}
+	x := &exchange{Forwarder: f, request: request, out: out, startTime: time.Now(), clientCtx: ctx, lastEventID: request.LastEventID}
 	refusal := x.serve(ctx)
 	x.releaseSlot()
 	x.returnToLimit()
@@ -196,8 +196,8 @@
 // route's timeout, less deadlineMargin; an hour if neither is set.
 func (x *exchange) timeLimit() time.Duration {
 	limit := x.route.Timeout
-	if limit <= 0 || x.request.Deadline > 0 && x.request.Deadline < limit {
-		limit = x.request.Deadline
+	if limit <= 0 || x.request.Timeout > 0 && x.request.Timeout < limit {
+		limit = x.request.Timeout
 	}
 	if limit == 0 {
 		return time.Hour
@@ -214,7 +214,7 @@
 		if !x.mayRunElsewhere() {
 			only = x.attempts.counted
 		}
-		if worker, ok := x.options.Workers.Trial(x.placementQuery(only)); ok {
+		if worker, ok := x.options.Workers.TakeTrial(x.placementQuery(only)); ok {
 			x.takeSlot(worker)
 			return worker, nil
 		}
@@ -235,7 +235,7 @@
 			return nil, x.noWorkerError(err)
 		}
 		x.excluded, x.coldAttempts, x.coldRetryAfter = nil, 0, 0
-		_ = wait.For(ctx, selectPollInterval)
+		_ = wait.Sleep(ctx, selectPollInterval)
 	}
 }
 
@@ -243,31 +243,31 @@
 // worker may be chosen.
 func (x *exchange) placementQuery(only []string) backend.Query {
 	return backend.Query{
-		Only:       only,
-		Service:    x.service,
-		Home:       x.home,
-		Key:        x.affinityKey(),
-		SameObject: x.request.Object != "",
-		Prompt:     x.request.Prompt,
-		Shared:     x.request.Shared,
-		Keepers:    x.prefixWorkers,
-		Output:     x.request.Output,
-		Regions:    x.allowedRegions(),
-		Spare:      x.mayMove(""),
-		Begins:     x.isFirstTurn(),
-		Warm:       x.coldAttempts >= maxColdAttempts,
-		Exclude:    x.excluded,
+		Only:          only,
+		Service:       x.service,
+		Home:          x.home,
+		Key:           x.affinityKey(),
+		SameObject:    x.request.Object != "",
+		Prompt:        x.request.PromptTokens,
+		Shared:        x.request.SharedTokens,
+		PrefixWorkers: x.prefixWorkers,
+		Output:        x.request.MaxOutputTokens,
+		Regions:       x.allowedRegions(),
+		Retryable:     x.mayMove(""),
+		FirstTurn:     x.isFirstTurn(),
+		WarmOnly:      x.coldAttempts >= maxColdAttempts,
+		Exclude:       x.excluded,
 	}
 }
 
 // isFirstTurn reports whether the request starts a program and cannot have run anywhere.
 func (x *exchange) isFirstTurn() bool {
-	return x.route.Kind == route.Streaming && x.home == "" && x.request.Continue == "" && !x.attempts.any()
+	return x.route.Kind == route.Streaming && x.home == "" && x.request.PreviousTurn == "" && !x.attempts.any()
 }
 
 func (x *exchange) noWorkerError(err error) *fault.Error {
 	if x.options.Finder != nil {
-		x.options.Finder.NoteShort()
+		x.options.Finder.NoteNoCapacity()
 	}
 	refusal := fault.From(err)
 	if x.declines > 0 {
@@ -306,19 +306,19 @@
 	x.options.Metrics.Sends.Inc()
 	x.countSend(worker)
 	call := Call{
-		Request:  x.request,
-		Body:     x.body,
-		Resume:   x.lastEventID,
-		Priority: x.priority(),
+		Request:     x.request,
+		Body:        x.body,
+		LastEventID: x.lastEventID,
+		Priority:    x.priority(),
 	}
 	x.reportSent()
 	if x.tenant != nil {
 		call.Tenant = x.tenant.Name
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		call.Left = time.Until(deadline)
+		call.TimeLeft = time.Until(deadline)
 	}
-	x.logResend(worker, call.Left)
+	x.logResend(worker, call.TimeLeft)
 	return x.options.Transport.Send(ctx, worker, call)
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -135,7 +135,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t, plainRoute(route.Unsafe, 1))
 				f.worker("w", hangs)
-				got := f.serve(t.Context(), func(r *Request) { r.Deadline = test.deadline })
+				got := f.serve(t.Context(), func(r *Request) { r.Timeout = test.deadline })
 				require.Equal(t, fault.DeadlinePassed, got.refusal.Code)
 				require.Equal(t, fault.RanUnknown, got.refusal.Ran, "the worker may have run it")
 				require.InDelta(t, test.limit, got.took, float64(50*time.Millisecond))
@@ -195,9 +195,9 @@
 	f := newFixture(t, plainRoute(route.Safe, 1))
 	require.False(t, f.forwarder.SetConfiguration(route.New(1, nil, nil, route.Limits{})))
 	require.False(t, f.forwarder.SetConfiguration(route.New(0, nil, nil, route.Limits{})))
-	require.Equal(t, 1, f.forwarder.Configuration().Len())
+	require.Equal(t, 1, f.forwarder.Configuration().RouteCount())
 	require.True(t, f.forwarder.SetConfiguration(route.New(9, nil, nil, route.Limits{})))
-	require.Zero(t, f.forwarder.Configuration().Len())
+	require.Zero(t, f.forwarder.Configuration().RouteCount())
 }
 
 // Guards against opening a test connection for each request to a service that usually answers
--- a/internal/forward/history.go
+++ b/internal/forward/history.go
@@ -9,19 +9,19 @@
 	"github.com/cloverwheel/cloverwheel/internal/history"
 )
 
-// Neighbours fetches cached conversation history from other nodes.
-type Neighbours interface {
-	// Chain returns the turns up to and including the given one, oldest first; nil if the node
+// HistoryPeers fetches cached conversation history from other nodes.
+type HistoryPeers interface {
+	// History returns the turns up to and including the given one, oldest first; nil if the node
 	// asked does not have all of them cached.
-	Chain(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error)
+	History(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error)
 }
 
 // TurnDirectory remembers which node ran which turn. Its answers are hints and may be wrong.
 type TurnDirectory interface {
-	// NoteRan records that this node has run a turn. It does not block.
-	NoteRan(program, turn string)
-	// RanBy returns the node that ran a turn; ok is false if it is not known.
-	RanBy(ctx context.Context, program, turn string) (holder budget.Holder, ok bool)
+	// RecordRun records that this node has run a turn. It does not block.
+	RecordRun(program, turn string)
+	// Lookup returns the node that ran a turn; ok is false if it is not known.
+	Lookup(ctx context.Context, program, turn string) (holder budget.Holder, ok bool)
 }
 
 const (
@@ -52,10 +52,10 @@
 // loadHistory returns the turns before this one: from the local cache, else from a node that ran
 // the program's last turns, else from the store.
 func (x *exchange) loadHistory(ctx context.Context, holders <-chan []budget.Holder) ([]*history.Turn, error) {
-	if known := x.options.History.Known(x.previousTurn()); known != nil {
+	if known := x.options.History.CachedChain(x.previousTurn()); known != nil {
 		return known, nil
 	}
-	if x.options.Neighbours == nil {
+	if x.options.HistoryPeers == nil {
 		return x.options.History.Chain(ctx, x.previousTurn())
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -95,7 +95,7 @@
 func (x *exchange) adoptHistory(ctx context.Context, result historyResult) []*history.Turn {
 	if result.fromPeer {
 		x.historyFromPeer = true
-		x.options.History.Learn(ctx, result.turns)
+		x.options.History.CacheChain(ctx, result.turns)
 	}
 	return result.turns
 }
@@ -127,16 +127,16 @@
 
 // lookUpHolder returns the node that ran the previous turn, if the turn directory knows it.
 func (x *exchange) lookUpHolder(ctx context.Context, others []budget.Holder) (budget.Holder, bool) {
-	if x.options.Turns == nil || !ranOnManyNodes(others) {
+	if x.options.TurnDirectory == nil || !ranOnManyNodes(others) {
 		return budget.Holder{}, false
 	}
-	return x.options.Turns.RanBy(ctx, x.tenant.Scope(x.request.Program), x.previousTurn())
+	return x.options.TurnDirectory.Lookup(ctx, x.tenant.Scope(x.request.Program), x.previousTurn())
 }
 
 // recordRun records in the turn directory that this node ran the turn.
 func (x *exchange) recordRun(others []budget.Holder) {
-	if x.options.Turns != nil && ranOnManyNodes(others) {
-		x.options.Turns.NoteRan(x.tenant.Scope(x.request.Program), x.tenant.Scope(x.request.ID))
+	if x.options.TurnDirectory != nil && ranOnManyNodes(others) {
+		x.options.TurnDirectory.RecordRun(x.tenant.Scope(x.request.Program), x.tenant.Scope(x.request.ID))
 	}
 }
 
@@ -149,7 +149,7 @@
 func (x *exchange) historyWait(asked []budget.Holder) time.Duration {
 	quickest := maxHistoryWait
 	for _, holder := range asked {
-		quickest = min(quickest, x.options.Patience.Of(holder.Process, minHistoryWait, maxHistoryWait))
+		quickest = min(quickest, x.options.ResponseTimes.For(holder.Process, minHistoryWait, maxHistoryWait))
 	}
 	return quickest
 }
@@ -172,9 +172,9 @@
 }
 
 func (x *exchange) fetchFromPeer(ctx context.Context, holder budget.Holder) []*history.Turn {
-	ctx, cancel := context.WithTimeout(ctx, x.options.Patience.Of(holder.Process, minPeerTimeout, maxPeerTimeout))
+	ctx, cancel := context.WithTimeout(ctx, x.options.ResponseTimes.For(holder.Process, minPeerTimeout, maxPeerTimeout))
 	defer cancel()
-	chain, err := x.options.Neighbours.Chain(ctx, holder, x.previousTurn())
+	chain, err := x.options.HistoryPeers.History(ctx, holder, x.previousTurn())
 	if err != nil || !isHistoryOf(x.previousTurn(), chain) {
 		return nil
 	}
--- a/internal/forward/history_test.go
+++ b/internal/forward/history_test.go
@@ -17,7 +17,7 @@
 
 // peerHistory is another node's history cache.
 type peerHistory struct {
-	keeper *history.Keeper
+	keeper *history.TurnStore
 	mutex  sync.Mutex
 	asked  []budget.Holder
 }
@@ -28,10 +28,10 @@
 	r.asked = append(r.asked, holder)
 }
 
-// Chain implements Neighbours.
-func (r *peerHistory) Chain(_ context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
+// History implements HistoryPeers.
+func (r *peerHistory) History(_ context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
 	r.note(holder)
-	return r.keeper.Known(turn), nil
+	return r.keeper.CachedChain(turn), nil
 }
 
 // Guards against a turn failing while the store cannot read its history, although the node that
@@ -42,8 +42,8 @@
 		f.worker("w", streams(2, 0))
 		program := func(id, previous string) func(*Request) {
 			return func(r *Request) {
-				r.ID, r.Body, r.Continue = id, []byte(id+";"), previous
-				r.Program, r.Budget, r.Output = "p", 10_000, 60
+				r.ID, r.Body, r.PreviousTurn = id, []byte(id+";"), previous
+				r.Program, r.TokenBudget, r.MaxOutputTokens = "p", 10_000, 60
 			}
 		}
 		f.serve(t.Context(), program("t1", ""))
@@ -51,10 +51,10 @@
 
 		other := newFixture(t, turnRoute(retained))
 		other.worker("w", streams(2, 0))
-		other.forwarder.options.Budgets = budget.NewBook(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
+		other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
 		neighbour := &peerHistory{keeper: f.forwarder.options.History}
-		other.forwarder.options.Neighbours = neighbour
-		other.table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent }) // reads and writes of turns
+		other.forwarder.options.HistoryPeers = neighbour
+		other.table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost }) // reads and writes of turns
 		other.forwarder.options.History = newHistory(other.table)
 		other.serve(t.Context(), program("t3", "t2"))
 		require.Equal(t, "t1;t1\nt2\nt2;t1\nt2\nt3;", other.sent()[0].body)
@@ -69,11 +69,11 @@
 	noted   []string
 }
 
-// NoteRan implements TurnDirectory.
-func (r *fakeTurnDirectory) NoteRan(_, turn string) { r.noted = append(r.noted, turn) }
+// RecordRun implements TurnDirectory.
+func (r *fakeTurnDirectory) RecordRun(_, turn string) { r.noted = append(r.noted, turn) }
 
-// RanBy implements TurnDirectory.
-func (r *fakeTurnDirectory) RanBy(_ context.Context, _, turn string) (budget.Holder, bool) {
+// Lookup implements TurnDirectory.
+func (r *fakeTurnDirectory) Lookup(_ context.Context, _, turn string) (budget.Holder, bool) {
 	holder, ok := r.holders[turn]
 	return holder, ok
 }
@@ -82,18 +82,18 @@
 type spreadLocator struct{ count int }
 
 // Locate implements budget.Locator.
-func (l spreadLocator) Locate(context.Context, string) (located budget.Located) {
+func (l spreadLocator) Locate(context.Context, string) (located budget.LocateResult) {
 	for index := range l.count {
 		located.Holders = append(located.Holders, budget.Holder{Process: fmt.Sprint("h", index)})
 	}
 	return located
 }
 
-// NoteSpent implements budget.Locator.
-func (spreadLocator) NoteSpent(string, int) {}
+// RecordRefusal implements budget.Locator.
+func (spreadLocator) RecordRefusal(string, int) {}
 
-// NoteReturned implements budget.Locator.
-func (spreadLocator) NoteReturned(context.Context, string) {}
+// RecordReturned implements budget.Locator.
+func (spreadLocator) RecordReturned(context.Context, string) {}
 
 // Guards against missing the node that ran the last turn when a program ran on more nodes than
 // are asked for its history.
@@ -106,15 +106,15 @@
 
 			other := newFixture(t, turnRoute(retained))
 			other.worker("w", streams(2, 0))
-			other.forwarder.options.Budgets = budget.NewBook(budget.Options{
+			other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{
 				Store: f.table, Self: budget.Holder{Process: "m"}, Locator: spreadLocator{count: holders},
 			})
 			neighbour := &peerHistory{keeper: f.forwarder.options.History}
 			turns := &fakeTurnDirectory{holders: map[string]budget.Holder{"t1": {Process: "ran"}}}
-			other.forwarder.options.Neighbours, other.forwarder.options.Turns = neighbour, turns
+			other.forwarder.options.HistoryPeers, other.forwarder.options.TurnDirectory = neighbour, turns
 			other.forwarder.options.History = newHistory(other.table)
 			got := other.serve(t.Context(), func(r *Request) {
-				r.ID, r.Continue, r.Program, r.Budget, r.Output = "t2", "t1", "p", 10_000, 60
+				r.ID, r.PreviousTurn, r.Program, r.TokenBudget, r.MaxOutputTokens = "t2", "t1", "p", 10_000, 60
 			})
 			require.True(t, got.ended)
 			synctest.Wait() // requests to other nodes may still be running
@@ -139,16 +139,16 @@
 		f.worker("w", streams(2, 0))
 		claim := func(id, previous string) func(*Request) {
 			return func(r *Request) {
-				r.ID, r.Body, r.Continue = id, []byte(id+";"), previous
-				r.Program, r.Budget, r.Output = "p", 10_000, 60
+				r.ID, r.Body, r.PreviousTurn = id, []byte(id+";"), previous
+				r.Program, r.TokenBudget, r.MaxOutputTokens = "p", 10_000, 60
 			}
 		}
 		f.serve(t.Context(), claim("t1", ""))
-		for _, memory := range []*history.Keeper{newHistory(f.table), f.forwarder.options.History} {
+		for _, memory := range []*history.TurnStore{newHistory(f.table), f.forwarder.options.History} {
 			other := newFixture(t, turnRoute(retained))
 			other.worker("w", streams(2, 0))
-			other.forwarder.options.Budgets = budget.NewBook(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
-			other.forwarder.options.Neighbours = &wrongHistory{peerHistory: peerHistory{keeper: memory}}
+			other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
+			other.forwarder.options.HistoryPeers = &wrongHistory{peerHistory: peerHistory{keeper: memory}}
 			other.forwarder.options.History = newHistory(f.table)
 			other.serve(t.Context(), claim("t2", "t1"))
 			require.Equal(t, "t1;t1\nt2\nt2;", other.sent()[0].body)
@@ -164,18 +164,18 @@
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
 		claim := func(id, previous string) func(*Request) {
-			return func(r *Request) { r.ID, r.Body, r.Continue = id, []byte(id+";"), previous }
+			return func(r *Request) { r.ID, r.Body, r.PreviousTurn = id, []byte(id+";"), previous }
 		}
 		f.serve(t.Context(), claim("t1", ""))
 		f.serve(t.Context(), claim("t2", "t1"))
 		last, err := f.forwarder.options.History.Chain(t.Context(), "t2")
 		require.NoError(t, err)
 		table := storetest.New()
-		require.NoError(t, newHistory(table).Keep(t.Context(), last[1], nil, time.Minute))
+		require.NoError(t, newHistory(table).Write(t.Context(), last[1], nil, time.Minute))
 
 		other := newFixture(t, turnRoute(retained))
 		other.worker("w", streams(2, 0))
-		other.forwarder.options.Neighbours = &peerHistory{keeper: newHistory(f.table)}
+		other.forwarder.options.HistoryPeers = &peerHistory{keeper: newHistory(f.table)}
 		other.forwarder.options.History = newHistory(table)
 		got := other.serve(t.Context(), claim("t3", "t2"))
 		require.NotNil(t, got.refusal, "not a worker's answer, nor a broken connection")
@@ -187,7 +187,7 @@
 // wrongHistory returns the history of another turn.
 type wrongHistory struct{ peerHistory }
 
-// Chain implements Neighbours.
-func (m *wrongHistory) Chain(context.Context, budget.Holder, string) ([]*history.Turn, error) {
+// History implements HistoryPeers.
+func (m *wrongHistory) History(context.Context, budget.Holder, string) ([]*history.Turn, error) {
 	return []*history.Turn{{ID: "another", Output: []byte("another program's\n")}}, nil
 }
--- a/internal/forward/metrics.go
+++ b/internal/forward/metrics.go
@@ -145,7 +145,7 @@
 
 // countSend counts a send by the distance to the worker.
 func (x *exchange) countSend(worker *backend.Worker) {
-	distance, reason := x.options.Workers.Way(worker, x.placementQuery(nil))
+	distance, reason := x.options.Workers.Distance(worker, x.placementQuery(nil))
 	x.crossRegion = reason
 	x.options.Metrics.SendsByDistance.WithLabelValues(string(x.route.Kind), distance.String(), string(reason)).Inc()
 }
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -98,14 +98,14 @@
 	}
 	answer.Close(true)
 	if answer.Status >= http.StatusInternalServerError {
-		worker.Broke(time.Now())
+		worker.RecordFailure(time.Now())
 		x.recordSendFailure(worker, strconv.Itoa(answer.Status))
 		if repeatable && x.mayRunElsewhere() {
 			x.exclude(worker.Key())
 			return false, nil
 		}
 	} else {
-		worker.Answered()
+		worker.RecordSuccess()
 	}
 	return true, x.writeAnswer(answer, body)
 }
@@ -118,14 +118,14 @@
 	if answer.Length > maxBufferedAnswer {
 		return nil, false
 	}
-	if x.options.Admit == nil {
+	if x.options.ReserveMemory == nil {
 		return func() {}, true
 	}
 	bytes := answer.Length
 	if bytes < 0 {
 		bytes = maxBufferedAnswer
 	}
-	return x.options.Admit(bytes)
+	return x.options.ReserveMemory(bytes)
 }
 
 // writeAnswer sends a complete answer to the client. If that fails, the client has disconnected.
@@ -140,14 +140,14 @@
 // relayAnswer relays an answer that is not buffered. prefix is what was already read of it.
 func (x *exchange) relayAnswer(answer *Answer, prefix []byte) *fault.Error {
 	x.headSent = true
-	if err := x.out.Start(answer.Status, answer.Header, answer.Length); err != nil {
+	if err := x.out.WriteHead(answer.Status, answer.Header, answer.Length); err != nil {
 		return x.endedError(x.clientCtx)
 	}
 	buffer := make([]byte, 32<<10)
 	piece := prefix
 	for {
 		if len(piece) > 0 {
-			if err := x.out.Event(piece); err != nil {
+			if err := x.out.Write(piece); err != nil {
 				return x.endedError(x.clientCtx)
 			}
 		}
@@ -169,8 +169,8 @@
 func (x *exchange) handleDecline(worker *backend.Worker, answer *Answer) bool {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxBufferedAnswer))
 	answer.Close(true)
-	worker.Declined(time.Now())
-	x.slot.Declined()
+	worker.RecordRefusal(time.Now())
+	x.slot.MarkDeclined()
 	x.recordSendFailure(worker, "declined")
 	x.declines++
 	x.reportDecline()
@@ -184,12 +184,12 @@
 func (x *exchange) handleUnreached(worker *backend.Worker, err error) {
 	id := worker.Key()
 	x.exclude(id)
-	if errors.Is(err, httpconn.ErrCrowded) {
-		worker.Declined(time.Now())
+	if errors.Is(err, httpconn.ErrConnectionLimit) {
+		worker.RecordRefusal(time.Now())
 		x.declines++
 		return
 	}
-	worker.Unreachable(time.Now())
+	worker.RecordUnreachable(time.Now())
 	if x.attempts.processEnded(id, err) {
 		x.dropAttempt(worker, observedEnded)
 	}
@@ -216,10 +216,10 @@
 	switch {
 	case silent: // says nothing about the worker's health
 	case errors.Is(cause, errUnreachable): // the worker may still run the request
-		worker.Unreachable(time.Now())
+		worker.RecordUnreachable(time.Now())
 		x.exclude(id)
 	default:
-		worker.Broke(time.Now())
+		worker.RecordFailure(time.Now())
 		x.attempts.recordBreak(id, err)
 	}
 	if !x.route.Repeatable() {
--- a/internal/forward/presend.go
+++ b/internal/forward/presend.go
@@ -13,36 +13,36 @@
 	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
-// Allowance grants requests to cold workers, whose load is limited while they warm up.
-type Allowance interface {
-	// Borrow asks for one request to a cold worker. It takes a few milliseconds while the owner
+// WarmupLimiter grants requests to cold workers, whose load is limited while they warm up.
+type WarmupLimiter interface {
+	// Acquire asks for one request to a cold worker. It takes a few milliseconds while the owner
 	// of the worker's allowance responds, and tens of milliseconds if it does not.
-	Borrow(ctx context.Context, ask ColdRequest) Loan
+	Acquire(ctx context.Context, ask WarmupRequest) WarmupPermit
 }
 
 // Prober queries the health of workers.
 type Prober interface {
-	// ColdLeft queries a worker's health path and returns how much longer the worker is cold; 0:
+	// WarmupLeft queries a worker's health path and returns how much longer the worker is cold; 0:
 	// it is warm.
-	ColdLeft(ctx context.Context, worker *backend.Worker, path string) (time.Duration, error)
+	WarmupLeft(ctx context.Context, worker *backend.Worker, path string) (time.Duration, error)
 }
 
-// ColdRequest asks to send one request to a cold worker.
-type ColdRequest struct {
-	Worker  string // the worker's key
-	Zone    string // the worker's zone
-	Service string
-	Begins  bool // the request is the first of its program, or belongs to none
+// WarmupRequest asks to send one request to a cold worker.
+type WarmupRequest struct {
+	Worker    string // the worker's key
+	Zone      string // the worker's zone
+	Service   string
+	FirstTurn bool // the request is the first of its program, or belongs to none
 }
 
-// Loan is the permission to send one request to a cold worker, or its refusal.
-type Loan struct {
-	Until time.Time     // expiry of the permission; zero: refused
-	Wait  time.Duration // if refused: time until a permission may be available
+// WarmupPermit is the permission to send one request to a cold worker, or its refusal.
+type WarmupPermit struct {
+	ExpiresAt  time.Time     // expiry of the permission; zero: refused
+	RetryAfter time.Duration // if refused: time until a permission may be available
 }
 
 // valid reports whether the loan permits a send now.
-func (l Loan) valid() bool { return time.Now().Before(l.Until) }
+func (l WarmupPermit) valid() bool { return time.Now().Before(l.ExpiresAt) }
 
 // maxColdAttempts is the number of cold workers that a request tries to get permission for. After
 // that, only warm workers are considered.
@@ -61,8 +61,8 @@
 // updates. If cleared is false and there is no refusal, another worker must be chosen. A refusal
 // is final.
 func (x *exchange) clear(ctx context.Context, worker *backend.Worker) (cleared bool, refusal *fault.Error) {
-	var loan Loan
-	if x.options.Workers.Check(worker, x.allowedRegions()) == permit.Metered {
+	var loan WarmupPermit
+	if x.options.Workers.Check(worker, x.allowedRegions()) == permit.NeedsWarmupPlace {
 		loan = x.borrowColdRequest(ctx, worker)
 	}
 	if x.clientCtx.Err() != nil {
@@ -72,7 +72,7 @@
 		return false, refusal
 	}
 	verdict := x.options.Workers.Check(worker, x.allowedRegions())
-	if verdict.Refused() || verdict == permit.Metered && !loan.valid() {
+	if verdict.Refused() || verdict == permit.NeedsWarmupPlace && !loan.valid() {
 		x.options.Metrics.BlockedSends.WithLabelValues(verdict.String()).Inc()
 		x.recordSendFailure(worker, x.blockReason(worker, verdict))
 		x.exclude(worker.Key())
@@ -84,11 +84,11 @@
 // blockReason returns why a request may not be sent to a worker. For a cold worker it includes
 // the source and the age of that information.
 func (x *exchange) blockReason(worker *backend.Worker, verdict permit.Verdict) string {
-	if verdict != permit.Metered {
+	if verdict != permit.NeedsWarmupPlace {
 		return verdict.String()
 	}
 	known := x.options.Workers.Warmth(worker)
-	if known.Lapsed {
+	if known.Expired {
 		return fmt.Sprintf("metered(lapsed %dms)", known.Age.Milliseconds())
 	}
 	return fmt.Sprintf("metered(%s %dms)", known.Source, known.Age.Milliseconds())
@@ -96,19 +96,19 @@
 
 // borrowColdRequest asks for permission to send the request to a cold worker. Without it, the
 // worker's health is queried: a warm worker needs no permission.
-func (x *exchange) borrowColdRequest(ctx context.Context, worker *backend.Worker) Loan {
-	if x.options.Allowance == nil {
-		return Loan{}
+func (x *exchange) borrowColdRequest(ctx context.Context, worker *backend.Worker) WarmupPermit {
+	if x.options.WarmupLimiter == nil {
+		return WarmupPermit{}
 	}
 	x.coldAttempts++
-	loan := x.options.Allowance.Borrow(ctx, ColdRequest{
-		Worker: worker.Key(), Zone: worker.Record().Zone, Service: x.service, Begins: x.home == "",
+	loan := x.options.WarmupLimiter.Acquire(ctx, WarmupRequest{
+		Worker: worker.Key(), Zone: worker.Record().Zone, Service: x.service, FirstTurn: x.home == "",
 	})
-	if loan.Until.IsZero() && x.probeHealth(ctx, worker) {
+	if loan.ExpiresAt.IsZero() && x.probeHealth(ctx, worker) {
 		return loan
 	}
-	if loan.Until.IsZero() && (x.coldRetryAfter == 0 || loan.Wait < x.coldRetryAfter) {
-		x.coldRetryAfter = loan.Wait
+	if loan.ExpiresAt.IsZero() && (x.coldRetryAfter == 0 || loan.RetryAfter < x.coldRetryAfter) {
+		x.coldRetryAfter = loan.RetryAfter
 	}
 	return loan
 }
@@ -117,19 +117,19 @@
 // in the worker list is outdated. It reports whether the worker is warm.
 func (x *exchange) probeHealth(ctx context.Context, worker *backend.Worker) (warm bool) {
 	path := x.Configuration().Services[x.service].HealthPath
-	if path == "" || x.options.Prober == nil || !x.options.Workers.MayAskHealth(worker) {
+	if path == "" || x.options.Prober == nil || !x.options.Workers.BeginHealthCheck(worker) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, healthTimeout+healthRoundTrips*x.options.Workers.RoundTrip(worker))
 	defer cancel()
 	sent := time.Now()
-	left, err := x.options.Prober.ColdLeft(ctx, worker, path)
+	left, err := x.options.Prober.WarmupLeft(ctx, worker, path)
 	entry := x.options.Logger.WithFields(log.Fields{"worker": worker.Key(), "request": x.request.ID, "cold_ms": left.Milliseconds()})
 	if err != nil {
 		entry.WithError(err).Warn("health query failed; trying another worker")
 		return false
 	}
-	x.options.Workers.NoteHealth(worker, left, sent)
+	x.options.Workers.ApplyHealth(worker, left, sent)
 	entry.Info("worker answered the health query; updating how long it is cold")
 	return left == 0
 }
@@ -139,5 +139,5 @@
 	if x.tenant == nil {
 		return x.route.Regions
 	}
-	return x.route.Regions.Common(x.tenant.Regions)
+	return x.route.Regions.Intersect(x.tenant.Regions)
 }
--- a/internal/forward/presend_test.go
+++ b/internal/forward/presend_test.go
@@ -18,36 +18,40 @@
 
 // fakeAllowance grants loans by a function and records the requests.
 type fakeAllowance struct {
-	lend  func(ColdRequest) Loan
-	asked []ColdRequest
+	lend  func(WarmupRequest) WarmupPermit
+	asked []WarmupRequest
 }
 
-// Borrow implements Allowance.
-func (a *fakeAllowance) Borrow(_ context.Context, ask ColdRequest) Loan {
+// Acquire implements WarmupLimiter.
+func (a *fakeAllowance) Acquire(_ context.Context, ask WarmupRequest) WarmupPermit {
 	a.asked = append(a.asked, ask)
 	time.Sleep(2 * time.Millisecond)
 	return a.lend(ask)
 }
 
 // lendsFor grants loans that are valid for a time; a negative time grants expired ones.
-func lendsFor(within time.Duration) func(ColdRequest) Loan {
-	return func(ColdRequest) Loan { return Loan{Until: time.Now().Add(within), Wait: 300 * time.Millisecond} }
+func lendsFor(within time.Duration) func(WarmupRequest) WarmupPermit {
+	return func(WarmupRequest) WarmupPermit {
+		return WarmupPermit{ExpiresAt: time.Now().Add(within), RetryAfter: 300 * time.Millisecond}
+	}
 }
 
-func lendsNothing(ColdRequest) Loan { return Loan{Wait: 300 * time.Millisecond} }
+func lendsNothing(WarmupRequest) WarmupPermit {
+	return WarmupPermit{RetryAfter: 300 * time.Millisecond}
+}
 
 // coldFixture has a cold worker for each name and a safe route to them.
-func coldFixture(t *testing.T, lend func(ColdRequest) Loan, cold ...string) (*fixture, *fakeAllowance) {
+func coldFixture(t *testing.T, lend func(WarmupRequest) WarmupPermit, cold ...string) (*fixture, *fakeAllowance) {
 	f := newFixture(t, route.Route{
 		Host: "h", PathPrefix: "/p/", Kind: route.Safe, Timeout: time.Second, Objective: 100 * time.Millisecond, MaxAttempts: 2,
 		Targets: []route.Target{{Service: "s", Weight: 1}},
 	})
 	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Places: testPlaces, Dial: f.dial, Cold: func(string) (bool, time.Duration) { return true, time.Second }})
 	lender := &fakeAllowance{lend: lend}
-	f.forwarder.options.Workers, f.forwarder.options.Allowance = f.workers, lender
+	f.forwarder.options.Workers, f.forwarder.options.WarmupLimiter = f.workers, lender
 	for _, name := range cold {
 		f.scripts[name] = answers(http.StatusOK, "from "+name)
-		f.workers.Put(backend.Record{ID: name, Service: "s", Address: name, Zone: "z", Slots: 4, ColdLeft: time.Minute})
+		f.workers.Put(backend.Record{ID: name, Service: "s", Address: name, Zone: "z", Slots: 4, ColdRemaining: time.Minute})
 	}
 	return f, lender
 }
@@ -57,7 +61,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, lender := coldFixture(t, lendsFor(100*time.Millisecond), "c")
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
-		require.Equal(t, []ColdRequest{{Worker: "c", Zone: "z", Service: "s", Begins: true}}, lender.asked)
+		require.Equal(t, []WarmupRequest{{Worker: "c", Zone: "z", Service: "s", FirstTurn: true}}, lender.asked)
 	})
 }
 
@@ -76,7 +80,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, lender := coldFixture(t, lendsNothing, strings.Split("abcdefgh", "")...)
 		f.worker("warm", answers(http.StatusOK, "well"))
-		f.workers.Of("s")[len(f.workers.Of("s"))-1].Declined(time.Now()) // so that cold workers are tried first
+		f.workers.Workers("s")[len(f.workers.Workers("s"))-1].RecordRefusal(time.Now()) // so that cold workers are tried first
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 		require.Equal(t, "warm", f.sent()[0].worker)
 		require.Len(t, lender.asked, maxColdAttempts, "it stops asking for loans")
@@ -123,7 +127,7 @@
 func TestNodeWithoutAllowanceSendsNothingToColdWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := coldFixture(t, lendsNothing, "c")
-		f.forwarder.options.Allowance = nil
+		f.forwarder.options.WarmupLimiter = nil
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
 	})
@@ -137,10 +141,10 @@
 	asked int
 }
 
-// ColdLeft implements Prober.
-func (p *fakeProber) ColdLeft(ctx context.Context, _ *backend.Worker, _ string) (time.Duration, error) {
+// WarmupLeft implements Prober.
+func (p *fakeProber) WarmupLeft(ctx context.Context, _ *backend.Worker, _ string) (time.Duration, error) {
 	p.asked++
-	if err := wait.For(ctx, p.takes); err != nil {
+	if err := wait.Sleep(ctx, p.takes); err != nil {
 		return 0, err
 	}
 	return p.left, p.err
--- a/internal/forward/program.go
+++ b/internal/forward/program.go
@@ -16,20 +16,20 @@
 type programState struct {
 	turn       standing.Turn
 	current    standing.Program
-	band       standing.Band
-	known      bool               // turn, current and band are set
-	sending    *admission.Sending // the last send, until its first event; nil: none is tracked
-	sentAt     time.Time          // time of the last send
-	firstEvent time.Duration      // time from the last send to its first event; 0: no event yet
-	verdict    admission.Verdict  // admission decision; ask and load are its inputs
-	ask        admission.Ask
+	band       standing.PriorityRange
+	known      bool                   // turn, current and band are set
+	sending    *admission.PendingTurn // the last send, until its first event; nil: none is tracked
+	sentAt     time.Time              // time of the last send
+	firstEvent time.Duration          // time from the last send to its first event; 0: no event yet
+	verdict    admission.Verdict      // admission decision; ask and load are its inputs
+	ask        admission.Request
 	load       admission.Load
 }
 
 // admitProgram determines the state of the turn's program, and refuses a new program under
 // overload.
 func (x *exchange) admitProgram(ctx context.Context, configuration *route.Configuration, turnNumber int) *fault.Error {
-	if x.options.Standing == nil || !x.request.Timed || x.request.Program == "" {
+	if x.options.Estimator == nil || !x.request.HasFinish || x.request.Program == "" {
 		return nil
 	}
 	x.assessProgram(configuration, turnNumber)
@@ -40,12 +40,12 @@
 	s.verdict, s.ask, s.load = x.options.Admission.Decide(x.service, s.current, timeLeft(ctx), time.Now())
 	s.current.Returns = s.ask.Program.Returns
 	x.options.Metrics.Admissions.WithLabelValues(string(s.verdict.Reason)).Inc()
-	if s.verdict.In {
+	if s.verdict.Admitted {
 		return nil
 	}
 	return fault.Newf(fault.Overloaded, "retry after the given delay",
 		"service %q is overloaded and a new program would miss its deadline (%s)", x.service, s.verdict.Reason).
-		WithRetryAfter(s.verdict.After)
+		WithRetryAfter(s.verdict.RetryAfter)
 }
 
 // timeLeft returns the time until the deadline of ctx; an hour if it has none.
@@ -60,28 +60,28 @@
 // assessProgram determines the state of the turn's program and its priority band.
 func (x *exchange) assessProgram(configuration *route.Configuration, turnNumber int) {
 	turn := standing.Turn{
-		Route:   x.route.Name,
-		Program: x.tenant.Scope(x.request.Program),
-		Urgency: x.route.Priority,
-		Line:    x.request.Line,
-		Begins:  x.home == "" && x.request.Continue == "",
-		Place:   turnNumber,
-		Timed:   true,
-		Finish:  x.request.Finish - time.Since(x.startTime),
-		Hint:    x.request.Hint,
+		Route:        x.route.Name,
+		Program:      x.tenant.Scope(x.request.Program),
+		Urgency:      x.route.Priority,
+		Line:         x.request.Branch,
+		Begins:       x.home == "" && x.request.PreviousTurn == "",
+		Number:       turnNumber,
+		HasFinish:    true,
+		TimeToFinish: x.request.TimeToFinish - time.Since(x.startTime),
+		Hint:         x.request.ExpectedTokens,
 	}
 	if x.tenant != nil {
 		turn.Tenant = x.tenant.Name
 	}
 	x.program.turn, x.program.known = turn, true
-	x.program.current = x.options.Standing.Begin(turn, time.Now())
+	x.program.current = x.options.Estimator.Begin(turn, time.Now())
 	x.program.band = priorityBand(configuration, x.service, x.route.Priority)
 }
 
 // reportTurn passes the turn's outcome to the estimator.
 func (x *exchange) reportTurn(configuration *route.Configuration, failed bool) {
 	if x.program.known {
-		x.options.Standing.End(x.program.turn, x.turnResult(configuration, failed), time.Now())
+		x.options.Estimator.End(x.program.turn, x.turnResult(configuration, failed), time.Now())
 	}
 }
 
@@ -91,9 +91,9 @@
 	if !x.program.known || x.options.Admission == nil || x.headSent {
 		return
 	}
-	whole, first, known := x.options.Standing.Idle(x.route.Name)
+	whole, first, known := x.options.Estimator.UnloadedTime(x.route.Name)
 	if known {
-		idle := admission.Idle{First: first, Whole: whole}
+		idle := admission.UnloadedTime{FirstEvent: first, Total: whole}
 		x.program.sending = x.options.Admission.Sent(x.service, x.program.current, idle, x.program.sentAt)
 	}
 }
@@ -103,7 +103,7 @@
 	now := time.Now()
 	x.program.firstEvent = now.Sub(x.program.sentAt)
 	if x.program.sending != nil {
-		x.options.Admission.First(x.program.sending, now)
+		x.options.Admission.FirstEvent(x.program.sending, now)
 		x.program.sending = nil
 	}
 }
@@ -111,7 +111,7 @@
 // reportNoFirstEvent reports to admission control that the last send brought no event.
 func (x *exchange) reportNoFirstEvent() {
 	if x.program.sending != nil {
-		x.options.Admission.Ended(x.program.sending, time.Now())
+		x.options.Admission.EndedWithoutEvent(x.program.sending, time.Now())
 		x.program.sending = nil
 	}
 }
@@ -124,19 +124,19 @@
 }
 
 // turnResult describes the turn's outcome.
-func (x *exchange) turnResult(configuration *route.Configuration, failed bool) standing.Took {
-	return standing.Took{
-		Failed: failed,
-		Whole:  time.Since(x.startTime),
-		First:  x.program.firstEvent,
-		Tokens: x.events * configuration.Services[x.service].TokensPerEvent,
+func (x *exchange) turnResult(configuration *route.Configuration, failed bool) standing.Outcome {
+	return standing.Outcome{
+		Failed:     failed,
+		Total:      time.Since(x.startTime),
+		FirstEvent: x.program.firstEvent,
+		Tokens:     x.events * configuration.Services[x.service].TokensPerEvent,
 	}
 }
 
 // turnNumber returns the position of the turn in its branch, starting at 1, given the length of
 // its history; 0: unknown.
 func (x *exchange) turnNumber(historyLength int) int {
-	if !x.route.Retain {
+	if !x.route.StoreTurns {
 		return 0
 	}
 	return historyLength + 1
@@ -151,9 +151,9 @@
 
 // priorityBand returns the range of worker priorities for requests of one urgency to a service.
 // It ends before the band of the next less urgent route.
-func priorityBand(configuration *route.Configuration, service string, urgency int) standing.Band {
-	shared := standing.Band{First: min(urgency*priorityStep, lowestPriority), Last: lowestPriority}
-	if next, ok := configuration.LessUrgent(service, urgency); ok {
+func priorityBand(configuration *route.Configuration, service string, urgency int) standing.PriorityRange {
+	shared := standing.PriorityRange{First: min(urgency*priorityStep, lowestPriority), Last: lowestPriority}
+	if next, ok := configuration.NextLowerPriority(service, urgency); ok {
 		shared.Last = min(next*priorityStep, lowestPriority+1) - 1
 	}
 	shared.Last = max(shared.First, shared.Last)
@@ -193,12 +193,12 @@
 // addAdmissionFields adds the inputs of the admission decision to the request's log line.
 func (x *exchange) addAdmissionFields(fields log.Fields) {
 	s := &x.program
-	if s.verdict.Reason == "" || s.verdict.Reason == admission.UnderWay {
+	if s.verdict.Reason == "" || s.verdict.Reason == admission.ReasonInProgress {
 		return
 	}
 	load := s.load
 	fields["admission"] = string(s.verdict.Reason)
 	fields["load"] = load.String()
-	fields["ahead"] = s.ask.Ahead
-	fields["pace"] = s.ask.Pace
+	fields["ahead"] = s.ask.PendingRetries
+	fields["pace"] = s.ask.AdmitRate
 }
--- a/internal/forward/program_test.go
+++ b/internal/forward/program_test.go
@@ -23,7 +23,7 @@
 		return streams(2, 0)(ctx, call)
 	})
 	got := f.serve(t.Context(), func(r *Request) {
-		r.Program, r.Line = "p", "main"
+		r.Program, r.Branch = "p", "main"
 		change(r)
 	})
 	require.True(t, got.ended)
@@ -40,18 +40,18 @@
 		routes = append(routes, other)
 	}
 	f.forwarder.SetConfiguration(route.New(2, routes, []route.Service{{Name: "s", TokensPerEvent: 10}}, route.Limits{}))
-	f.forwarder.options.Standing = standing.NewLearner()
+	f.forwarder.options.Estimator = standing.NewEstimator()
 }
 
 // Guards against a priority other than the route's for requests without a program deadline.
 func TestPriorityWithoutProgramDeadlineIsTheRoutes(t *testing.T) {
 	for urgency, want := range map[int]int{0: 1, 1: 3, 2: 5, 7: 9} {
 		synctest.Test(t, func(t *testing.T) {
-			turn := turnRoute(func(r *route.Route) { r.Retain, r.Priority = true, urgency })
+			turn := turnRoute(func(r *route.Route) { r.StoreTurns, r.Priority = true, urgency })
 			f := newFixture(t, turn)
 			f.setRoutes(turn, 0, 1, 2)
 			require.Equal(t, want, serveTurn(t, f, func(r *Request) { r.ID = "t1" }))
-			require.Equal(t, min(9, 2*urgency), serveTurn(t, f, func(r *Request) { r.ID, r.Continue = "t2", "t1" }))
+			require.Equal(t, min(9, 2*urgency), serveTurn(t, f, func(r *Request) { r.ID, r.PreviousTurn = "t2", "t1" }))
 		})
 	}
 }
@@ -60,11 +60,11 @@
 // priorities.
 func TestPriorityCombinesUrgencyAndProgramState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		turn := turnRoute(func(r *route.Route) { r.Retain, r.Priority = true, 0 })
+		turn := turnRoute(func(r *route.Route) { r.StoreTurns, r.Priority = true, 0 })
 		f := newFixture(t, turn)
 		f.setRoutes(turn, 2)
 		at := func(id, from string, finish time.Duration) int {
-			return serveTurn(t, f, func(r *Request) { r.ID, r.Continue, r.Timed, r.Finish = id, from, true, finish })
+			return serveTurn(t, f, func(r *Request) { r.ID, r.PreviousTurn, r.HasFinish, r.TimeToFinish = id, from, true, finish })
 		}
 		begins := at("t1", "", 2*time.Second)
 		ample := at("t2", "t1", 1900*time.Millisecond)
@@ -84,19 +84,19 @@
 		routes = append(routes, turn)
 	}
 	configuration := route.New(1, routes, nil, route.Limits{})
-	require.Equal(t, standing.Band{First: 0, Last: 1}, priorityBand(configuration, "s", 0))
-	require.Equal(t, standing.Band{First: 2, Last: 7}, priorityBand(configuration, "s", 1))
-	require.Equal(t, standing.Band{First: 8, Last: 9}, priorityBand(configuration, "s", 4))
-	require.Equal(t, standing.Band{First: 9, Last: 9}, priorityBand(configuration, "s", 12))
-	require.Equal(t, standing.Band{First: 0, Last: 9}, priorityBand(configuration, "unknown", 0))
+	require.Equal(t, standing.PriorityRange{First: 0, Last: 1}, priorityBand(configuration, "s", 0))
+	require.Equal(t, standing.PriorityRange{First: 2, Last: 7}, priorityBand(configuration, "s", 1))
+	require.Equal(t, standing.PriorityRange{First: 8, Last: 9}, priorityBand(configuration, "s", 4))
+	require.Equal(t, standing.PriorityRange{First: 9, Last: 9}, priorityBand(configuration, "s", 12))
+	require.Equal(t, standing.PriorityRange{First: 0, Last: 9}, priorityBand(configuration, "unknown", 0))
 }
 
 // overload reports to the gate first turns with long waits for their first event.
-func overload(gate *admission.Gate, urgency int) {
-	idle := admission.Idle{First: 10 * time.Millisecond, Whole: 100 * time.Millisecond}
+func overload(gate *admission.Controller, urgency int) {
+	idle := admission.UnloadedTime{FirstEvent: 10 * time.Millisecond, Total: 100 * time.Millisecond}
 	program := standing.Program{Begins: true, Urgency: urgency}
 	for range 10 {
-		gate.First(gate.Sent("s", program, idle, time.Now().Add(-5*time.Second)), time.Now())
+		gate.FirstEvent(gate.Sent("s", program, idle, time.Now().Add(-5*time.Second)), time.Now())
 	}
 }
 
@@ -109,7 +109,7 @@
 		f.forwarder.options.Admission = admission.NewGate(nil)
 		f.worker("w", streams(2, 0))
 		begin := func(r *Request) {
-			r.Program, r.Line, r.Timed, r.Finish, r.Budget, r.Output = "p", "main", true, time.Second, 1000, 100
+			r.Program, r.Branch, r.HasFinish, r.TimeToFinish, r.TokenBudget, r.MaxOutputTokens = "p", "main", true, time.Second, 1000, 100
 		}
 		commits, reads := f.table.Calls()
 		overload(f.forwarder.options.Admission, 0)
@@ -134,7 +134,7 @@
 		f.forwarder.options.Admission = admission.NewGate(nil)
 		f.worker("w", streams(2, 0))
 		timed := func(program string) func(*Request) {
-			return func(r *Request) { r.ID, r.Program, r.Timed, r.Finish = program, program, true, time.Second }
+			return func(r *Request) { r.ID, r.Program, r.HasFinish, r.TimeToFinish = program, program, true, time.Second }
 		}
 		overload(f.forwarder.options.Admission, 0)
 		refusal := f.serve(t.Context(), timed("refused")).refusal
@@ -153,7 +153,7 @@
 		f.setRoutes(turn)
 		f.forwarder.options.Admission = admission.NewGate(nil)
 		timed := func(id, from string) func(*Request) {
-			return func(r *Request) { r.ID, r.Continue, r.Timed, r.Finish = id, from, true, 0 }
+			return func(r *Request) { r.ID, r.PreviousTurn, r.HasFinish, r.TimeToFinish = id, from, true, 0 }
 		}
 		serveTurn(t, f, timed("t1", ""))
 		overload(f.forwarder.options.Admission, 0)
--- a/internal/forward/ratelimit.go
+++ b/internal/forward/ratelimit.go
@@ -6,17 +6,17 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// Limits enforces the rate limits of tenants.
-type Limits interface {
+// RateLimiter enforces the rate limits of tenants.
+type RateLimiter interface {
 	// Admit counts one request against its tenant's limit. Its error is a *fault.Error:
 	// RateLimited if the limit is reached, Unavailable if no node that manages it responds.
-	Admit(ctx context.Context, ask LimitRequest) error
+	Admit(ctx context.Context, ask RateLimitRequest) error
 	// Return gives back an admitted request that did not run.
 	Return(tenant string)
 }
 
-// LimitRequest asks to admit one request of a tenant.
-type LimitRequest struct {
+// RateLimitRequest asks to admit one request of a tenant.
+type RateLimitRequest struct {
 	Tenant  string
 	Program string // program of the request; empty: none
 }
@@ -25,10 +25,10 @@
 // checks: a request that is counted but not sent reduces what the tenant's other requests may
 // use.
 func (x *exchange) takeFromLimit(ctx context.Context) *fault.Error {
-	if x.options.Limits == nil || x.tenant == nil || x.tenant.Limit.Unlimited() {
+	if x.options.RateLimiter == nil || x.tenant == nil || x.tenant.Limit.Unlimited() {
 		return nil
 	}
-	if err := x.options.Limits.Admit(ctx, LimitRequest{Tenant: x.tenant.Name, Program: x.request.Program}); err != nil {
+	if err := x.options.RateLimiter.Admit(ctx, RateLimitRequest{Tenant: x.tenant.Name, Program: x.request.Program}); err != nil {
 		return x.prepareError(ctx, err)
 	}
 	x.limitTaken = true
@@ -39,6 +39,6 @@
 // it.
 func (x *exchange) returnToLimit() {
 	if x.limitTaken && !x.attempts.any() {
-		x.options.Limits.Return(x.tenant.Name)
+		x.options.RateLimiter.Return(x.tenant.Name)
 	}
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -20,41 +20,41 @@
 
 // Request is a client's request with its complete body.
 type Request struct {
-	ID       string
-	Method   string
-	Target   string // path and query as received
-	Host     string
-	Path     string
-	Header   http.Header // passed on unchanged
-	Key      tenant.Key  // hash of the caller's key; zero: none
-	Body     []byte
-	Deadline time.Duration // how long the client waits; 0: unknown
-	Program  string        // ID of the program that the turn belongs to; empty: none
-	Budget   int           // tokens that the program may generate in all; 0: no limit
-	Output   int           // maximum number of tokens that this turn generates
-	Prompt   int           // number of tokens of its prompt
-	Shared   int           // of these, tokens in the prefix shared with other programs
-	// SharedPart names the shared prefix; empty: there is none.
-	SharedPart string
+	ID              string
+	Method          string
+	Target          string // path and query as received
+	Host            string
+	Path            string
+	Header          http.Header // passed on unchanged
+	Key             tenant.Key  // hash of the caller's key; zero: none
+	Body            []byte
+	Timeout         time.Duration // how long the client waits; 0: unknown
+	Program         string        // ID of the program that the turn belongs to; empty: none
+	TokenBudget     int           // tokens that the program may generate in all; 0: no limit
+	MaxOutputTokens int           // maximum number of tokens that this turn generates
+	PromptTokens    int           // number of tokens of its prompt
+	SharedTokens    int           // of these, tokens in the prefix shared with other programs
+	// SharedPrefix names the shared prefix; empty: there is none.
+	SharedPrefix string
 	// Finish is the time left until the program must be complete; 0 if that time has passed.
 	// Timed reports whether Finish is set.
-	Timed    bool
-	Finish   time.Duration
-	Line     string // branch of turns within the program; empty: unknown
-	Hint     int    // the caller's estimate of the tokens to be generated; 0: unknown
-	Object   string // object that the request concerns; requests for one object go to the same worker; empty: none
-	Continue string // turn that this one continues; empty: none
-	Resume   string // ID of the last event that the client has; empty: none
+	HasFinish      bool
+	TimeToFinish   time.Duration
+	Branch         string // branch of turns within the program; empty: unknown
+	ExpectedTokens int    // the caller's estimate of the tokens to be generated; 0: unknown
+	Object         string // object that the request concerns; requests for one object go to the same worker; empty: none
+	PreviousTurn   string // turn that this one continues; empty: none
+	LastEventID    string // ID of the last event that the client has; empty: none
 }
 
 // Call is a request as it is sent to a worker.
 type Call struct {
-	Request  *Request
-	Body     []byte        // history and request body
-	Resume   string        // ID of the last event that the client has; empty: none
-	Priority int           // 0 is the most urgent
-	Tenant   string        // empty: the request needed no key
-	Left     time.Duration // time left until the deadline; 0: none
+	Request     *Request
+	Body        []byte        // history and request body
+	LastEventID string        // ID of the last event that the client has; empty: none
+	Priority    int           // 0 is the most urgent
+	Tenant      string        // empty: the request needed no key
+	TimeLeft    time.Duration // time left until the deadline; 0: none
 }
 
 // Answer is a worker's answer. Close must be called.
@@ -70,8 +70,8 @@
 	Close func(whole bool)
 }
 
-// ErrForeign reports an answer that belongs to another request.
-var ErrForeign = errors.New("the worker's answer belongs to another request; the connection is closed")
+// ErrAnswerMismatch reports an answer that belongs to another request.
+var ErrAnswerMismatch = errors.New("the worker's answer belongs to another request; the connection is closed")
 
 // Transport sends calls to workers.
 type Transport interface {
@@ -85,10 +85,10 @@
 type Responder interface {
 	// Answer sends a worker's complete answer.
 	Answer(status int, header http.Header, body []byte) error
-	// Start sends the head of a stream or long answer; length is in bytes, -1 if unknown.
-	Start(status int, header http.Header, length int64) error
-	// Event sends bytes of the body without delay.
-	Event(raw []byte) error
+	// WriteHead sends the head of a stream or long answer; length is in bytes, -1 if unknown.
+	WriteHead(status int, header http.Header, length int64) error
+	// Write sends bytes of the body without delay.
+	Write(raw []byte) error
 	// End completes the answer.
 	End()
 	// Abort breaks the connection, so that the client does not take the answer for complete.
--- a/internal/forward/restart_test.go
+++ b/internal/forward/restart_test.go
@@ -19,7 +19,7 @@
 // startProcess registers a process of worker w0 that started at the given second.
 func (f *fixture) startProcess(second int64, revision uint64) {
 	f.workers.Put(backend.Record{
-		ID: "w0", Born: time.UnixMilli(second * 1000), Service: "s", Address: "w0", Zone: "z", Slots: 4, Revision: revision,
+		ID: "w0", StartedAt: time.UnixMilli(second * 1000), Service: "s", Address: "w0", Zone: "z", Slots: 4, Revision: revision,
 	})
 }
 
--- a/internal/forward/silent_test.go
+++ b/internal/forward/silent_test.go
@@ -72,9 +72,9 @@
 	f = newFixture(t, served)
 	transport, checks = &poolTransport{}, &atomic.Int64{}
 	f.forwarder.options.Transport = transport
-	f.forwarder.options.Workers = backend.NewRegistry(backend.Options{Zone: "z", DialTimeout: time.Minute, OnLook: func() { checks.Add(1) }})
+	f.forwarder.options.Workers = backend.NewRegistry(backend.Options{Zone: "z", DialTimeout: time.Minute, OnReconnect: func() { checks.Add(1) }})
 	f.forwarder.options.Workers.Put(backend.Record{ID: "w", Service: "s", Address: address, Zone: "z", Slots: 4})
-	require.Equal(t, http.StatusOK, f.serve(t.Context(), func(r *Request) { r.Deadline = time.Minute }).status)
+	require.Equal(t, http.StatusOK, f.serve(t.Context(), func(r *Request) { r.Timeout = time.Minute }).status)
 	return f, transport, answered, checks
 }
 
@@ -84,7 +84,7 @@
 
 // longRequest is larger than the buffers of a stalled connection, and is sent quickly to a worker
 // that reads it.
-func longRequest(r *Request) { r.Deadline, r.Body = time.Minute, make([]byte, 1<<20) }
+func longRequest(r *Request) { r.Timeout, r.Body = time.Minute, make([]byte, 1<<20) }
 
 // Guards against waiting for an answer on a dead connection when a safe request can be resent on
 // a new one.
--- a/internal/forward/slowclient_test.go
+++ b/internal/forward/slowclient_test.go
@@ -35,7 +35,7 @@
 					})
 					got := &client{begun: time.Now()}
 					got.onEvent = func() { time.Sleep(slow) }
-					request := &Request{ID: "r1", Method: http.MethodPost, Target: "/p/x", Host: "h", Path: "/p/x", Header: http.Header{}, Deadline: time.Minute}
+					request := &Request{ID: "r1", Method: http.MethodPost, Target: "/p/x", Host: "h", Path: "/p/x", Header: http.Header{}, Timeout: time.Minute}
 					f.forwarder.Serve(t.Context(), request, got)
 					require.False(t, got.ended)
 					require.True(t, got.aborted)
@@ -68,7 +68,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, plainRoute(route.Unsafe, 1))
 			held, most := int64(0), int64(0)
-			f.forwarder.options.Admit = func(bytes int64) (func(), bool) {
+			f.forwarder.options.ReserveMemory = func(bytes int64) (func(), bool) {
 				if bytes > test.free {
 					return nil, false
 				}
@@ -94,7 +94,7 @@
 func TestTruncatedAnswerIsNeverComplete(t *testing.T) {
 	for _, free := range []bool{true, false} {
 		f := newFixture(t, plainRoute(route.Unsafe, 1))
-		f.forwarder.options.Admit = func(int64) (func(), bool) { return func() {}, free }
+		f.forwarder.options.ReserveMemory = func(int64) (func(), bool) { return func() {}, free }
 		f.worker("w", func(context.Context, Call) (*Answer, error) {
 			cut := readerFunc(func([]byte) (int, error) { return 0, errors.New("cut") })
 			return answer(http.StatusOK, false, io.MultiReader(strings.NewReader("o"), cut)), nil
--- a/internal/forward/steps_test.go
+++ b/internal/forward/steps_test.go
@@ -80,7 +80,7 @@
 		lines, registry := captureSteps(f)
 		f.forwarder.options.History = newHistory(slowStore{Store: f.table, read: 20 * time.Millisecond, write: 40 * time.Millisecond})
 		f.scripts["w"] = slowStream(70*time.Millisecond, 110*time.Millisecond)
-		got := f.serve(t.Context(), func(r *Request) { r.ID, r.Continue = "t2", "t1" })
+		got := f.serve(t.Context(), func(r *Request) { r.ID, r.PreviousTurn = "t2", "t1" })
 		require.True(t, got.ended)
 		entry := lines.Entries[0]
 		require.Equal(t, map[string]int64{"admit": 0, "prepare": 20, "place": 0, "first_event": 70, "stream": 110, "keep": 40}, stepMilliseconds(entry))
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -73,7 +73,7 @@
 	if len(x.attempts.counted) == 0 {
 		return
 	}
-	_ = wait.For(ctx, time.Duration(x.sends)*resendDelay)
+	_ = wait.Sleep(ctx, time.Duration(x.sends)*resendDelay)
 }
 
 // tryStream sends the request to one worker. If done, the request is over; otherwise it may be
@@ -120,7 +120,7 @@
 	answer.Close(true)
 	failure := answer.Status >= http.StatusInternalServerError
 	if failure {
-		worker.Broke(time.Now())
+		worker.RecordFailure(time.Now())
 		x.recordSendFailure(worker, strconv.Itoa(answer.Status))
 	}
 	if failure && x.route.Repeatable() && x.sends < maxSends {
@@ -146,7 +146,7 @@
 	for {
 		event, err := reader.Next()
 		if errors.Is(err, io.EOF) {
-			worker.Answered()
+			worker.RecordSuccess()
 			return x.sendHead(answer)
 		}
 		if err != nil && writeTime >= slowClientDelay {
@@ -170,7 +170,7 @@
 		}
 		writeTime = now.Sub(receivedAt)
 		if !previous.IsZero() && perEvent > 0 {
-			worker.Paced(now.Sub(previous) / time.Duration(perEvent))
+			worker.RecordTokenTime(now.Sub(previous) / time.Duration(perEvent))
 		}
 		previous = now
 	}
@@ -194,7 +194,7 @@
 	x.headSent = true
 	x.reportFirstEvent()
 	x.options.Metrics.FirstEvent.Observe(time.Since(x.startTime).Seconds())
-	if err := x.out.Start(answer.Status, answer.Header, unknownLength); err != nil {
+	if err := x.out.WriteHead(answer.Status, answer.Header, unknownLength); err != nil {
 		return errClientGone
 	}
 	return nil
@@ -205,13 +205,13 @@
 		return err
 	}
 	x.events++
-	if x.route.Retain {
+	if x.route.StoreTurns {
 		x.output = append(append(x.output, event.Data...), '\n')
 	}
 	if len(event.ID) > 0 {
 		x.lastEventID = string(event.ID)
 	}
-	if err := x.out.Event(event.Raw); err != nil {
+	if err := x.out.Write(event.Raw); err != nil {
 		return errClientGone
 	}
 	return nil
--- a/internal/forward/turn.go
+++ b/internal/forward/turn.go
@@ -51,12 +51,12 @@
 		return refusal
 	}
 	x.clock.enter(stepPlace, time.Now())
-	x.body = history.Join(chain, x.request.Body)
+	x.body = history.JoinInput(chain, x.request.Body)
 	if len(chain) > 0 {
 		x.home = chain[len(chain)-1].Worker
 	}
 	if reservation != nil && x.home == "" {
-		x.home = reservation.Home
+		x.home = reservation.LastWorker
 	}
 	x.lookUpWorkers(ctx)
 	if x.service == "" || x.home != "" {
@@ -74,7 +74,7 @@
 		refusal = x.serveStream(ctx, perEvent)
 	}
 	if reservation != nil {
-		x.budgetDrawn, x.budgetHandedOver, x.budgetLocated = reservation.Drawn, reservation.Handed, reservation.Located
+		x.budgetDrawn, x.budgetHandedOver, x.budgetLocated = reservation.Drawn, reservation.HandedOver, reservation.LocatorUsed
 		x.budgetGranted = reservation.Granted
 		reservation.Settle(x.events*perEvent, x.homeAfter())
 	}
@@ -84,15 +84,17 @@
 	if refusal = x.storeTurn(ctx, chain); refusal != nil {
 		return refusal
 	}
-	if x.route.Retain && reservation != nil {
-		x.recordRun(reservation.Others)
+	if x.route.StoreTurns && reservation != nil {
+		x.recordRun(reservation.Holders)
 	}
 	return nil
 }
 
 // startsRetainedProgram reports whether the turn is known to have no history before anything is
 // loaded or reserved for it. Admission can then refuse it at no cost.
-func (x *exchange) startsRetainedProgram() bool { return x.route.Retain && x.request.Continue == "" }
+func (x *exchange) startsRetainedProgram() bool {
+	return x.route.StoreTurns && x.request.PreviousTurn == ""
+}
 
 // homeAfter returns the worker that holds the program's context after the turn; empty: no event
 // was relayed.
@@ -118,28 +120,28 @@
 		default: // already published
 		}
 	}
-	if x.request.Budget > 0 && x.request.Program != "" {
+	if x.request.TokenBudget > 0 && x.request.Program != "" {
 		group.Go(func() (err error) {
 			reservation, err = x.options.Budgets.Reserve(waiting, budget.Claim{
-				Program:   x.tenant.Scope(x.request.Program),
-				Budget:    x.request.Budget,
-				Tokens:    x.request.Output,
-				Continues: x.request.Continue != "",
-				Kept:      x.route.Retain,
-				Named:     publishHolders,
+				Program:     x.tenant.Scope(x.request.Program),
+				Budget:      x.request.TokenBudget,
+				Tokens:      x.request.MaxOutputTokens,
+				Continues:   x.request.PreviousTurn != "",
+				MustPersist: x.route.StoreTurns,
+				OnHolders:   publishHolders,
 			})
 			if err == nil {
-				publishHolders(reservation.Others)
+				publishHolders(reservation.Holders)
 			}
 			return err
 		})
 	}
-	if x.request.Budget <= 0 || x.request.Program == "" {
+	if x.request.TokenBudget <= 0 || x.request.Program == "" {
 		close(holders)
 	}
-	if x.route.Retain && x.request.Continue != "" {
+	if x.route.StoreTurns && x.request.PreviousTurn != "" {
 		group.Go(func() (err error) {
-			chain, err = x.loadHistory(locality.WithContent(waiting, x.allowedRegions()), holders)
+			chain, err = x.loadHistory(locality.WithContentRegions(waiting, x.allowedRegions()), holders)
 			return err
 		})
 	}
@@ -164,7 +166,7 @@
 
 func (x *exchange) prepareError(ctx context.Context, err error) *fault.Error {
 	if errors.Is(err, history.ErrNoTurn) {
-		return fault.Newf(fault.NotFound, "start a new program", "turn %q does not exist or has expired", x.request.Continue)
+		return fault.Newf(fault.NotFound, "start a new program", "turn %q does not exist or has expired", x.request.PreviousTurn)
 	}
 	if ctx.Err() != nil {
 		return x.endedError(ctx)
@@ -197,7 +199,7 @@
 func (x *exchange) chooseService() string {
 	if x.home != "" {
 		for _, target := range x.route.Targets {
-			if target.Weight > 0 && x.options.Workers.Has(target.Service, x.home) {
+			if target.Weight > 0 && x.options.Workers.Usable(target.Service, x.home) {
 				return target.Service
 			}
 		}
@@ -207,7 +209,7 @@
 
 // storeTurn writes the turn to the store. The client's answer must not be completed before that.
 func (x *exchange) storeTurn(ctx context.Context, chain []*history.Turn) *fault.Error {
-	if !x.route.Retain {
+	if !x.route.StoreTurns {
 		return nil
 	}
 	x.clock.enter(stepKeep, time.Now())
@@ -220,7 +222,7 @@
 	for _, earlier := range chain {
 		turn.Ancestors = append(turn.Ancestors, earlier.ID)
 	}
-	if err := x.options.History.Keep(locality.WithContent(ctx, x.allowedRegions()), turn, chain, x.route.Retention); err != nil {
+	if err := x.options.History.Write(locality.WithContentRegions(ctx, x.allowedRegions()), turn, chain, x.route.Retention); err != nil {
 		x.options.Metrics.UnsavedTurns.Inc()
 		return fault.Newf(fault.Unavailable, "send the turn again", "the turn could not be stored: %v", err).WithRan(fault.RanYes)
 	}
--- a/internal/forward/turn_test.go
+++ b/internal/forward/turn_test.go
@@ -26,7 +26,7 @@
 
 func resumable(r *route.Route) { r.Resumable = true }
 
-func retained(r *route.Route) { r.Retain = true }
+func retained(r *route.Route) { r.StoreTurns = true }
 
 // Guards against changing a worker's stream on its way to the client.
 func TestStreamIsPassedOnByteForByte(t *testing.T) {
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
 		f.worker("w", streams(3, 0))
-		got := f.serve(t.Context(), func(r *Request) { r.Resume = "3" })
+		got := f.serve(t.Context(), func(r *Request) { r.LastEventID = "3" })
 		require.Equal(t, http.StatusOK, got.status, "the head is sent")
 		require.True(t, got.ended)
 		require.Empty(t, got.body.String())
@@ -90,14 +90,14 @@
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
 		f.serve(t.Context(), func(r *Request) { r.ID, r.Body = "t1", []byte("one;") })
-		f.serve(t.Context(), func(r *Request) { r.ID, r.Body, r.Continue = "t2", []byte("two;"), "t1" })
+		f.serve(t.Context(), func(r *Request) { r.ID, r.Body, r.PreviousTurn = "t2", []byte("two;"), "t1" })
 		// Another node without a cache continues from t2 twice.
 		other := newFixture(t, turnRoute(retained))
 		other.table = f.table
 		other.forwarder.options.History = newHistory(f.table)
 		other.worker("w", streams(2, 0))
 		for _, branch := range []string{"t3", "t4"} {
-			got := other.serve(t.Context(), func(r *Request) { r.ID, r.Body, r.Continue = branch, []byte("next"), "t2" })
+			got := other.serve(t.Context(), func(r *Request) { r.ID, r.Body, r.PreviousTurn = branch, []byte("next"), "t2" })
 			require.True(t, got.ended)
 		}
 		for _, call := range other.sent() {
@@ -111,9 +111,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(retained))
 		f.worker("w", streams(2, 0))
-		from := func(r *Request) { r.Continue = "nowhere" }
+		from := func(r *Request) { r.PreviousTurn = "nowhere" }
 		require.Equal(t, fault.NotFound, f.serve(t.Context(), from).refusal.Code)
-		for _, down := range []storetest.Fault{storetest.Silent, storetest.Refused, storetest.Broken} {
+		for _, down := range []storetest.Fault{storetest.RequestLost, storetest.Refused, storetest.ConnectionReset} {
 			f.table.SetFault(func(string, bool) storetest.Fault { return down })
 			got := f.serve(t.Context(), from)
 			require.Equal(t, fault.Unavailable, got.refusal.Code)
@@ -132,7 +132,7 @@
 		f.worker("w", streams(3, 0))
 		f.table.SetFault(func(_ string, write bool) storetest.Fault {
 			if write {
-				return storetest.Silent
+				return storetest.RequestLost
 			}
 			return storetest.None
 		})
@@ -148,7 +148,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(nil))
 		f.worker("w", streams(5, 0)) // uses 50 tokens
-		turn := func(r *Request) { r.Program, r.Budget, r.Output = "p", 120, 60 }
+		turn := func(r *Request) { r.Program, r.TokenBudget, r.MaxOutputTokens = "p", 120, 60 }
 		for range 3 { // the third exceeds the budget: 150 tokens, and up to 179 are allowed
 			require.True(t, f.serve(t.Context(), turn).ended)
 		}
@@ -167,8 +167,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, turnRoute(resumable))
 		f.worker("w", streams(5, 0))
-		f.table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
-		got := f.serve(t.Context(), func(r *Request) { r.Program, r.Budget, r.Output = "p", 1000, 60 })
+		f.table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
+		got := f.serve(t.Context(), func(r *Request) { r.Program, r.TokenBudget, r.MaxOutputTokens = "p", 1000, 60 })
 		require.Equal(t, fault.Unavailable, got.refusal.Code)
 		require.Equal(t, fault.RanNo, got.refusal.Ran)
 		require.Positive(t, got.refusal.RetryAfter)
@@ -188,7 +188,7 @@
 		}
 		for range 5 {
 			f.serve(t.Context(), func(r *Request) {
-				r.Program, r.Budget, r.Output, r.Prompt, r.Shared = "p", 100000, 60, 14000, 12000
+				r.Program, r.TokenBudget, r.MaxOutputTokens, r.PromptTokens, r.SharedTokens = "p", 100000, 60, 14000, 12000
 			})
 		}
 		for _, call := range f.sent() {
@@ -247,7 +247,7 @@
 			if calls++; calls == 1 {
 				return streams(9, 4)(ctx, call)
 			}
-			call.Resume = ""
+			call.LastEventID = ""
 			return streams(9, 0)(ctx, call)
 		})
 		got := f.serve(t.Context(), nil)
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -18,7 +18,7 @@
 var (
 	errUnreachable = errors.New("the worker is silent and accepts no connections")
 	errStalled     = errors.New("the worker accepts connections but does not answer")
-	errSilent      = fmt.Errorf("the worker accepts new connections but this one is dead: %w", httpconn.ErrSilent)
+	errSilent      = fmt.Errorf("the worker accepts new connections but this one is dead: %w", httpconn.ErrUnresponsive)
 )
 
 const (
@@ -54,9 +54,9 @@
 type watchdog struct {
 	logger     log.Interface // with the request and the worker as fields
 	worker     *backend.Worker
-	silences   *backend.Silences // usual durations of silence of the worker's service
-	minSilence time.Duration     // least silence before a check
-	conn       *httpconn.Watch   // distinguishes a dead connection from a silent worker
+	silences   *backend.LatencyEstimates // usual durations of silence of the worker's service
+	minSilence time.Duration             // least silence before a check
+	conn       *httpconn.Watch           // distinguishes a dead connection from a silent worker
 	// waitForDeadline: a worker that accepts connections is not given up before the deadline.
 	waitForDeadline bool
 	// repeatable: the request may be sent again on a new connection.
@@ -102,7 +102,7 @@
 	w.mutex.Unlock()
 	w.answerStarted.Store(true)
 	w.timer.Reset(w.silenceTimeout())
-	w.worker.Serves(w.sentAt, w.priority)
+	w.worker.RecordServed(w.sentAt, w.priority)
 }
 
 // delivered records that the client has accepted the data. The worker's silence counts from now.
@@ -122,7 +122,7 @@
 
 // usualSilence is the usual silence in this part of the answer: before its first data or between
 // later data.
-func (w *watchdog) usualSilence() *wait.Estimate {
+func (w *watchdog) usualSilence() *wait.LatencyEstimate {
 	if w.answerStarted.Load() {
 		return &w.silences.Next
 	}
@@ -131,7 +131,7 @@
 
 // silenceTimeout is how long the worker may be silent before it is checked.
 func (w *watchdog) silenceTimeout() time.Duration {
-	return w.usualSilence().Longest(w.minSilence, maxSilenceFactor*w.minSilence)
+	return w.usualSilence().Timeout(w.minSilence, maxSilenceFactor*w.minSilence)
 }
 
 // isStalled reports whether to give up a worker that accepts connections.
@@ -164,7 +164,7 @@
 		return
 	}
 	limited, cancel := context.WithTimeout(ctx, dialCheckTimeout)
-	err := w.worker.Pool().Reach(limited)
+	err := w.worker.Pool().Probe(limited)
 	cancel()
 	if ctx.Err() != nil {
 		return
@@ -175,7 +175,7 @@
 		return // data arrived during the check and restarted the timeout
 	}
 	if w.checks == 0 && !w.answerStarted.Load() {
-		w.worker.FellSilent(begun)
+		w.worker.RecordTimeout(begun)
 	}
 	w.checks++
 	if err != nil {
@@ -184,7 +184,7 @@
 	}
 	w.firstMiss = time.Time{}
 	switch {
-	case w.repeatable && w.conn.Silent():
+	case w.repeatable && w.conn.Unresponsive():
 		w.cancel(errSilent)
 	case w.isStalled(w.checks):
 		w.cancel(errStalled)
@@ -209,7 +209,7 @@
 		return
 	}
 	if w.answerStarted.Load() && !w.movable {
-		w.worker.Unreachable(time.Now())
+		w.worker.RecordUnreachable(time.Now())
 		w.firstMiss = time.Time{}
 		w.timer.Reset(w.silenceTimeout())
 		return
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -20,8 +20,8 @@
 	Age      time.Duration // upper bound of the proof's age
 }
 
-// Keeper holds the most recent proof for the active configuration. It is safe for concurrent use.
-type Keeper struct {
+// Tracker holds the most recent proof for the active configuration. It is safe for concurrent use.
+type Tracker struct {
 	mutex    sync.Mutex
 	maxAge   time.Duration // oldest proof with which keys are accepted; 0 means that no proof is needed
 	revision store.Version // active revision
@@ -41,16 +41,16 @@
 
 // New returns a keeper without a proof. revokeWithin bounds how long a removed key is still
 // accepted; 0 sets no bound.
-func New(revokeWithin time.Duration) *Keeper {
-	return &Keeper{maxAge: max(0, revokeWithin-dispatchMargin)}
+func New(revokeWithin time.Duration) *Tracker {
+	return &Tracker{maxAge: max(0, revokeWithin-dispatchMargin)}
 }
 
-// Bound returns the maximum age of a proof with which keys are accepted. 0 means that no proof is
+// MaxAge returns the maximum age of a proof with which keys are accepted. 0 means that no proof is
 // needed.
-func (k *Keeper) Bound() time.Duration { return k.maxAge }
+func (k *Tracker) MaxAge() time.Duration { return k.maxAge }
 
-// InForce records that a revision has become active. Older revisions are ignored.
-func (k *Keeper) InForce(revision store.Version) {
+// SetActive records that a revision has become active. Older revisions are ignored.
+func (k *Tracker) SetActive(revision store.Version) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.revision = max(k.revision, revision)
@@ -60,9 +60,9 @@
 	}
 }
 
-// Prove records that a revision was the newest at the given time of this process's clock. A proof
+// AddProof records that a revision was the newest at the given time of this process's clock. A proof
 // of a revision newer than the active one takes effect once that revision is active.
-func (k *Keeper) Prove(revision store.Version, moment time.Time) {
+func (k *Tracker) AddProof(revision store.Version, moment time.Time) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if revision <= k.revision {
@@ -75,20 +75,20 @@
 }
 
 // advance replaces the proof by a more recent one. The caller holds the mutex.
-func (k *Keeper) advance(moment time.Time) {
+func (k *Tracker) advance(moment time.Time) {
 	if moment.After(k.provenAt) {
 		k.provenAt = moment
 	}
 }
 
-// Age implements forward.Freshness.
-func (k *Keeper) Age() (age time.Duration, fresh bool) {
+// Age implements forward.ConfigFreshness.
+func (k *Tracker) Age() (age time.Duration, fresh bool) {
 	proof := k.Proof()
 	return proof.Age, k.maxAge == 0 || proof.Revision != 0 && proof.Age < k.maxAge
 }
 
 // Proof returns the current proof. Its Revision is 0 if there is none.
-func (k *Keeper) Proof() Proof {
+func (k *Tracker) Proof() Proof {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.provenAt.IsZero() {
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -13,7 +13,7 @@
 // TestNotFreshWithoutProof guards against accepting keys before the first proof.
 func TestNotFreshWithoutProof(t *testing.T) {
 	keeper := New(revokeWithin)
-	keeper.InForce(7)
+	keeper.SetActive(7)
 	_, fresh := keeper.Age()
 	require.False(t, fresh)
 	require.Zero(t, keeper.Proof().Revision)
@@ -26,10 +26,10 @@
 func TestProofAgesFromRequestAndExpiresBeforeBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keeper := New(revokeWithin)
-		keeper.InForce(7)
+		keeper.SetActive(7)
 		sent := time.Now()
 		time.Sleep(3 * time.Second) // a slow reply or a paused process
-		keeper.Prove(7, sent)
+		keeper.AddProof(7, sent)
 		age, fresh := keeper.Age()
 		require.Equal(t, 3*time.Second, age)
 		require.True(t, fresh)
@@ -43,11 +43,11 @@
 func TestOlderProofIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keeper := New(revokeWithin)
-		keeper.InForce(7)
+		keeper.SetActive(7)
 		early := time.Now()
 		time.Sleep(time.Second)
-		keeper.Prove(7, time.Now())
-		keeper.Prove(7, early)
+		keeper.AddProof(7, time.Now())
+		keeper.AddProof(7, early)
 		age, _ := keeper.Age()
 		require.Zero(t, age)
 	})
@@ -57,16 +57,16 @@
 func TestProofOfNewerRevisionIsDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keeper := New(revokeWithin)
-		keeper.InForce(7)
-		keeper.Prove(7, time.Now())
+		keeper.SetActive(7)
+		keeper.AddProof(7, time.Now())
 		time.Sleep(2 * time.Second)
-		keeper.Prove(9, time.Now())
+		keeper.AddProof(9, time.Now())
 		age, _ := keeper.Age()
 		require.Equal(t, 2*time.Second, age, "revision 9 is not active here yet")
-		keeper.InForce(8)
+		keeper.SetActive(8)
 		age, _ = keeper.Age()
 		require.Equal(t, 2*time.Second, age)
-		keeper.InForce(9)
+		keeper.SetActive(9)
 		age, _ = keeper.Age()
 		require.Zero(t, age)
 	})
@@ -77,8 +77,8 @@
 func TestProofOfOlderRevisionAppliesToCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		keeper := New(revokeWithin)
-		keeper.InForce(9)
-		keeper.Prove(7, time.Now())
+		keeper.SetActive(9)
+		keeper.AddProof(7, time.Now())
 		require.EqualValues(t, 9, keeper.Proof().Revision, "all changes acknowledged before the proof are active here")
 	})
 }
@@ -89,18 +89,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		first := New(revokeWithin)
-		first.InForce(7)
-		first.Prove(7, start)
+		first.SetActive(7)
+		first.AddProof(7, start)
 		before := first
 		for range 5 {
 			time.Sleep(100 * time.Millisecond)
 			next := New(revokeWithin)
-			next.InForce(7)
+			next.SetActive(7)
 			asked := time.Now()
 			time.Sleep(50 * time.Millisecond) // request in transit
 			proof := before.Proof()
 			time.Sleep(50 * time.Millisecond) // reply in transit
-			next.Prove(proof.Revision, asked.Add(-proof.Age))
+			next.AddProof(proof.Revision, asked.Add(-proof.Age))
 			age, _ := next.Age()
 			require.GreaterOrEqual(t, age, time.Since(start))
 			before = next
--- a/internal/gateway/faults_test.go
+++ b/internal/gateway/faults_test.go
@@ -152,8 +152,8 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	cluster.network.SetJudge(func(_, _ peer.Address, method string) peer.Verdict {
-		return peer.Verdict{Drop: method == dispatch.MethodShow}
+	cluster.network.SetFaultInjector(func(_, _ peer.Address, method string) peer.InjectedFault {
+		return peer.InjectedFault{Drop: method == dispatch.MethodShow}
 	})
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -162,12 +162,12 @@
 func TestPausedLeaderDoesNotHoldACreation(t *testing.T) {
 	cluster := newFakeCluster()
 	_, server := cluster.serve(t, func(o *Options) { o.AttemptTimeout = 20 * time.Millisecond })
-	cluster.network.SetJudge(func(_, to peer.Address, _ string) peer.Verdict {
+	cluster.network.SetFaultInjector(func(_, to peer.Address, _ string) peer.InjectedFault {
 		if to != "a" {
-			return peer.Verdict{}
+			return peer.InjectedFault{}
 		}
 		cluster.lead("b", false)
-		return peer.Verdict{DropAnswer: true}
+		return peer.InjectedFault{DropResponse: true}
 	})
 	createdProgram(t, server)
 	assert.Len(t, cluster.programs, 1, "the second leader finds what the first one did")
--- a/internal/gather/cluster_test.go
+++ b/internal/gather/cluster_test.go
@@ -41,7 +41,7 @@
 type testCluster struct {
 	t      *testing.T
 	across bool // the table accepts transactions across partitions
-	table  *storetest.Counted
+	table  *storetest.LimitedTable
 	nodes  []*testNode
 
 	mutex       sync.Mutex
@@ -73,21 +73,21 @@
 	cluster  *testCluster
 	index    int
 	gate     *store.Gate
-	keeper   *history.Keeper
-	gatherer *Gatherer
+	keeper   *history.TurnStore
+	gatherer *Committer
 
 	mutex  sync.Mutex
 	missed map[int]time.Time // by slot: when the owner last failed to answer
 }
 
-// GatherCall implements Meter.
-func (c *testCluster) GatherCall(int, bool) { c.calls.Add(1) }
+// RecordCommit implements Metrics.
+func (c *testCluster) RecordCommit(int, bool) { c.calls.Add(1) }
 
-// GatherWait implements Meter.
-func (c *testCluster) GatherWait(time.Duration) {}
+// RecordWait implements Metrics.
+func (c *testCluster) RecordWait(time.Duration) {}
 
-// GatherAsk implements Meter.
-func (c *testCluster) GatherAsk(Outcome) {}
+// RecordForward implements Metrics.
+func (c *testCluster) RecordForward(Outcome) {}
 
 func processOf(index int) string { return locality.ProcessName("zone", fmt.Sprint("node", index), "1") }
 
@@ -95,7 +95,7 @@
 // owned by one node.
 func newTestCluster(t *testing.T, across bool) *testCluster {
 	c := &testCluster{
-		t: t, table: storetest.NewCounted(storetest.CountedOptions{Writes: 1500, Way: 8 * time.Millisecond, Takes: 5 * time.Millisecond, Across: across}), across: across,
+		t: t, table: storetest.NewLimitedTable(storetest.LimitedOptions{CommitsPerSecond: 1500, RoundTrip: 8 * time.Millisecond, CommitTime: 5 * time.Millisecond, CrossPart: across}), across: across,
 		claims: map[int][]int{}, unreachable: map[int]bool{}, replyLost: map[int]bool{}, oldBuild: map[int]bool{}, tableCut: map[int]bool{}, paused: map[int]chan struct{}{},
 	}
 	for group := range Groups {
@@ -109,7 +109,7 @@
 
 // nodeTable is the table as one node accesses it.
 type nodeTable struct {
-	*storetest.Counted
+	*storetest.LimitedTable
 	cluster *testCluster
 	index   int
 }
@@ -130,7 +130,7 @@
 	if err := n.checkReachable(ctx); err != nil {
 		return 0, err
 	}
-	return n.Counted.Commit(ctx, transaction)
+	return n.LimitedTable.Commit(ctx, transaction)
 }
 
 // Range implements store.Store.
@@ -138,7 +138,7 @@
 	if err := n.checkReachable(ctx); err != nil {
 		return store.Page{}, err
 	}
-	return n.Counted.Range(ctx, table, part, from, to, limit)
+	return n.LimitedTable.Range(ctx, table, part, from, to, limit)
 }
 
 // assignOwner makes a node the owner of a group. A previous owner keeps its claim and still
@@ -152,22 +152,22 @@
 
 func (c *testCluster) newNode(index int) *testNode {
 	logger := &log.Logger{Handler: discard.New()}
-	node := &testNode{cluster: c, index: index, gate: store.NewGate(nodeTable{Counted: c.table, cluster: c, index: index}, logger), missed: map[int]time.Time{}}
+	node := &testNode{cluster: c, index: index, gate: store.NewGate(nodeTable{LimitedTable: c.table, cluster: c, index: index}, logger), missed: map[int]time.Time{}}
 	slots := Slots{Layout: directory.NewLayout(nil)}
-	node.gatherer = NewGatherer(GathererOptions{
+	node.gatherer = NewCommitter(CommitterOptions{
 		Process: processOf(index),
 		Owns: func(group int) bool {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			return slices.Contains(c.claims[group], index)
 		},
-		Store: node.gate, Lost: node.gate.Suspect, Pace: Pace{Writes: 1500, Groups: slots.Groups(), Across: c.across},
-		Bytes: 8 << 20, Meter: c, Logger: logger,
+		Store: node.gate, TableUnreachable: node.gate.Suspect, Limit: CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.across},
+		MaxPendingBytes: 8 << 20, Meter: c, Logger: logger,
 	})
 	writer := NewWriter(WriterOptions{
-		Process: processOf(index), Slots: slots, Owners: node, Peers: c, Gatherer: node.gatherer,
+		Process: processOf(index), Slots: slots, Owners: node, Peers: c, Committer: node.gatherer,
 		ThrottledSince: node.gate.ThrottledSince,
-		Pace:           Pace{Writes: 1500, Groups: slots.Groups(), Across: c.across}, Nodes: func() int { return slotOwners },
+		Limit:          CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.across}, Nodes: func() int { return slotOwners },
 		Meter: c, Logger: logger,
 	})
 	node.keeper = history.New(history.Options{Store: node.gate, CacheBytes: 1, Together: writer})
@@ -184,15 +184,15 @@
 	return budget.Holder{Process: processOf(index), Address: fmt.Sprint(index)}, time.Since(n.missed[slot]) >= missedPeriod
 }
 
-// Heard implements Owners.
-func (n *testNode) Heard(slot int) {
+// RecordAnswer implements Owners.
+func (n *testNode) RecordAnswer(slot int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delete(n.missed, slot)
 }
 
-// Missed implements Owners.
-func (n *testNode) Missed(slot int, _ budget.Holder) {
+// RecordNoAnswer implements Owners.
+func (n *testNode) RecordNoAnswer(slot int, _ budget.Holder) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.missed[slot] = time.Now()
@@ -204,7 +204,7 @@
 	var index int
 	_, err := fmt.Sscan(owner.Address, &index)
 	require.NoError(c.t, err)
-	if err := wait.For(ctx, roundTrip/2); err != nil {
+	if err := wait.Sleep(ctx, roundTrip/2); err != nil {
 		return Answer{}, err
 	}
 	c.mutex.Lock()
@@ -230,7 +230,7 @@
 		if replyLost {
 			<-ctx.Done()
 		}
-		return answer, wait.For(ctx, roundTrip/2)
+		return answer, wait.Sleep(ctx, roundTrip/2)
 	case <-ctx.Done():
 		return Answer{}, ctx.Err()
 	}
@@ -272,7 +272,7 @@
 		ctx, cancel := context.WithTimeout(c.t.Context(), turnTimeout)
 		defer cancel()
 		start := time.Now()
-		err := node.keeper.Keep(ctx, turn, nil, time.Hour)
+		err := node.keeper.Write(ctx, turn, nil, time.Hour)
 		result := turnResult{start: start, elapsed: time.Since(start), err: err, turn: turn.ID}
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
--- a/internal/gather/decide_test.go
+++ b/internal/gather/decide_test.go
@@ -16,7 +16,7 @@
 // more rows than allowed commits.
 func TestWriteCallsStayWithinShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pace := Pace{Writes: rapid.Float64Range(10, 10_000).Draw(t, "writes"), Groups: Groups * rapid.IntRange(1, 4).Draw(t, "regions"), Across: rapid.Bool().Draw(t, "across")}
+		pace := CommitLimit{PerSecond: rapid.Float64Range(10, 10_000).Draw(t, "writes"), Groups: Groups * rapid.IntRange(1, 4).Draw(t, "regions"), CrossPartition: rapid.Bool().Draw(t, "across")}
 		total := 0.0
 		for range pace.Groups {
 			rows := rapid.Float64Range(0, 10_000).Draw(t, "rate")
@@ -27,17 +27,17 @@
 				total += calls
 			}
 		}
-		require.LessOrEqual(t, total, groupCommitShare*pace.Writes*1.001)
+		require.LessOrEqual(t, total, groupCommitShare*pace.PerSecond*1.001)
 		require.Zero(t, pace.BatchDelay(pace.groupCalls(), 1))
 	})
-	require.Zero(t, Pace{Groups: Groups}.BatchDelay(1e6, 1), "the commit limit is unknown")
-	require.False(t, Pace{Groups: Groups}.GroupNearLimit(1e6, true))
+	require.Zero(t, CommitLimit{Groups: Groups}.BatchDelay(1e6, 1), "the commit limit is unknown")
+	require.False(t, CommitLimit{Groups: Groups}.GroupNearLimit(1e6, true))
 }
 
 // TestNearLimitHysteresis guards against flapping: between the two thresholds the state stays as
 // it was.
 func TestNearLimitHysteresis(t *testing.T) {
-	pace := Pace{Writes: 1500, Groups: Groups}
+	pace := CommitLimit{PerSecond: 1500, Groups: Groups}
 	between := (nearLimitEnter + nearLimitLeave) / 2 * pace.groupCalls()
 	require.True(t, pace.GroupNearLimit(between, true))
 	require.False(t, pace.GroupNearLimit(between, false))
@@ -101,9 +101,9 @@
 	require.Len(t, partitions, 3)
 	count := 0
 	for _, partition := range partitions {
-		require.False(t, buildTransaction(partition).Across())
+		require.False(t, buildTransaction(partition).CrossPart())
 		count += len(partition)
 	}
 	require.Equal(t, len(requests), count)
-	require.True(t, buildTransaction(requests).Across())
+	require.True(t, buildTransaction(requests).CrossPart())
 }
--- a/internal/gather/doc.go
+++ b/internal/gather/doc.go
@@ -9,7 +9,7 @@
 // so writing the same row twice must be harmless. A node sends its rows to an owner only while the
 // table is near its commit limit; otherwise it writes them itself at once.
 //
-// The methods of Pace and selectBatch are pure: they read no clock and make no calls.
+// The methods of CommitLimit and selectBatch are pure: they read no clock and make no calls.
 package gather
 
 import (
@@ -58,9 +58,9 @@
 // Outcome is the result of asking an owner to write rows.
 type Outcome string
 
-// The outcomes. After any of them but OutcomeKept the rows may or may not be in the table.
+// The outcomes. After any of them but OutcomeStored the rows may or may not be in the table.
 const (
-	OutcomeKept   Outcome = "kept"
+	OutcomeStored Outcome = "kept"
 	OutcomeFull   Outcome = "full"   // the queue or the memory limit is full
 	OutcomeLate   Outcome = "late"   // the sender's timeout passed
 	OutcomeFailed Outcome = "failed" // the table rejected the rows or does not respond to the owner
--- a/internal/gather/gatherer.go
+++ b/internal/gather/gatherer.go
@@ -23,39 +23,39 @@
 	minCallEstimate = 20 * time.Millisecond
 )
 
-// GathererOptions configures a Gatherer.
-type GathererOptions struct {
+// CommitterOptions configures a Committer.
+type CommitterOptions struct {
 	// Process is the name of this process. Owns reports whether it owns the slot of a group.
 	Process string
 	Owns    func(group int) bool
 	// Store is the table, reached directly or through relays. Lost reports that the table is
 	// currently unreachable by every route.
-	Store store.Store
-	Lost  func() bool
+	Store            store.Store
+	TableUnreachable func() bool
 	// Region is the region of this node. Received rows may be relayed only through nodes of this
 	// region.
 	Region string
-	Pace   Pace
-	// Bytes bounds the pending rows of all groups together.
-	Bytes  int
-	Meter  Meter
-	Logger log.Interface
+	Limit  CommitLimit
+	// MaxPendingBytes bounds the pending rows of all groups together.
+	MaxPendingBytes int
+	Meter           Metrics
+	Logger          log.Interface
 }
 
-// Meter records the activity of a Gatherer and a Writer. It must be safe for concurrent use.
-type Meter interface {
-	// GatherCall records a commit: its number of rows, and whether the table accepted it.
-	GatherCall(rows int, taken bool)
-	// GatherWait records how long the gatherer held the rows of a request.
-	GatherWait(waited time.Duration)
-	// GatherAsk records the outcome of rows that this node sent to an owner.
-	GatherAsk(outcome Outcome)
+// Metrics records the activity of a Committer and a Writer. It must be safe for concurrent use.
+type Metrics interface {
+	// RecordCommit records a commit: its number of rows, and whether the table accepted it.
+	RecordCommit(rows int, taken bool)
+	// RecordWait records how long the gatherer held the rows of a request.
+	RecordWait(waited time.Duration)
+	// RecordForward records the outcome of rows that this node sent to an owner.
+	RecordForward(outcome Outcome)
 }
 
-// Gatherer writes the rows of the groups whose slots this process owns.
-type Gatherer struct {
-	options  GathererOptions
-	callTime wait.Estimate // duration of commits
+// Committer writes the rows of the groups whose slots this process owns.
+type Committer struct {
+	options  CommitterOptions
+	callTime wait.LatencyEstimate // duration of commits
 
 	mutex        sync.Mutex
 	pendingBytes int // size of all pending rows
@@ -72,9 +72,9 @@
 	queues      map[string]*queue
 }
 
-// NewGatherer returns a gatherer with empty queues.
-func NewGatherer(options GathererOptions) *Gatherer {
-	gatherer := &Gatherer{options: options}
+// NewCommitter returns a gatherer with empty queues.
+func NewCommitter(options CommitterOptions) *Committer {
+	gatherer := &Committer{options: options}
 	for number := range gatherer.groups {
 		gatherer.groups[number] = group{rate: rate{window: groupRateWindow}, queues: map[string]*queue{}}
 	}
@@ -83,14 +83,14 @@
 
 // Answer queues the rows of a request and commits them together with those of others. It returns
 // once the rows are in the table, or when the sender's timeout or ctx ends.
-func (g *Gatherer) Answer(ctx context.Context, request Request) Answer {
+func (g *Committer) Answer(ctx context.Context, request Request) Answer {
 	if request.Process != g.options.Process || request.Group < 0 || request.Group >= Groups || !g.options.Owns(request.Group) {
 		return Answer{}
 	}
 	if len(request.Rows) == 0 || len(request.Rows) > maxBatchRows {
 		return g.buildAnswer(request.Group, nil, OutcomeFailed)
 	}
-	if g.options.Lost() {
+	if g.options.TableUnreachable() {
 		return g.buildAnswer(request.Group, nil, OutcomeFailed)
 	}
 	queue, pending := g.enqueue(request)
@@ -110,13 +110,13 @@
 	}
 	answer := g.buildAnswer(request.Group, queue, outcome)
 	answer.Took = time.Since(pending.arrived)
-	g.options.Meter.GatherWait(answer.Took)
+	g.options.Meter.RecordWait(answer.Took)
 	return answer
 }
 
 // enqueue adds the rows to their queue and starts the queue's worker if it is idle. pending is nil
 // if the queue or the memory limit is full.
-func (g *Gatherer) enqueue(request Request) (queue *queue, pending *pendingRequest) {
+func (g *Committer) enqueue(request Request) (queue *queue, pending *pendingRequest) {
 	size, now := request.size(), time.Now()
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -125,7 +125,7 @@
 		group.rate.add(len(request.Rows), now)
 	}
 	queue = g.queueFor(group, request.Rows[0].Part)
-	if queue == nil || queue.rows+len(request.Rows) > maxQueueRows || g.pendingBytes+size > g.options.Bytes {
+	if queue == nil || queue.rows+len(request.Rows) > maxQueueRows || g.pendingBytes+size > g.options.MaxPendingBytes {
 		return queue, nil
 	}
 	pending = &pendingRequest{rows: request.Rows, bytes: size, arrived: now, deadline: now.Add(request.Within), outcome: make(chan Outcome, 1)}
@@ -140,13 +140,13 @@
 // queueFor returns the queue of a partition, or that of its whole group if the table accepts
 // transactions across partitions. It is nil once a group already has queues for as many partitions
 // as it can have. The caller holds the mutex.
-func (g *Gatherer) queueFor(group *group, partition string) *queue {
-	if g.options.Pace.Across {
+func (g *Committer) queueFor(group *group, partition string) *queue {
+	if g.options.Limit.CrossPartition {
 		partition = ""
 	}
 	existing, ok := group.queues[partition]
 	if !ok && len(group.queues) < partitionsPerGroup {
-		existing = &queue{group: group, backoff: store.Backoff{Longest: maxBackoff}}
+		existing = &queue{group: group, backoff: store.Backoff{MaxPause: maxBackoff}}
 		group.queues[partition] = existing
 	}
 	return existing
@@ -154,17 +154,17 @@
 
 // buildAnswer combines an outcome with the state of its group, and logs when the group reaches or
 // leaves its commit limit. queue may be nil.
-func (g *Gatherer) buildAnswer(number int, queue *queue, outcome Outcome) Answer {
+func (g *Committer) buildAnswer(number int, queue *queue, outcome Outcome) Answer {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	group, now := &g.groups[number], time.Now()
 	rate := group.rate.at(now)
 	throttled := !group.throttledAt.IsZero() && now.Sub(group.throttledAt) < throttledPeriod
-	nearLimit := throttled || g.options.Pace.GroupNearLimit(rate, group.nearLimit)
+	nearLimit := throttled || g.options.Limit.GroupNearLimit(rate, group.nearLimit)
 	if nearLimit != group.nearLimit {
 		group.nearLimit = nearLimit
 		g.options.Logger.WithField("short", nearLimit).WithField("group", number).WithField("rows_per_s", int(rate)).
-			WithField("writes_per_s", int(g.options.Pace.Writes)).WithField("throttled", throttled).
+			WithField("writes_per_s", int(g.options.Limit.PerSecond)).WithField("throttled", throttled).
 			WithField("bytes", g.pendingBytes).Info("nearness to the table's commit limit changed; senders forward rows to this owner while short is true")
 	}
 	answer := Answer{Owner: true, Outcome: outcome, Short: nearLimit}
@@ -178,8 +178,8 @@
 // estimateWait estimates the time to write rows that arrive now: the commit in flight, the batch
 // delay or backoff, their own commit, and further ones if more rows are pending than fit in one.
 // The caller holds the mutex.
-func (g *Gatherer) estimateWait(queue *queue, rate float64, now time.Time) time.Duration {
-	call := g.callTime.Longest(minCallEstimate, maxCommitTime)
+func (g *Committer) estimateWait(queue *queue, rate float64, now time.Time) time.Duration {
+	call := g.callTime.Timeout(minCallEstimate, maxCommitTime)
 	if queue.inFlight {
 		call = max(call, min(now.Sub(queue.callStart), maxCommitTime))
 	}
@@ -189,6 +189,6 @@
 
 // batchDelay returns how long the first row of a commit currently waits for more rows. The caller
 // holds the mutex.
-func (g *Gatherer) batchDelay(group *group, now time.Time) time.Duration {
-	return g.options.Pace.BatchDelay(group.rate.at(now), group.share.at(now))
+func (g *Committer) batchDelay(group *group, now time.Time) time.Duration {
+	return g.options.Limit.BatchDelay(group.rate.at(now), group.share.at(now))
 }
--- a/internal/gather/load_test.go
+++ b/internal/gather/load_test.go
@@ -121,12 +121,12 @@
 			end:   func(*testCluster) {},
 		},
 		"throttled table": {
-			begin: func(c *testCluster) { c.table.SetWrites(150) },
-			end:   func(c *testCluster) { c.table.SetWrites(1500) }, across: true,
+			begin: func(c *testCluster) { c.table.SetRate(150) },
+			end:   func(c *testCluster) { c.table.SetRate(1500) }, across: true,
 		},
 		"slow table": {
-			begin: func(c *testCluster) { c.table.SetSlower(10) },
-			end:   func(c *testCluster) { c.table.SetSlower(1) },
+			begin: func(c *testCluster) { c.table.SetSlowdown(10) },
+			end:   func(c *testCluster) { c.table.SetSlowdown(1) },
 		},
 		"partition is unavailable": {
 			begin: func(c *testCluster) {
--- a/internal/gather/pace.go
+++ b/internal/gather/pace.go
@@ -18,33 +18,35 @@
 	nearLimitLeave = 0.5
 )
 
-// Pace computes batch delays from the table's commit limit.
-type Pace struct {
-	// Writes is the number of commits per second that the table accepts from all nodes; 0 means
+// CommitLimit computes batch delays from the table's commit limit.
+type CommitLimit struct {
+	// PerSecond is the number of commits per second that the table accepts from all nodes; 0 means
 	// unknown.
-	Writes float64
+	PerSecond float64
 	// Groups is the number of groups in all regions. They share the commit rate evenly.
 	Groups int
-	// Across reports that the table accepts transactions across partitions.
-	Across bool
+	// CrossPartition reports that the table accepts transactions across partitions.
+	CrossPartition bool
 }
 
 // queues returns the number of queues of a group. Rows that may share a commit share a queue.
-func (p Pace) queues() int {
-	if p.Across {
+func (p CommitLimit) queues() int {
+	if p.CrossPartition {
 		return 1
 	}
 	return partitionsPerGroup
 }
 
 // groupCalls returns the commit rate allowed to one group, per second; 0 means unknown.
-func (p Pace) groupCalls() float64 { return groupCommitShare * p.Writes / float64(max(1, p.Groups)) }
+func (p CommitLimit) groupCalls() float64 {
+	return groupCommitShare * p.PerSecond / float64(max(1, p.Groups))
+}
 
 // BatchDelay returns how long the first row of a commit waits for more rows. rate is the group's
 // rows per second; share is the part of the group's commit rate that is currently usable, from 0
 // to 1. The delay keeps the group within that rate, up to maxBatchDelay. It is 0 while the row
 // rate does not exceed the commit rate.
-func (p Pace) BatchDelay(rate, share float64) time.Duration {
+func (p CommitLimit) BatchDelay(rate, share float64) time.Duration {
 	calls := share * p.groupCalls()
 	if calls <= 0 || rate <= calls {
 		return 0
@@ -56,7 +58,7 @@
 
 // GroupNearLimit reports whether the row rate of one group, in rows per second, is near the
 // group's share of the commit limit. was is the previous result.
-func (p Pace) GroupNearLimit(rate float64, was bool) bool {
+func (p CommitLimit) GroupNearLimit(rate float64, was bool) bool {
 	calls := p.groupCalls()
 	switch {
 	case calls <= 0:
@@ -69,7 +71,7 @@
 }
 
 // ClusterNearLimit is GroupNearLimit for the row rate of all nodes together.
-func (p Pace) ClusterNearLimit(rate float64, was bool) bool {
+func (p CommitLimit) ClusterNearLimit(rate float64, was bool) bool {
 	return p.GroupNearLimit(rate/float64(max(1, p.Groups)), was)
 }
 
--- a/internal/gather/queue.go
+++ b/internal/gather/queue.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// A commit times out after commitTimeoutFactor times store.PatienceWith, the usual timeout of a
+	// A commit times out after commitTimeoutFactor times store.PatienceAtLeast, the usual timeout of a
 	// call, limited to minCommitTime and maxCommitTime. Its rows are then reported as failed to
 	// their senders.
 	commitTimeoutFactor = 4
@@ -57,20 +57,20 @@
 }
 
 // add queues a request. The caller holds the mutex.
-func (g *Gatherer) add(queue *queue, pending *pendingRequest) {
+func (g *Committer) add(queue *queue, pending *pendingRequest) {
 	queue.pending = append(queue.pending, pending)
 	queue.rows += len(pending.rows)
 	g.pendingBytes += pending.bytes
 }
 
 // release subtracts a request from the totals of pending rows. The caller holds the mutex.
-func (g *Gatherer) release(queue *queue, request *pendingRequest) {
+func (g *Committer) release(queue *queue, request *pendingRequest) {
 	queue.rows -= len(request.rows)
 	g.pendingBytes -= request.bytes
 }
 
 // cancel removes a request that is still pending. A commit in flight is not affected.
-func (g *Gatherer) cancel(queue *queue, request *pendingRequest) {
+func (g *Committer) cancel(queue *queue, request *pendingRequest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if index := slices.Index(queue.pending, request); index >= 0 {
@@ -80,7 +80,7 @@
 }
 
 // run is the worker of a queue: it commits one batch at a time until the queue is empty.
-func (g *Gatherer) run(queue *queue) {
+func (g *Committer) run(queue *queue) {
 	for {
 		due, more := g.nextCall(queue)
 		if !more {
@@ -95,7 +95,7 @@
 
 // nextCall returns the earliest start of the queue's next commit. If nothing is pending, more is
 // false and the worker counts as stopped.
-func (g *Gatherer) nextCall(queue *queue) (due time.Time, more bool) {
+func (g *Committer) nextCall(queue *queue) (due time.Time, more bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	queue.inFlight = false
@@ -104,12 +104,12 @@
 		return time.Time{}, false
 	}
 	batchDelay := g.batchDelay(queue.group, time.Now())
-	return queue.due(batchDelay, g.callTime.Longest(minCallEstimate, maxCommitTime)), true
+	return queue.due(batchDelay, g.callTime.Timeout(minCallEstimate, maxCommitTime)), true
 }
 
 // takeBatch removes the next batch from the queue. split reports whether each partition needs a
 // commit of its own.
-func (g *Gatherer) takeBatch(queue *queue) (batch []*pendingRequest, split bool) {
+func (g *Committer) takeBatch(queue *queue) (batch []*pendingRequest, split bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
@@ -123,11 +123,11 @@
 
 // writeBatch commits requests in one transaction. If that fails, it commits each partition
 // separately, because only one may be unavailable. Throttled requests are queued again.
-func (g *Gatherer) writeBatch(queue *queue, requests []*pendingRequest, split bool) {
+func (g *Committer) writeBatch(queue *queue, requests []*pendingRequest, split bool) {
 	partitions := splitByPartition(requests)
 	if !split || len(partitions) == 1 {
 		err := g.commit(requests)
-		if err == nil || errors.Is(err, store.ErrThrottled) || len(partitions) == 1 || g.options.Lost() {
+		if err == nil || errors.Is(err, store.ErrThrottled) || len(partitions) == 1 || g.options.TableUnreachable() {
 			g.complete(queue, requests, err)
 			return
 		}
@@ -141,10 +141,10 @@
 }
 
 // commit writes the rows of requests in one transaction, with a timeout.
-func (g *Gatherer) commit(requests []*pendingRequest) error {
+func (g *Committer) commit(requests []*pendingRequest) error {
 	transaction := buildTransaction(requests)
-	limit := min(max(commitTimeoutFactor*store.PatienceWith(g.options.Store, 0), minCommitTime), maxCommitTime)
-	bound := locality.WithContent(context.Background(), locality.Regions{g.options.Region})
+	limit := min(max(commitTimeoutFactor*store.PatienceAtLeast(g.options.Store, 0), minCommitTime), maxCommitTime)
+	bound := locality.WithContentRegions(context.Background(), locality.Regions{g.options.Region})
 	ctx, cancel := context.WithTimeout(bound, limit)
 	defer cancel()
 	start := time.Now()
@@ -152,12 +152,12 @@
 	if err == nil {
 		g.callTime.Observe(time.Since(start))
 	}
-	g.options.Meter.GatherCall(len(transaction.Put), err == nil)
+	g.options.Meter.RecordCommit(len(transaction.Put), err == nil)
 	return err
 }
 
 // splitPartitions makes the group commit each partition separately for splitPeriod.
-func (g *Gatherer) splitPartitions(queue *queue, err error) {
+func (g *Committer) splitPartitions(queue *queue, err error) {
 	g.mutex.Lock()
 	queue.group.splitUntil = time.Now().Add(splitPeriod)
 	g.mutex.Unlock()
@@ -167,14 +167,14 @@
 
 // complete reports the outcome of requests to their senders, or queues them again if they were
 // throttled.
-func (g *Gatherer) complete(queue *queue, requests []*pendingRequest, err error) {
+func (g *Committer) complete(queue *queue, requests []*pendingRequest, err error) {
 	if errors.Is(err, store.ErrThrottled) {
 		g.requeue(queue, requests)
 		return
 	}
 	outcome := OutcomeFailed
 	if err == nil {
-		outcome = OutcomeKept
+		outcome = OutcomeStored
 		g.resetBackoff(queue)
 	}
 	for _, done := range requests {
@@ -183,7 +183,7 @@
 }
 
 // resetBackoff ends the backoff of a queue after a successful commit.
-func (g *Gatherer) resetBackoff(queue *queue) {
+func (g *Committer) resetBackoff(queue *queue) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	queue.backoff.Reset()
@@ -191,7 +191,7 @@
 }
 
 // requeue queues throttled requests again, except expired ones, and starts a backoff.
-func (g *Gatherer) requeue(queue *queue, requests []*pendingRequest) {
+func (g *Committer) requeue(queue *queue, requests []*pendingRequest) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := time.Now()
--- a/internal/gather/writer.go
+++ b/internal/gather/writer.go
@@ -53,20 +53,20 @@
 	// Owner returns the owner of a slot. The result is false if the owner is
 	// unknown or has recently failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// Heard records that the owner of a slot answered; Missed records that it did not.
-	Heard(slot int)
-	Missed(slot int, asked budget.Holder)
+	// RecordAnswer records that the owner of a slot answered; Missed records that it did not.
+	RecordAnswer(slot int)
+	RecordNoAnswer(slot int, asked budget.Holder)
 }
 
 // Peers sends requests to other nodes.
 type Peers interface {
-	// Gather sends a request to an owner. It returns ErrNotCarried if the rows may not pass to the
+	// Gather sends a request to an owner. It returns ErrRegionNotAllowed if the rows may not pass to the
 	// owner's region.
 	Gather(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
-// ErrNotCarried means that the rows are restricted to regions other than the owner's.
-var ErrNotCarried = errors.New("the slot owner is outside the regions that the rows are restricted to; write them to the table directly")
+// ErrRegionNotAllowed means that the rows are restricted to regions other than the owner's.
+var ErrRegionNotAllowed = errors.New("the slot owner is outside the regions that the rows are restricted to; write them to the table directly")
 
 // WriterOptions configures a Writer.
 type WriterOptions struct {
@@ -75,16 +75,16 @@
 	Owners  Owners
 	Peers   Peers
 	// Patience estimates how long other nodes take to answer; nil means unknown.
-	Patience wait.Patience
-	Gatherer *Gatherer // this process's own
+	Patience  wait.TimeoutFunc
+	Committer *Committer // this process's own
 	// ThrottledSince reports whether the table has throttled a commit of this node since the given
 	// time.
 	ThrottledSince func(moment time.Time) bool
-	// Pace covers all groups. Nodes returns the number of nodes that write about as much as this
+	// Limit covers all groups. Nodes returns the number of nodes that write about as much as this
 	// one, from which the rate of all nodes is estimated.
-	Pace   Pace
+	Limit  CommitLimit
 	Nodes  func() int
-	Meter  Meter
+	Meter  Metrics
 	Logger log.Interface
 }
 
@@ -98,10 +98,10 @@
 func (s Slots) slotFor(group int) int { return s.Layout.SlotIn(s.Region, slotHash(group)) }
 
 // Groups returns the number of groups in all regions.
-func (s Slots) Groups() int { return s.Layout.Regions() * Groups }
+func (s Slots) Groups() int { return s.Layout.RegionCount() * Groups }
 
-// Owned converts a check of slot ownership into one of group ownership.
-func (s Slots) Owned(owns func(slot int) bool) func(group int) bool {
+// OwnsGroup converts a check of slot ownership into one of group ownership.
+func (s Slots) OwnsGroup(owns func(slot int) bool) func(group int) bool {
 	return func(group int) bool { return owns(s.slotFor(group)) }
 }
 
@@ -146,15 +146,15 @@
 		request.Again = attempt > 1
 		outcome, retry := w.sendToOwner(ctx, request)
 		if outcome != "" {
-			w.options.Meter.GatherAsk(outcome)
+			w.options.Meter.RecordForward(outcome)
 		}
-		if outcome == OutcomeKept {
+		if outcome == OutcomeStored {
 			return true
 		}
 		if outcome == OutcomeLate && attempt < maxLateAttempts {
 			continue
 		}
-		if !retry || wait.For(ctx, retryDelay) != nil {
+		if !retry || wait.Sleep(ctx, retryDelay) != nil {
 			return false
 		}
 	}
@@ -176,13 +176,13 @@
 	defer w.mutex.Unlock()
 	reported := !w.reportedAt.IsZero() && now.Sub(w.reportedAt) < nearLimitPeriod
 	clusterRate := w.clusterRate(rows, now)
-	w.nearLimit = w.options.Pace.ClusterNearLimit(clusterRate, w.nearLimit)
+	w.nearLimit = w.options.Limit.ClusterNearLimit(clusterRate, w.nearLimit)
 	if forwarding := throttled || reported || w.nearLimit; forwarding != w.forwarding {
 		w.forwarding = forwarding
 		w.options.Logger.WithField("engaged", forwarding).WithField("throttled", throttled).
 			WithField("told", reported).WithField("told_ms", now.Sub(w.reportedAt).Milliseconds()).
 			WithField("near", w.nearLimit).WithField("rows_per_s", int(clusterRate)).WithField("nodes", w.nodes).
-			WithField("writes_per_s", int(w.options.Pace.Writes)).
+			WithField("writes_per_s", int(w.options.Limit.PerSecond)).
 			Info("forwarding of rows to group owners changed; this node writes rows itself while engaged is false")
 	}
 	return w.forwarding
@@ -216,25 +216,25 @@
 	}
 	request.Process = owner.Process
 	if owner.Process == w.options.Process {
-		return w.recordAnswer(request.Group, w.options.Gatherer.Answer(ctx, request))
+		return w.recordAnswer(request.Group, w.options.Committer.Answer(ctx, request))
 	}
-	limited, cancel := context.WithTimeout(ctx, request.Within+w.options.Patience.Of(owner.Process, minRoundTrip, maxRoundTrip))
+	limited, cancel := context.WithTimeout(ctx, request.Within+w.options.Patience.For(owner.Process, minRoundTrip, maxRoundTrip))
 	defer cancel()
 	answer, err := w.options.Peers.Gather(limited, owner, request)
 	switch {
 	case err == nil && answer.Owner:
-		w.options.Owners.Heard(slot)
+		w.options.Owners.RecordAnswer(slot)
 		return w.recordAnswer(request.Group, answer)
 	case err == nil:
-		w.options.Owners.Missed(slot, owner)
+		w.options.Owners.RecordNoAnswer(slot, owner)
 		return OutcomeNotOwner, false
-	case errors.Is(err, ErrNotCarried):
+	case errors.Is(err, ErrRegionNotAllowed):
 		return "", false
 	case fault.Is(err, fault.Invalid):
 		w.markUnsupported(owner.Process)
 		return OutcomeUnsupported, false
 	case ctx.Err() == nil:
-		w.options.Owners.Missed(slot, owner)
+		w.options.Owners.RecordNoAnswer(slot, owner)
 	}
 	return OutcomeNoAnswer, false
 }
--- a/internal/history/failover.go
+++ b/internal/history/failover.go
@@ -61,7 +61,7 @@
 		if err == nil || failed < placeCount {
 			return value, err
 		}
-		if wait.For(ctx, retryPause) != nil {
+		if wait.Sleep(ctx, retryPause) != nil {
 			return none, err
 		}
 	}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -58,27 +58,27 @@
 
 func (t *Turn) size() int { return len(t.Input) + len(t.Output) + 64*(len(t.Ancestors)+2) }
 
-// Options configures a Keeper.
+// Options configures a TurnStore.
 type Options struct {
 	Store      store.Store
 	CacheBytes int // limit for the cached turns; the newest one is cached even if it is larger
 	// Region is the region of this node. Turns that are restricted to other regions are
 	// not cached.
 	Region string
-	// Together batches the first write of a turn with those of other nodes. Nil: no
+	// BatchWriter batches the first write of a turn with those of other nodes. Nil: no
 	// batching.
-	Together Together
+	Together BatchWriter
 }
 
-// Together writes turns in batches with those of other nodes.
-type Together interface {
+// BatchWriter writes turns in batches with those of other nodes.
+type BatchWriter interface {
 	// Put writes rows to the partition with that number, one of those that hold turns. It
 	// reports whether the rows are certain to be in the store; if not, they may be.
 	Put(ctx context.Context, part int, rows []store.Row) (stored bool)
 }
 
-// Keeper reads and writes turns and caches them.
-type Keeper struct {
+// TurnStore reads and writes turns and caches them.
+type TurnStore struct {
 	options     Options
 	mutex       sync.Mutex
 	cache       map[string]*list.Element
@@ -87,13 +87,13 @@
 }
 
 // New returns a keeper with an empty cache.
-func New(options Options) *Keeper {
-	return &Keeper{options: options, cache: map[string]*list.Element{}, lru: list.New()}
+func New(options Options) *TurnStore {
+	return &TurnStore{options: options, cache: map[string]*list.Element{}, lru: list.New()}
 }
 
 // Chain returns the turns up to and including the one with the given ID, oldest first. It
 // fails with ErrNoTurn only if the store confirmed that a turn does not exist.
-func (k *Keeper) Chain(ctx context.Context, id string) ([]*Turn, error) {
+func (k *TurnStore) Chain(ctx context.Context, id string) ([]*Turn, error) {
 	last, err := k.fetch(ctx, id)
 	if err != nil {
 		return nil, err
@@ -119,8 +119,8 @@
 	return chain, nil
 }
 
-// Known returns a chain if all of it is cached, else nil. It makes no store call.
-func (k *Keeper) Known(id string) []*Turn {
+// CachedChain returns a chain if all of it is cached, else nil. It makes no store call.
+func (k *TurnStore) CachedChain(id string) []*Turn {
 	last := k.cachedTurn(id)
 	if last == nil {
 		return nil
@@ -136,14 +136,14 @@
 	return append(chain, last)
 }
 
-// Learn caches a chain that another node has read or written.
-func (k *Keeper) Learn(ctx context.Context, chain []*Turn) {
+// CacheChain caches a chain that another node has read or written.
+func (k *TurnStore) CacheChain(ctx context.Context, chain []*Turn) {
 	for _, turn := range chain {
 		k.cacheTurn(ctx, turn)
 	}
 }
 
-func (k *Keeper) fetch(ctx context.Context, id string) (*Turn, error) {
+func (k *TurnStore) fetch(ctx context.Context, id string) (*Turn, error) {
 	if known := k.cachedTurn(id); known != nil {
 		return known, nil
 	}
@@ -163,9 +163,9 @@
 
 // read reads a turn from its places. It returns ErrNoTurn only if all places answered
 // that they do not have it.
-func (k *Keeper) read(ctx context.Context, id string) (*Turn, error) {
+func (k *TurnStore) read(ctx context.Context, id string) (*Turn, error) {
 	var missing [placeCount]bool
-	found, err := firstAccepted(ctx, store.PatienceWith(k.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
+	found, err := firstAccepted(ctx, store.PatienceAtLeast(k.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
 		turn, err := k.readPlace(ctx, id, place)
 		return placeResult{place: place, turn: turn}, err
 	}, func(found placeResult) bool {
@@ -178,7 +178,7 @@
 	return found.turn, err
 }
 
-func (k *Keeper) readPlace(ctx context.Context, id string, place int) (*Turn, error) {
+func (k *TurnStore) readPlace(ctx context.Context, id string, place int) (*Turn, error) {
 	name := url.PathEscape(id)
 	page, err := k.options.Store.Range(ctx, Table, partOf(id, place), name, name+rowNameEnd, 0)
 	if err != nil || len(page.Rows) == 0 {
@@ -186,7 +186,7 @@
 	}
 	var joined []byte
 	for _, row := range page.Rows {
-		_, payload, err := store.CutExpiry(row.Value)
+		_, payload, err := store.SplitExpiry(row.Value)
 		if err != nil {
 			return nil, err
 		}
@@ -232,11 +232,11 @@
 	return url.PathEscape(id) + rowSeparator + strconv.Itoa(index)
 }
 
-// Keep sets the expiry of a turn to retention from now, writes the turn and returns once
+// Write sets the expiry of a turn to retention from now, writes the turn and returns once
 // it is stored in one of its places. Turns of its chain that would expire well before it
 // are written again with the new expiry. Repeated writes are harmless because the content
 // of a turn never changes.
-func (k *Keeper) Keep(ctx context.Context, turn *Turn, chain []*Turn, retention time.Duration) error {
+func (k *TurnStore) Write(ctx context.Context, turn *Turn, chain []*Turn, retention time.Duration) error {
 	turn.Expires = time.Now().Add(retention)
 	group, limited := errgroup.WithContext(ctx)
 	group.SetLimit(maxParallelCalls)
@@ -255,7 +255,7 @@
 
 // renew extends the expiry of a turn. The caller does so only once much of the retention
 // has passed, so that most turns need not renew their chain.
-func (k *Keeper) renew(ctx context.Context, earlier *Turn, expires time.Time) error {
+func (k *TurnStore) renew(ctx context.Context, earlier *Turn, expires time.Time) error {
 	renewed := *earlier
 	renewed.Expires = expires
 	if err := k.write(ctx, &renewed); err != nil {
@@ -265,7 +265,7 @@
 	return nil
 }
 
-func (k *Keeper) write(ctx context.Context, turn *Turn) error {
+func (k *TurnStore) write(ctx context.Context, turn *Turn) error {
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(turn); err != nil {
 		return err
@@ -273,14 +273,14 @@
 	writeBatched := func() bool {
 		return k.options.Together != nil && k.options.Together.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
 	}
-	_, err := firstAcceptedUnless(ctx, store.PatienceWith(k.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
+	_, err := firstAcceptedUnless(ctx, store.PatienceAtLeast(k.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
 		return store.CommitUnlessThrottled(ctx, k.options.Store, turn.putTransaction(encoded.Bytes(), place))
 	}, func(store.Version) bool { return true })
 	return err
 }
 
 // replaceCached replaces the cached copy of a turn, if there is one.
-func (k *Keeper) replaceCached(turn *Turn) {
+func (k *TurnStore) replaceCached(turn *Turn) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if element, ok := k.cache[turn.ID]; ok {
@@ -300,7 +300,7 @@
 	return transaction
 }
 
-func (k *Keeper) cachedTurn(id string) *Turn {
+func (k *TurnStore) cachedTurn(id string) *Turn {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	element, ok := k.cache[id]
@@ -313,8 +313,8 @@
 
 // cacheTurn caches a turn if it may be cached in this region, and evicts the least
 // recently used turns beyond CacheBytes.
-func (k *Keeper) cacheTurn(ctx context.Context, turn *Turn) {
-	if !locality.Content(ctx).Allow(k.options.Region) {
+func (k *TurnStore) cacheTurn(ctx context.Context, turn *Turn) {
+	if !locality.ContentRegions(ctx).Allow(k.options.Region) {
 		return
 	}
 	k.mutex.Lock()
@@ -331,9 +331,9 @@
 	}
 }
 
-// Join returns a worker's input: the inputs and outputs of the chain, followed by the new
+// JoinInput returns a worker's input: the inputs and outputs of the chain, followed by the new
 // input.
-func Join(chain []*Turn, input []byte) []byte {
+func JoinInput(chain []*Turn, input []byte) []byte {
 	if len(chain) == 0 {
 		return input
 	}
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -15,7 +15,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/sweep"
 )
 
-func newTestKeeper(table *storetest.Table) *Keeper {
+func newTestKeeper(table *storetest.Table) *TurnStore {
 	return New(Options{Store: table, CacheBytes: 1 << 20})
 }
 
@@ -30,22 +30,22 @@
 		table := storetest.New()
 		long := newTurn("a")
 		long.Input = bytes.Repeat([]byte("0123456789"), 20_000)
-		require.NoError(t, newTestKeeper(table).Keep(t.Context(), long, nil, time.Minute))
-		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("a/1x", "a"), nil, time.Minute))
-		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("c", "a", "a/1x"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Write(t.Context(), long, nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("a/1x", "a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("c", "a", "a/1x"), nil, time.Minute))
 		chain, err := newTestKeeper(table).Chain(t.Context(), "c")
 		require.NoError(t, err)
 		require.Len(t, chain, 3)
 		require.Equal(t, long.Input, chain[0].Input, "a turn that is split over several rows")
 		require.Equal(t, "a/1x", chain[1].ID)
-		require.Equal(t, string(long.Input)+"out\nin a/1xout\nin cout\nnew", string(Join(chain, []byte("new"))))
+		require.Equal(t, string(long.Input)+"out\nin a/1xout\nin cout\nnew", string(JoinInput(chain, []byte("new"))))
 	})
 }
 
 // TestTurnIsWrittenWhileOnePlaceIsDown guards against turns that cannot be written or
 // read while one partition is down, and against ErrNoTurn for them.
 func TestTurnIsWrittenWhileOnePlaceIsDown(t *testing.T) {
-	for _, down := range []storetest.Fault{storetest.Refused, storetest.Silent, storetest.Broken, storetest.Late} {
+	for _, down := range []storetest.Fault{storetest.Refused, storetest.RequestLost, storetest.ConnectionReset, storetest.AppliedLate} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			first := partOf("a", 0)
@@ -57,7 +57,7 @@
 				return storetest.None
 			})
 			start := time.Now()
-			require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("a"), nil, time.Minute))
+			require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
 			_, err := newTestKeeper(table).Chain(t.Context(), "a")
 			require.NoError(t, err)
 			require.Less(t, time.Since(start), 400*time.Millisecond)
@@ -84,7 +84,7 @@
 		for place := range placeCount {
 			table.SetFault(func(part string, _ bool) storetest.Fault {
 				if part == partOf("a", place) {
-					return storetest.Broken
+					return storetest.ConnectionReset
 				}
 				return storetest.None
 			})
@@ -100,8 +100,8 @@
 func TestIncompleteChainIsAnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("a"), nil, time.Minute))
-		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("next", "a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("next", "a"), nil, time.Minute))
 		var down []string
 		for place := range placeCount {
 			down = append(down, partOf("a", place))
@@ -128,7 +128,7 @@
 		table := storetest.New()
 		small := New(Options{Store: table, CacheBytes: 1000})
 		for _, id := range []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"} {
-			require.NoError(t, small.Keep(t.Context(), newTurn(id), nil, time.Minute))
+			require.NoError(t, small.Write(t.Context(), newTurn(id), nil, time.Minute))
 		}
 		require.LessOrEqual(t, small.cachedBytes, 1000)
 		_, before := table.Calls()
@@ -149,7 +149,7 @@
 		sweeper := sweep.New(sweep.Options{Store: table})
 		sweepAll := func() (removed int) {
 			for _, part := range Parts() {
-				count, err := sweeper.Part(t.Context(), Table, part)
+				count, err := sweeper.SweepPartition(t.Context(), Table, part)
 				require.NoError(t, err)
 				removed += count
 			}
@@ -167,7 +167,7 @@
 			for _, earlier := range chain {
 				next.Ancestors = append(next.Ancestors, earlier.ID)
 			}
-			require.NoError(t, newTestKeeper(table).Keep(t.Context(), next, chain, time.Minute))
+			require.NoError(t, newTestKeeper(table).Write(t.Context(), next, chain, time.Minute))
 			previous = id
 			time.Sleep(50 * time.Second)
 			sweepAll()
@@ -185,18 +185,18 @@
 func TestTurnsAreCachedOnlyInAllowedRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		bound := locality.WithContent(t.Context(), locality.Regions{"a"})
+		bound := locality.WithContentRegions(t.Context(), locality.Regions{"a"})
 		for region, cached := range map[string]bool{"a": true, "b": false} {
-			node := func() *Keeper { return New(Options{Store: table, CacheBytes: 1 << 20, Region: region}) }
-			for source, load := range map[string]func(*Keeper) error{
-				"written": func(k *Keeper) error { return k.Keep(bound, newTurn("t"), nil, time.Minute) },
-				"read":    func(k *Keeper) error { _, err := k.Chain(bound, "t"); return err },
-				"learnt":  func(k *Keeper) error { k.Learn(bound, []*Turn{newTurn("t")}); return nil },
+			node := func() *TurnStore { return New(Options{Store: table, CacheBytes: 1 << 20, Region: region}) }
+			for source, load := range map[string]func(*TurnStore) error{
+				"written": func(k *TurnStore) error { return k.Write(bound, newTurn("t"), nil, time.Minute) },
+				"read":    func(k *TurnStore) error { _, err := k.Chain(bound, "t"); return err },
+				"learnt":  func(k *TurnStore) error { k.CacheChain(bound, []*Turn{newTurn("t")}); return nil },
 			} {
 				keeper := node()
-				require.NoError(t, node().Keep(bound, newTurn("t"), nil, time.Minute))
+				require.NoError(t, node().Write(bound, newTurn("t"), nil, time.Minute))
 				require.NoError(t, load(keeper))
-				require.Equal(t, cached, keeper.Known("t") != nil, "%s in %s", source, region)
+				require.Equal(t, cached, keeper.CachedChain("t") != nil, "%s in %s", source, region)
 			}
 		}
 	})
--- a/internal/history/throttle_test.go
+++ b/internal/history/throttle_test.go
@@ -35,7 +35,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		start := time.Now()
-		require.NoError(t, newTestKeeper(table).Keep(ctx, newTurn("a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Write(ctx, newTurn("a"), nil, time.Minute))
 		require.Less(t, time.Since(start), 2700*time.Millisecond)
 		busy.Store(true)
 		calls.Store(0)
@@ -54,11 +54,11 @@
 		table := storetest.New()
 		table.SetFault(func(part string, _ bool) storetest.Fault {
 			if part == partOf("a", 0) {
-				return storetest.Broken
+				return storetest.ConnectionReset
 			}
 			return storetest.None
 		})
-		require.NoError(t, newTestKeeper(table).Keep(t.Context(), newTurn("a"), nil, time.Minute))
+		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
 		var calls atomic.Int32
 		then := storetest.None
 		table.SetFault(func(part string, _ bool) storetest.Fault {
@@ -73,8 +73,8 @@
 		_, err := newTestKeeper(table).Chain(t.Context(), "a")
 		require.NoError(t, err)
 		calls.Store(0)
-		then = storetest.Broken
+		then = storetest.ConnectionReset
 		_, err = newTestKeeper(table).Chain(t.Context(), "a")
-		require.ErrorIs(t, err, storetest.ErrBroken)
+		require.ErrorIs(t, err, storetest.ErrConnectionReset)
 	})
 }
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -24,9 +24,9 @@
 // ErrNotWritten is in the chain of errors of requests of which no byte was written.
 var ErrNotWritten = errors.New("nothing was written; the request can be sent to another worker")
 
-// ErrCrowded is in the chain of errors of new connections that the peer reset at once,
+// ErrConnectionLimit is in the chain of errors of new connections that the peer reset at once,
 // because it has reached its connection limit. ErrNotWritten is in the chain, too.
-var ErrCrowded = errors.New("worker has reached its connection limit; retry later or use another worker")
+var ErrConnectionLimit = errors.New("worker has reached its connection limit; retry later or use another worker")
 
 const (
 	// settleTime is how long a new connection is observed before use. A peer at its
@@ -57,17 +57,17 @@
 	DialTimeout time.Duration
 	MaxIdle     int           // maximum number of idle connections
 	IdleTimeout time.Duration // if the peer sends no Keep-Alive timeout
-	LongestIdle time.Duration // upper limit on the idle time; a value below IdleTimeout means IdleTimeout
+	MaxIdleTime time.Duration // upper limit on the idle time; a value below IdleTimeout means IdleTimeout
 	OnDial      func()        // called for each connection attempt; may be nil
 	// OnConnected is called with the time that a successful connection attempt took; may be nil.
 	OnConnected func(took time.Duration)
-	OnLook      func()      // called by each Reach; may be nil
+	OnProbe     func()      // called by each Reach; may be nil
 	OnBytes     ByteCounter // counts sent and received bytes; may be nil
 	// Guard detects unresponsive connections.
 	Guard silence.Guard
-	// Prompt says that the peer normally answers well within the deadlines of calls. A call
+	// TimeoutMeansUnresponsive says that the peer normally answers well within the deadlines of calls. A call
 	// that times out on a previously working connection then marks it as unresponsive.
-	Prompt bool
+	TimeoutMeansUnresponsive bool
 	// Dial opens a connection; nil dials Address over TCP.
 	Dial func(ctx context.Context) (net.Conn, error)
 }
@@ -84,8 +84,8 @@
 
 // NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
-	options.LongestIdle = max(options.LongestIdle, options.IdleTimeout)
-	return &Pool{options: options, limit: options.LongestIdle}
+	options.MaxIdleTime = max(options.MaxIdleTime, options.IdleTimeout)
+	return &Pool{options: options, limit: options.MaxIdleTime}
 }
 
 // Address returns the address of the pool's connections.
@@ -104,8 +104,8 @@
 	timeoutExtended bool      // the guard's timeout was extended for a long message
 }
 
-// Answer is a response. The caller must call Close, whether or not it has read the body.
-type Answer struct {
+// Response is a response. The caller must call Close, whether or not it has read the body.
+type Response struct {
 	*http.Response
 	pool        *Pool
 	conn        *conn
@@ -117,7 +117,7 @@
 // Send writes the request and reads the response head. When ctx ends, the connection
 // is closed, also while the body is read. ErrNotWritten in the error's chain means that
 // no byte was written; without it, some may have been.
-func (p *Pool) Send(ctx context.Context, request *http.Request) (*Answer, error) {
+func (p *Pool) Send(ctx context.Context, request *http.Request) (*Response, error) {
 	c, err := p.acquire(ctx)
 	if err != nil {
 		return nil, errors.Join(ErrNotWritten, err)
@@ -137,7 +137,7 @@
 		return nil, p.noteFailure(ctx, c, sent, err)
 	}
 	response.Body = &body{ReadCloser: response.Body, pool: p, conn: c, sent: sent}
-	return &Answer{Response: response, pool: p, conn: c, stop: stop}, nil
+	return &Response{Response: response, pool: p, conn: c, stop: stop}, nil
 }
 
 // exchange writes the request and reads the response head.
@@ -155,12 +155,12 @@
 	return c.writer.Flush()
 }
 
-// Spoil prevents the connection from being reused.
-func (a *Answer) Spoil() { a.notReusable.Store(true) }
+// DisableReuse prevents the connection from being reused.
+func (a *Response) DisableReuse() { a.notReusable.Store(true) }
 
 // Close ends the exchange. The connection is reused only if readWhole is true, the
 // response allows it, and no further data was received.
-func (a *Answer) Close(readWhole bool) {
+func (a *Response) Close(readWhole bool) {
 	if a.done {
 		return
 	}
@@ -217,8 +217,8 @@
 	return c
 }
 
-// Ready reports whether an idle connection is available.
-func (p *Pool) Ready() bool {
+// HasIdle reports whether an idle connection is available.
+func (p *Pool) HasIdle() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	last := len(p.idle) - 1
@@ -233,7 +233,7 @@
 	raw, err := p.connect(ctx)
 	if errors.Is(err, syscall.ECONNRESET) {
 		p.adjustIdleLimit(false)
-		return nil, errors.Join(ErrCrowded, err)
+		return nil, errors.Join(ErrConnectionLimit, err)
 	}
 	if err != nil {
 		return nil, err
@@ -241,10 +241,10 @@
 	if p.options.OnConnected != nil {
 		p.options.OnConnected(time.Since(begun))
 	}
-	p.options.Guard.Protect(raw, time.Since(begun))
+	p.options.Guard.Apply(raw, time.Since(begun))
 	if !p.acceptedByPeer(raw) {
 		raw.Close()
-		return nil, ErrCrowded
+		return nil, ErrConnectionLimit
 	}
 	reads, writes := p.counted(raw)
 	return &conn{
@@ -281,7 +281,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if accepted {
-		p.limit = min(p.limit+p.limit/idleGrowthDivisor, p.options.LongestIdle)
+		p.limit = min(p.limit+p.limit/idleGrowthDivisor, p.options.MaxIdleTime)
 	} else {
 		p.limit = max(p.limit/2, min(shortestIdle, p.options.IdleTimeout))
 	}
@@ -328,14 +328,14 @@
 	p.schedulePrune()
 }
 
-// Reach opens a connection and keeps it idle, or returns why that failed. A peer at its
+// Probe opens a connection and keeps it idle, or returns why that failed. A peer at its
 // connection limit is reachable: that is no error.
-func (p *Pool) Reach(ctx context.Context) error {
-	if p.options.OnLook != nil {
-		p.options.OnLook()
+func (p *Pool) Probe(ctx context.Context) error {
+	if p.options.OnProbe != nil {
+		p.options.OnProbe()
 	}
 	c, err := p.dial(ctx)
-	if errors.Is(err, ErrCrowded) {
+	if errors.Is(err, ErrConnectionLimit) {
 		return nil
 	}
 	if err != nil {
@@ -358,7 +358,7 @@
 
 // Next skips the rest of this answer's body, of fewer than limit bytes, and returns the
 // next response on the same connection, which is not reused afterwards.
-func (a *Answer) Next(limit int64) (*Answer, error) {
+func (a *Response) Next(limit int64) (*Response, error) {
 	a.done = true
 	_, err := io.CopyN(io.Discard, a.Body, limit)
 	if err == nil {
@@ -368,8 +368,8 @@
 		var response *http.Response
 		response, err = http.ReadResponse(a.conn.reader, a.Request)
 		if err == nil {
-			next := &Answer{Response: response, pool: a.pool, conn: a.conn, stop: a.stop}
-			next.Spoil()
+			next := &Response{Response: response, pool: a.pool, conn: a.conn, stop: a.stop}
+			next.DisableReuse()
 			return next, nil
 		}
 	}
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -64,7 +64,7 @@
 	return &http.Request{Method: http.MethodGet, URL: &url.URL{Opaque: "/a%2fb?c"}, Host: "h", Header: http.Header{}}
 }
 
-func exchange(t *testing.T, pool *Pool) (*Answer, error) {
+func exchange(t *testing.T, pool *Pool) (*Response, error) {
 	t.Helper()
 	answer, err := pool.Send(t.Context(), get())
 	if err != nil {
@@ -244,13 +244,13 @@
 	p := pool(listener.Addr().String())
 	for range 20 {
 		_, err := p.Send(t.Context(), get())
-		require.ErrorIs(t, err, ErrCrowded)
+		require.ErrorIs(t, err, ErrConnectionLimit)
 		require.ErrorIs(t, err, ErrNotWritten)
 	}
 	require.Equal(t, shortestIdle, p.limit)
-	require.NoError(t, p.Reach(t.Context()), "a peer at its connection limit is reachable")
+	require.NoError(t, p.Probe(t.Context()), "a peer at its connection limit is reachable")
 	listener.Close()
-	require.Error(t, p.Reach(t.Context()))
+	require.Error(t, p.Probe(t.Context()))
 }
 
 // TestKeepAliveHeaderSetsIdleTime: the idle time must follow the peer's Keep-Alive timeout, up to
@@ -266,7 +266,7 @@
 		{"announced above LongestIdle", time.Hour, 15 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := NewPool(Options{MaxIdle: 1, IdleTimeout: 4 * time.Second, LongestIdle: 15 * time.Second})
+			p := NewPool(Options{MaxIdle: 1, IdleTimeout: 4 * time.Second, MaxIdleTime: 15 * time.Second})
 			ours, theirs := net.Pipe()
 			t.Cleanup(func() { theirs.Close() })
 			idle := &conn{Conn: ours, keepAlive: p.options.IdleTimeout}
@@ -275,10 +275,10 @@
 			}
 			before := time.Now()
 			p.put(idle)
-			require.True(t, p.Ready())
+			require.True(t, p.HasIdle())
 			require.InDelta(t, c.want.Seconds(), idle.expires.Sub(before).Seconds(), 0.5)
 			p.Close()
-			require.False(t, p.Ready())
+			require.False(t, p.HasIdle())
 		})
 	}
 }
@@ -316,10 +316,10 @@
 				return one, nil
 			},
 		})
-		require.Error(t, pool.Reach(t.Context()))
+		require.Error(t, pool.Probe(t.Context()))
 		require.Empty(t, measured)
 		up = true
-		require.NoError(t, pool.Reach(t.Context()))
+		require.NoError(t, pool.Probe(t.Context()))
 		require.Equal(t, []time.Duration{24 * time.Millisecond}, measured)
 		pool.Close()
 		time.Sleep(5 * time.Second)
--- a/internal/httpconn/unresponsive.go
+++ b/internal/httpconn/unresponsive.go
@@ -13,9 +13,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
-// ErrSilent is in the chain of errors of requests whose connection became unresponsive. The
+// ErrUnresponsive is in the chain of errors of requests whose connection became unresponsive. The
 // peer may still accept new connections. It is unknown whether the request arrived.
-var ErrSilent = errors.New("connection is unresponsive; the peer may be reachable on a new one")
+var ErrUnresponsive = errors.New("connection is unresponsive; the peer may be reachable on a new one")
 
 // ClosedByPeer reports whether err means that the peer closed or reset the connection. The
 // peer's kernel does so, too, when the process has ended.
@@ -43,32 +43,32 @@
 		return
 	}
 	c.timeoutExtended = true
-	p.options.Guard.Stretch(c.Conn)
+	p.options.Guard.AllowSlowRead(c.Conn)
 }
 
 // noteFailure processes an exchange that ended without a response. If its connection was
 // unresponsive, idle connections that have received nothing since the request was sent may be,
 // too. They are closed, and the next request uses a new connection.
 func (p *Pool) noteFailure(ctx context.Context, c *conn, sent time.Time, err error) error {
-	broken := silence.Broken(err)
+	broken := silence.IsTimeout(err)
 	if !broken && !p.unresponsive(ctx, c) {
 		return err
 	}
-	p.options.Guard.Count()
+	p.options.Guard.ReportDead()
 	p.closeStale(sent)
 	if broken && !c.answeredBefore {
 		return err // the connection was new, so the peer itself may be unresponsive
 	}
-	return errors.Join(ErrSilent, err)
+	return errors.Join(ErrUnresponsive, err)
 }
 
 // unresponsive reports whether an exchange ended by its context was on an unresponsive
 // connection. A canceled caller proves nothing, since it did not wait for the response.
 func (p *Pool) unresponsive(ctx context.Context, c *conn) bool {
-	if errors.Is(context.Cause(ctx), ErrSilent) {
+	if errors.Is(context.Cause(ctx), ErrUnresponsive) {
 		return true
 	}
-	return p.options.Prompt && c.answeredBefore && errors.Is(ctx.Err(), context.DeadlineExceeded)
+	return p.options.TimeoutMeansUnresponsive && c.answeredBefore && errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
 // body is a response body that may fail because the connection becomes unresponsive.
@@ -82,7 +82,7 @@
 // Read implements io.Reader.
 func (b *body) Read(buffer []byte) (int, error) {
 	count, err := b.ReadCloser.Read(buffer)
-	if silence.Broken(err) {
+	if silence.IsTimeout(err) {
 		err = b.pool.noteFailure(context.Background(), b.conn, b.sent, err)
 	}
 	return count, err
@@ -132,9 +132,9 @@
 	}
 }
 
-// Silent reports whether a previously working connection is unresponsive: the peer's kernel takes
+// Unresponsive reports whether a previously working connection is unresponsive: the peer's kernel takes
 // longer to acknowledge written data than has been observed. It is false if that is unknown.
-func (w *Watch) Silent() bool {
+func (w *Watch) Unresponsive() bool {
 	watched := w.conn.Load()
 	if watched == nil || !watched.worked {
 		return false
--- a/internal/httpconn/unresponsive_test.go
+++ b/internal/httpconn/unresponsive_test.go
@@ -81,7 +81,7 @@
 // fillIdle opens count connections and leaves them idle.
 func fillIdle(t *testing.T, p *Pool, count int) {
 	t.Helper()
-	answers := make([]*Answer, count)
+	answers := make([]*Response, count)
 	for index := range answers {
 		answer, err := p.Send(t.Context(), get())
 		require.NoError(t, err)
@@ -109,11 +109,11 @@
 // new connection instead of timing out on another old one.
 func TestUnresponsiveConnectionClosesOtherIdleOnes(t *testing.T) {
 	peer, givenUp := newStallingServer(t), 0
-	p := NewPool(Options{Address: peer.address, DialTimeout: time.Minute, MaxIdle: 4, IdleTimeout: time.Minute, Prompt: true,
-		Guard: silence.Guard{GivenUp: func() { givenUp++ }}})
+	p := NewPool(Options{Address: peer.address, DialTimeout: time.Minute, MaxIdle: 4, IdleTimeout: time.Minute, TimeoutMeansUnresponsive: true,
+		Guard: silence.Guard{OnDeadConnection: func() { givenUp++ }}})
 	fillIdle(t, p, 3)
 	peer.stall()
-	require.ErrorIs(t, requireTimeout(t, p), ErrSilent)
+	require.ErrorIs(t, requireTimeout(t, p), ErrUnresponsive)
 	require.Equal(t, 1, givenUp)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -122,13 +122,13 @@
 	require.Equal(t, 4, peer.dialed())
 }
 
-// TestTimeoutOnNewConnectionIsNotErrSilent: a timeout on a new connection must not be ErrSilent.
+// TestTimeoutOnNewConnectionIsNotErrSilent: a timeout on a new connection must not be ErrUnresponsive.
 func TestTimeoutOnNewConnectionIsNotErrSilent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
-	p := NewPool(Options{Address: listener.Addr().String(), DialTimeout: time.Minute, MaxIdle: 4, IdleTimeout: time.Minute, Prompt: true})
-	require.NotErrorIs(t, requireTimeout(t, p), ErrSilent)
+	p := NewPool(Options{Address: listener.Addr().String(), DialTimeout: time.Minute, MaxIdle: 4, IdleTimeout: time.Minute, TimeoutMeansUnresponsive: true})
+	require.NotErrorIs(t, requireTimeout(t, p), ErrUnresponsive)
 }
 
 // TestSlowPeerKeepsItsConnections: without Prompt a timeout, and with it a canceled caller, must
@@ -138,15 +138,15 @@
 	p := pool(peer.address)
 	fillIdle(t, p, 3)
 	peer.stall()
-	require.NotErrorIs(t, requireTimeout(t, p), ErrSilent)
+	require.NotErrorIs(t, requireTimeout(t, p), ErrUnresponsive)
 	require.Len(t, p.idle, 2)
 
-	p.options.Prompt = true
+	p.options.TimeoutMeansUnresponsive = true
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(time.Millisecond, cancel)
 	_, err := p.Send(ctx, get())
 	require.Error(t, err)
-	require.NotErrorIs(t, err, ErrSilent)
+	require.NotErrorIs(t, err, ErrUnresponsive)
 	require.Len(t, p.idle, 1)
 }
 
@@ -168,9 +168,9 @@
 	fillIdle(t, p, 2)
 	peer.stall()
 	ctx, cancel := context.WithCancelCause(t.Context())
-	time.AfterFunc(time.Millisecond, func() { cancel(ErrSilent) })
+	time.AfterFunc(time.Millisecond, func() { cancel(ErrUnresponsive) })
 	_, err := p.Send(ctx, get())
-	require.ErrorIs(t, err, ErrSilent)
+	require.ErrorIs(t, err, ErrUnresponsive)
 	require.Empty(t, p.idle)
 }
 
@@ -195,13 +195,13 @@
 	for name, answer := range map[string]string{"before the response": "", "within its body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"} {
 		t.Run(name, func(t *testing.T) {
 			givenUp := 0
-			p := NewPool(Options{MaxIdle: 4, IdleTimeout: time.Minute, Guard: silence.Guard{GivenUp: func() { givenUp++ }},
+			p := NewPool(Options{MaxIdle: 4, IdleTimeout: time.Minute, Guard: silence.Guard{OnDeadConnection: func() { givenUp++ }},
 				Dial: func(context.Context) (net.Conn, error) {
 					ours, _ := net.Pipe()
 					return brokenConn{ours, bytes.NewReader([]byte(answer))}, nil
 				}})
 			_, err := exchange(t, p)
-			require.True(t, silence.Broken(err))
+			require.True(t, silence.IsTimeout(err))
 			require.NotErrorIs(t, err, ErrNotWritten)
 			require.Equal(t, 1, givenUp)
 		})
@@ -236,7 +236,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			ctx, watch := WithWatch(ctx)
-			require.False(t, watch.Silent(), "nothing has been sent yet")
+			require.False(t, watch.Unresponsive(), "nothing has been sent yet")
 			const length = 64 << 20 // more than the kernels hold
 			request := get()
 			request.Method, request.Body, request.ContentLength = http.MethodPost, io.NopCloser(bytes.NewReader(make([]byte, length))), length
@@ -246,15 +246,15 @@
 				_, _ = p.Send(ctx, request)
 			}()
 			if before > 0 {
-				require.Eventually(t, watch.Silent, 10*time.Second, time.Millisecond)
+				require.Eventually(t, watch.Unresponsive, 10*time.Second, time.Millisecond)
 			} else {
 				require.Eventually(t, func() bool { return watch.conn.Load() != nil }, 10*time.Second, time.Millisecond)
 				time.Sleep(20 * time.Millisecond)
-				require.False(t, watch.Silent())
+				require.False(t, watch.Unresponsive())
 			}
 			cancel()
 			<-ended
-			require.False(t, watch.Silent(), "it is closed")
+			require.False(t, watch.Unresponsive(), "it is closed")
 		})
 	}
 }
@@ -272,7 +272,7 @@
 	defer polling.Wait()
 	polling.Go(func() {
 		for range 1000 {
-			watch.Silent()
+			watch.Unresponsive()
 		}
 	})
 	_, err = io.ReadAll(answer.Body)
--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -36,23 +36,23 @@
 	lastMiss   time.Time // most recent miss
 }
 
-// Answered records a reply from a node of another zone.
-func (d *Detector) Answered(now time.Time) {
+// RecordReply records a reply from a node of another zone.
+func (d *Detector) RecordReply(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.lastAnswer, d.misses = now, 0
 }
 
-// InDoubt reports whether a node of another zone should be probed because none has answered
+// NeedsProbe reports whether a node of another zone should be probed because none has answered
 // recently.
-func (d *Detector) InDoubt(now time.Time) bool {
+func (d *Detector) NeedsProbe(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return now.Sub(d.lastAnswer) >= probeAfter
 }
 
-// Missed records that a node of another zone did not answer within the usual time.
-func (d *Detector) Missed(now time.Time) {
+// RecordMiss records that a node of another zone did not answer within the usual time.
+func (d *Detector) RecordMiss(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.misses == 0 {
@@ -62,8 +62,8 @@
 	d.lastMiss = now
 }
 
-// Silent reports whether the nodes of other zones are unreachable.
-func (d *Detector) Silent() bool {
+// PeersUnreachable reports whether the nodes of other zones are unreachable.
+func (d *Detector) PeersUnreachable() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.unreachable()
--- a/internal/isolation/isolation_test.go
+++ b/internal/isolation/isolation_test.go
@@ -12,7 +12,7 @@
 func recordMisses(d *Detector, start time.Time, count int, over time.Duration) (last time.Time) {
 	for index := range count {
 		last = start.Add(over * time.Duration(index) / time.Duration(count-1))
-		d.Missed(last)
+		d.RecordMiss(last)
 	}
 	return last
 }
@@ -36,10 +36,10 @@
 	t.Run("a node of another zone answers", func(t *testing.T) {
 		d := &Detector{}
 		recordMisses(d, start, 9, minMissSpan)
-		d.Answered(start.Add(minMissSpan))
-		require.False(t, d.InDoubt(start.Add(minMissSpan)))
-		require.True(t, d.InDoubt(start.Add(minMissSpan+probeAfter)))
-		require.False(t, d.Silent())
+		d.RecordReply(start.Add(minMissSpan))
+		require.False(t, d.NeedsProbe(start.Add(minMissSpan)))
+		require.True(t, d.NeedsProbe(start.Add(minMissSpan+probeAfter)))
+		require.False(t, d.PeersUnreachable())
 		require.False(t, d.Isolated(lost, start.Add(minMissSpan)))
 		require.False(t, d.Isolated(lost, recordMisses(d, start, minMisses-1, time.Second)), "a reply resets the count")
 	})
