--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -55,7 +55,7 @@
 	moments := make(chan []moment, 1)
 	go func() { moments <- r.act(acting, began, actions) }()
 	for i := range scripts {
-		if wait.For(ctx, time.Until(began.Add(r.scaled(scripts[i].Arrival)))) != nil || !r.enter(ctx) {
+		if wait.Sleep(ctx, time.Until(began.Add(r.scaled(scripts[i].Arrival)))) != nil || !r.enter(ctx) {
 			break
 		}
 		programs.Add(1)
@@ -143,7 +143,7 @@
 			first = err
 		}
 	}
-	if first == nil && wait.For(ctx, r.scaled(turn.Pause)) != nil {
+	if first == nil && wait.Sleep(ctx, r.scaled(turn.Pause)) != nil {
 		first = context.Cause(ctx)
 	}
 	return first
--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -9,22 +9,22 @@
 	"strings"
 )
 
-// Map is an immutable mapping of zones to regions. A nil or zero Map has no zones.
-type Map struct {
+// ZoneMap is an immutable mapping of zones to regions. A nil or zero ZoneMap has no zones.
+type ZoneMap struct {
 	regionOf map[string]string
 	regions  []string
 }
 
-// NewMap returns a Map, given the region of each zone.
-func NewMap(regionOfZone map[string]string) *Map {
+// NewMap returns a ZoneMap, given the region of each zone.
+func NewMap(regionOfZone map[string]string) *ZoneMap {
 	regions := slices.Collect(maps.Values(regionOfZone))
 	slices.Sort(regions)
-	return &Map{regionOf: maps.Clone(regionOfZone), regions: slices.Compact(regions)}
+	return &ZoneMap{regionOf: maps.Clone(regionOfZone), regions: slices.Compact(regions)}
 }
 
 // Region returns the region of a zone. An unknown zone is a region of its own, so that content
 // restricted to regions never goes there.
-func (m *Map) Region(zone string) string {
+func (m *ZoneMap) Region(zone string) string {
 	if m == nil {
 		return zone
 	}
@@ -35,15 +35,15 @@
 }
 
 // Regions returns all regions in ascending order. The caller must not modify the slice.
-func (m *Map) Regions() []string {
+func (m *ZoneMap) Regions() []string {
 	if m == nil {
 		return nil
 	}
 	return m.regions
 }
 
-// Zones returns the number of zones in the map.
-func (m *Map) Zones() int {
+// ZoneCount returns the number of zones in the map.
+func (m *ZoneMap) ZoneCount() int {
 	if m == nil {
 		return 0
 	}
@@ -72,9 +72,9 @@
 	}
 }
 
-// Between returns the distance between two zones. A map without zones puts all zones into one
+// RoundTrip returns the distance between two zones. A map without zones puts all zones into one
 // region.
-func (m *Map) Between(a, b string) Distance {
+func (m *ZoneMap) RoundTrip(a, b string) Distance {
 	switch {
 	case a == b:
 		return SameZone
@@ -103,28 +103,28 @@
 	return zone
 }
 
-// Vantage is a zone from which distances are measured. With a nil Places, no regions are known.
-type Vantage struct {
-	Places *Map // region of each zone
-	Zone   string
+// Location is a zone from which distances are measured. With a nil Places, no regions are known.
+type Location struct {
+	Zones *ZoneMap // region of each zone
+	Zone  string
 }
 
-// To returns the distance to a zone.
-func (v Vantage) To(zone string) Distance { return v.Places.Between(v.Zone, zone) }
+// DistanceTo returns the distance to a zone.
+func (v Location) DistanceTo(zone string) Distance { return v.Zones.RoundTrip(v.Zone, zone) }
 
-// Region returns the region of the vantage's own zone.
-func (v Vantage) Region() string { return v.Places.Region(v.Zone) }
+// OwnRegion returns the region of the vantage's own zone.
+func (v Location) OwnRegion() string { return v.Zones.Region(v.Zone) }
 
-// NearFirst stably moves items in other regions behind those in the vantage's own region. zoneOf
+// OwnRegionFirst stably moves items in other regions behind those in the vantage's own region. zoneOf
 // returns the zone of an item.
-func NearFirst[T any](v Vantage, items []T, zoneOf func(T) string) {
+func OwnRegionFirst[T any](v Location, items []T, zoneOf func(T) string) {
 	slices.SortStableFunc(items, func(a, b T) int {
 		return cmp.Compare(v.regionRank(zoneOf(a)), v.regionRank(zoneOf(b)))
 	})
 }
 
-// Near returns the items in the vantage's own region, or all items if there are none.
-func Near[T any](v Vantage, items []T, zoneOf func(T) string) []T {
+// PreferOwnRegion returns the items in the vantage's own region, or all items if there are none.
+func PreferOwnRegion[T any](v Location, items []T, zoneOf func(T) string) []T {
 	local := slices.DeleteFunc(slices.Clone(items), func(item T) bool { return v.regionRank(zoneOf(item)) > 0 })
 	if len(local) == 0 {
 		return items
@@ -133,8 +133,8 @@
 }
 
 // regionRank is 1 for zones in other regions, else 0.
-func (v Vantage) regionRank(zone string) int {
-	if v.To(zone) == OtherRegion {
+func (v Location) regionRank(zone string) int {
+	if v.DistanceTo(zone) == OtherRegion {
 		return 1
 	}
 	return 0
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -9,11 +9,11 @@
 // Guards against wrong distances for unknown zones and for maps without regions.
 func TestDistances(t *testing.T) {
 	places := NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
-	require.Equal(t, SameZone, places.Between("a1", "a1"))
-	require.Equal(t, SameRegion, places.Between("a1", "a2"))
-	require.Equal(t, OtherRegion, places.Between("a1", "b1"))
-	require.Equal(t, OtherRegion, places.Between("a1", "unknown"))
-	require.Equal(t, SameRegion, NewMap(nil).Between("a1", "b1"))
+	require.Equal(t, SameZone, places.RoundTrip("a1", "a1"))
+	require.Equal(t, SameRegion, places.RoundTrip("a1", "a2"))
+	require.Equal(t, OtherRegion, places.RoundTrip("a1", "b1"))
+	require.Equal(t, OtherRegion, places.RoundTrip("a1", "unknown"))
+	require.Equal(t, SameRegion, NewMap(nil).RoundTrip("a1", "b1"))
 	require.Equal(t, []string{"a", "b"}, places.Regions())
 }
 
@@ -21,10 +21,10 @@
 func TestCommonRegions(t *testing.T) {
 	everywhere := Regions(nil)
 	require.True(t, everywhere.Allow("a"))
-	require.Equal(t, Regions{"a"}, everywhere.Common(Regions{"a"}))
-	require.Equal(t, Regions{"a"}, Regions{"a"}.Common(everywhere))
-	require.Equal(t, Regions{"b"}, Regions{"a", "b"}.Common(Regions{"b", "c"}))
-	nowhere := Regions{"a"}.Common(Regions{"b"})
+	require.Equal(t, Regions{"a"}, everywhere.Intersect(Regions{"a"}))
+	require.Equal(t, Regions{"a"}, Regions{"a"}.Intersect(everywhere))
+	require.Equal(t, Regions{"b"}, Regions{"a", "b"}.Intersect(Regions{"b", "c"}))
+	nowhere := Regions{"a"}.Intersect(Regions{"b"})
 	require.NotNil(t, nowhere)
 	require.False(t, nowhere.Allow("a"))
 }
@@ -38,20 +38,20 @@
 
 // Guards against choosing a remote item while a local one exists, and against an empty choice.
 func TestOwnRegionIsPreferred(t *testing.T) {
-	vantage := Vantage{Places: NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
+	vantage := Location{Zones: NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
 	identity := func(zone string) string { return zone }
 	zones := []string{"b1", "a2", "unknown", "a1"}
-	NearFirst(vantage, zones, identity)
+	OwnRegionFirst(vantage, zones, identity)
 	require.Equal(t, []string{"a2", "a1", "b1", "unknown"}, zones, "stable within each region")
-	require.Equal(t, []string{"a2", "a1"}, Near(vantage, zones, identity))
-	require.Equal(t, []string{"b1"}, Near(vantage, []string{"b1"}, identity), "no local item")
-	require.Equal(t, []string{"x", "y"}, Near(Vantage{Zone: "x"}, []string{"x", "y"}, identity), "no regions in the map")
+	require.Equal(t, []string{"a2", "a1"}, PreferOwnRegion(vantage, zones, identity))
+	require.Equal(t, []string{"b1"}, PreferOwnRegion(vantage, []string{"b1"}, identity), "no local item")
+	require.Equal(t, []string{"x", "y"}, PreferOwnRegion(Location{Zone: "x"}, []string{"x", "y"}, identity), "no regions in the map")
 }
 
 // Guards against losing the restriction of a call's content, or taking an empty set for none.
 func TestContextCarriesContentRegions(t *testing.T) {
-	require.Nil(t, Content(t.Context()))
-	require.Nil(t, Content(WithContent(t.Context(), nil)), "nil: all regions")
-	require.Equal(t, Regions{"a"}, Content(WithContent(t.Context(), Regions{"a"})))
-	require.False(t, Content(WithContent(t.Context(), Regions{})).Allow("a"), "empty: no region")
+	require.Nil(t, ContentRegions(t.Context()))
+	require.Nil(t, ContentRegions(WithContentRegions(t.Context(), nil)), "nil: all regions")
+	require.Equal(t, Regions{"a"}, ContentRegions(WithContentRegions(t.Context(), Regions{"a"})))
+	require.False(t, ContentRegions(WithContentRegions(t.Context(), Regions{})).Allow("a"), "empty: no region")
 }
--- a/internal/locality/regions.go
+++ b/internal/locality/regions.go
@@ -9,8 +9,8 @@
 // Allow reports whether the set contains a region.
 func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// Common returns the intersection of two sets.
-func (r Regions) Common(other Regions) Regions {
+// Intersect returns the intersection of two sets.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case r == nil:
 		return other
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -46,10 +46,10 @@
 
 func newCluster(t *testing.T, nodes int) *cluster {
 	c := &cluster{t: t, network: peer.NewMemoryNetwork(), running: map[id.Node]*process{}}
-	c.network.SetJudge(func(from, to peer.Address, _ string) peer.Verdict {
+	c.network.SetFaultInjector(func(from, to peer.Address, _ string) peer.InjectedFault {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		return peer.Verdict{Delay: time.Millisecond, Drop: c.cut != nil && c.cut(from, to)}
+		return peer.InjectedFault{Delay: time.Millisecond, Drop: c.cut != nil && c.cut(from, to)}
 	})
 	for i := range nodes {
 		c.start(i, nil)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -79,7 +79,7 @@
 	tracked := &trackedTransport{
 		guard:     t.options.Guard,
 		dialer:    net.Dialer{Timeout: t.options.DialTimeout},
-		quietTime: t.options.QuietTime,
+		quietTime: t.options.UnresponsiveAfter,
 		createdAt: time.Now(),
 	}
 	protocols := &http.Protocols{}
--- a/internal/peer/http_test.go
+++ b/internal/peer/http_test.go
@@ -206,7 +206,7 @@
 
 // TestHTTPCapsAndPassesDeadlines: the handler must get the caller's deadline, capped by MaxDeadline.
 func TestHTTPCapsAndPassesDeadlines(t *testing.T) {
-	options := Options{Keys: NewKeys("secret"), MaxDeadline: 20 * time.Second}
+	options := Options{Keys: NewKeys("secret"), MaxCallDuration: 20 * time.Second}
 	address := startServer(t, options, echoMux())
 	client := newClient(t, options)
 	for timeout, most := range map[time.Duration]int{10 * time.Second: 9, time.Hour: 19} {
--- a/internal/peer/memory.go
+++ b/internal/peer/memory.go
@@ -10,12 +10,12 @@
 	"github.com/cloverwheel/cloverwheel/internal/wait"
 )
 
-// Verdict is the fault injected into one message. The zero value injects none.
-type Verdict struct {
-	Delay      time.Duration // delays delivery
-	Drop       bool          // the request is lost
-	DropAnswer bool          // the request runs, but its response is lost
-	Duplicate  bool          // the request is delivered twice
+// InjectedFault is the fault injected into one message. The zero value injects none.
+type InjectedFault struct {
+	Delay        time.Duration // delays delivery
+	Drop         bool          // the request is lost
+	DropResponse bool          // the request runs, but its response is lost
+	Duplicate    bool          // the request is delivered twice
 }
 
 // MemoryNetwork connects the Muxes of many nodes in one process. The function set
@@ -26,14 +26,14 @@
 	faults atomic.Pointer[faultFunc]
 }
 
-type faultFunc func(from, to Address, method string) Verdict
+type faultFunc func(from, to Address, method string) InjectedFault
 
 // NewMemoryNetwork returns a network without nodes and without faults.
 func NewMemoryNetwork() *MemoryNetwork { return &MemoryNetwork{} }
 
-// SetJudge sets the function that decides on the fault of each message; nil injects
+// SetFaultInjector sets the function that decides on the fault of each message; nil injects
 // no faults. The function is called concurrently.
-func (n *MemoryNetwork) SetJudge(decide func(from, to Address, method string) Verdict) {
+func (n *MemoryNetwork) SetFaultInjector(decide func(from, to Address, method string) InjectedFault) {
 	if decide == nil {
 		n.faults.Store(nil)
 		return
@@ -56,8 +56,8 @@
 	return &memoryTransport{network: n, from: from}
 }
 
-func (n *MemoryNetwork) route(from, to Address, method string) (*Mux, Verdict) {
-	var verdict Verdict
+func (n *MemoryNetwork) route(from, to Address, method string) (*Mux, InjectedFault) {
+	var verdict InjectedFault
 	if decide := n.faults.Load(); decide != nil {
 		verdict = (*decide)(from, to, method)
 	}
@@ -83,7 +83,7 @@
 		_, _ = mux.ServeCall(ctx, method, request)
 	}
 	answer, err := mux.ServeCall(ctx, method, request)
-	if verdict.DropAnswer {
+	if verdict.DropResponse {
 		return nil, lostMessage(ctx, to)
 	}
 	if ctx.Err() != nil {
@@ -106,17 +106,17 @@
 		}
 		return receive(item)
 	})
-	if verdict.DropAnswer {
+	if verdict.DropResponse {
 		return lostMessage(ctx, to)
 	}
 	return err
 }
 
 // deliver applies the delay or loss of a request and returns the receiver's Mux.
-func (t *memoryTransport) deliver(ctx context.Context, to Address, method string) (*Mux, Verdict, error) {
+func (t *memoryTransport) deliver(ctx context.Context, to Address, method string) (*Mux, InjectedFault, error) {
 	mux, verdict := t.network.route(t.from, to, method)
 	if verdict.Delay > 0 {
-		if err := wait.For(ctx, verdict.Delay); err != nil {
+		if err := wait.Sleep(ctx, verdict.Delay); err != nil {
 			return nil, verdict, unavailableError(to, fault.RanNo)
 		}
 	}
--- a/internal/peer/node_transport.go
+++ b/internal/peer/node_transport.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.guard.Protect(raw, time.Since(begun))
+	g.guard.Apply(raw, time.Since(begun))
 	connection := &trackedConn{Conn: raw, owner: g}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -133,8 +133,8 @@
 	if count > 0 {
 		c.owner.noteReceived()
 	}
-	if silence.Broken(err) && !c.counted.Swap(true) {
-		c.owner.guard.Count()
+	if silence.IsTimeout(err) && !c.counted.Swap(true) {
+		c.owner.guard.ReportDead()
 	}
 	return count, err
 }
@@ -150,9 +150,9 @@
 
 type repeatableKey struct{}
 
-// Repeatable marks calls that may be executed twice. If the connection becomes unresponsive
+// WithRepeatable marks calls that may be executed twice. If the connection becomes unresponsive
 // and ctx has not ended, such a call is retried once on a new connection.
-func Repeatable(ctx context.Context) context.Context {
+func WithRepeatable(ctx context.Context) context.Context {
 	return context.WithValue(ctx, repeatableKey{}, true)
 }
 
@@ -229,7 +229,7 @@
 // retireUnresponsive stops using an unresponsive transport and reports it to the guard.
 func (t *HTTPTransport) retireUnresponsive(node *nodeTransport, unresponsive *trackedTransport) {
 	if node.retire(unresponsive) {
-		t.options.Guard.Count()
+		t.options.Guard.ReportDead()
 	}
 }
 
--- a/internal/peer/node_transport_test.go
+++ b/internal/peer/node_transport_test.go
@@ -100,12 +100,12 @@
 }
 
 const (
-	quietTime = 20 * time.Millisecond // Options.QuietTime of these tests
+	quietTime = 20 * time.Millisecond // Options.UnresponsiveAfter of these tests
 	callTime  = 50 * time.Millisecond
 )
 
 func stallOptions(givenUp *atomic.Int64) Options {
-	return Options{Keys: NewKeys("secret"), DialTimeout: time.Minute, QuietTime: quietTime, Guard: silence.Guard{GivenUp: func() { givenUp.Add(1) }}}
+	return Options{Keys: NewKeys("secret"), DialTimeout: time.Minute, UnresponsiveAfter: quietTime, Guard: silence.Guard{OnDeadConnection: func() { givenUp.Add(1) }}}
 }
 
 // requireEcho makes a successful call through the proxy.
@@ -148,7 +148,7 @@
 	proxy.stall()
 	ctx, cancel := context.WithTimeout(t.Context(), pingAfterSilence/2)
 	defer cancel()
-	require.NoError(t, echo(Repeatable(ctx), client, proxy.address, longText))
+	require.NoError(t, echo(WithRepeatable(ctx), client, proxy.address, longText))
 	require.EqualValues(t, 1, givenUp.Load())
 }
 
@@ -163,7 +163,7 @@
 	proxy.stall()
 	payload, err := Encode(question{Text: longText})
 	require.NoError(t, err)
-	ctx, cancel := context.WithTimeout(Repeatable(t.Context()), pingAfterSilence/2)
+	ctx, cancel := context.WithTimeout(WithRepeatable(t.Context()), pingAfterSilence/2)
 	defer cancel()
 	response, err := client.roundTrip(ctx, proxy.address, func(ctx context.Context) *http.Request {
 		time.Sleep(3 * quietTime) // past the first check
@@ -235,7 +235,7 @@
 	used := client.nodeTransportFor(proxy.address).active()
 	ended := make(chan error, 1)
 	go func() {
-		_, err := Invoke[reply](Repeatable(t.Context()), client, proxy.address, "slow", question{})
+		_, err := Invoke[reply](WithRepeatable(t.Context()), client, proxy.address, "slow", question{})
 		ended <- err
 	}()
 	require.Eventually(t, func() bool { return slow.Load() == 1 }, 5*time.Second, time.Millisecond)
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -15,15 +15,15 @@
 
 // Defaults of Options; sizes are in bytes.
 const (
-	DefaultMaxRequest  = 32 << 20
-	DefaultMaxResponse = 32 << 20
-	DefaultMaxItem     = 4 << 20
-	DefaultMaxCalls    = 4096
-	DefaultMaxStreams  = 16384
-	DefaultMaxDeadline = 30 * time.Second
-	DefaultMaxStream   = time.Hour
-	DefaultDialTimeout = time.Second
-	DefaultIdleTimeout = 30 * time.Second
+	DefaultMaxRequest        = 32 << 20
+	DefaultMaxResponse       = 32 << 20
+	DefaultMaxItem           = 4 << 20
+	DefaultMaxCalls          = 4096
+	DefaultMaxStreams        = 16384
+	DefaultMaxCallDuration   = 30 * time.Second
+	DefaultMaxStreamDuration = time.Hour
+	DefaultDialTimeout       = time.Second
+	DefaultIdleTimeout       = 30 * time.Second
 )
 
 // Options configures both sides of the HTTP transport. Zero fields take the
@@ -38,11 +38,11 @@
 	MaxCalls    int // concurrent calls, per side
 	MaxStreams  int // concurrent streams, per side
 
-	MaxDeadline time.Duration // server-side limit on the duration of a call
-	MaxStream   time.Duration // server-side limit on the duration of a stream
-	DialTimeout time.Duration // for opening a connection
-	IdleTimeout time.Duration // how long until an unused connection is closed
-	QuietTime   time.Duration // how long calls wait without received data before their connections are checked; 0: DialTimeout
+	MaxCallDuration   time.Duration // server-side limit on the duration of a call
+	MaxStreamDuration time.Duration // server-side limit on the duration of a stream
+	DialTimeout       time.Duration // for opening a connection
+	IdleTimeout       time.Duration // how long until an unused connection is closed
+	UnresponsiveAfter time.Duration // how long calls wait without received data before their connections are checked; 0: DialTimeout
 
 	Versions Versions // supported protocol versions; zero: SupportedVersions
 
@@ -58,11 +58,11 @@
 	setDefault(&o.MaxItem, DefaultMaxItem)
 	setDefault(&o.MaxCalls, DefaultMaxCalls)
 	setDefault(&o.MaxStreams, DefaultMaxStreams)
-	setDefault(&o.MaxDeadline, DefaultMaxDeadline)
-	setDefault(&o.MaxStream, DefaultMaxStream)
+	setDefault(&o.MaxCallDuration, DefaultMaxCallDuration)
+	setDefault(&o.MaxStreamDuration, DefaultMaxStreamDuration)
 	setDefault(&o.DialTimeout, DefaultDialTimeout)
 	setDefault(&o.IdleTimeout, DefaultIdleTimeout)
-	setDefault(&o.QuietTime, o.DialTimeout)
+	setDefault(&o.UnresponsiveAfter, o.DialTimeout)
 	if o.Log == nil {
 		o.Log = &log.Logger{Handler: discard.New(), Level: log.FatalLevel}
 	}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -41,7 +41,7 @@
 	s.http = &http.Server{
 		Handler:           s.Handler(),
 		Protocols:         protocols,
-		ReadHeaderTimeout: options.MaxDeadline,
+		ReadHeaderTimeout: options.MaxCallDuration,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          newErrorLog(options.Log),
 		HTTP2: &http.HTTP2Config{
@@ -128,7 +128,7 @@
 		return
 	}
 	method := mux.Vars(r)["method"]
-	ctx, cancel := context.WithTimeout(r.Context(), timeLeft(r, s.options.MaxDeadline))
+	ctx, cancel := context.WithTimeout(r.Context(), timeLeft(r, s.options.MaxCallDuration))
 	defer cancel()
 	answer, err := s.runCall(ctx, method, request)
 	s.metrics.done(s.methodLabel(method), err)
@@ -164,7 +164,7 @@
 		return
 	}
 	method := mux.Vars(r)["method"]
-	ctx, cancel := context.WithTimeout(r.Context(), timeLeft(r, s.options.MaxStream))
+	ctx, cancel := context.WithTimeout(r.Context(), timeLeft(r, s.options.MaxStreamDuration))
 	defer cancel()
 	stream := newItemWriter(w, s.options.MaxItem)
 	err := s.runStream(ctx, method, request, stream.send)
--- a/internal/permit/permit.go
+++ b/internal/permit/permit.go
@@ -5,16 +5,16 @@
 
 import "github.com/cloverwheel/cloverwheel/internal/locality"
 
-// Verdict is the result of a check. Verdicts after Metered forbid sending.
+// Verdict is the result of a check. Verdicts after NeedsWarmupPlace forbid sending.
 type Verdict int
 
 // Results of Check.
 const (
 	// Allowed: the request may be sent.
 	Allowed Verdict = iota
-	// Metered: the worker is cold; the request may be sent only with a place from the worker's
+	// NeedsWarmupPlace: the worker is cold; the request may be sent only with a place from the worker's
 	// warm-up allowance.
-	Metered
+	NeedsWarmupPlace
 	// Draining: the worker is draining and must get no new work.
 	Draining
 	// Evacuated: the worker's zone is being evacuated and must get no new work.
@@ -28,7 +28,7 @@
 	switch v {
 	case Allowed:
 		return "allowed"
-	case Metered:
+	case NeedsWarmupPlace:
 		return "metered"
 	case Draining:
 		return "leaving"
@@ -40,7 +40,7 @@
 }
 
 // Refused reports whether the request must not be sent at all.
-func (v Verdict) Refused() bool { return v > Metered }
+func (v Verdict) Refused() bool { return v > NeedsWarmupPlace }
 
 // Request holds the properties of a request that are checked.
 type Request struct {
@@ -50,7 +50,7 @@
 // Worker holds the properties of a worker that are checked.
 type Worker struct {
 	Region    string
-	Leaving   bool // the worker is draining
+	Draining  bool // the worker is draining
 	Evacuated bool // the worker's zone is being evacuated
 	Cold      bool // the worker is not known to be warm
 }
@@ -63,10 +63,10 @@
 		return OutsideRegions
 	case worker.Evacuated:
 		return Evacuated
-	case worker.Leaving:
+	case worker.Draining:
 		return Draining
 	case worker.Cold:
-		return Metered
+		return NeedsWarmupPlace
 	default:
 		return Allowed
 	}
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -21,12 +21,12 @@
 		{"other region", Request{Regions: locality.Regions{"b"}}, Worker{Region: "a"}, OutsideRegions},
 		{"empty region list", Request{Regions: locality.Regions{}}, Worker{Region: "a"}, OutsideRegions},
 		{"evacuated zone, cold", Request{}, Worker{Evacuated: true, Cold: true}, Evacuated},
-		{"draining, cold", Request{}, Worker{Leaving: true, Cold: true}, Draining},
-		{"cold", Request{}, Worker{Cold: true}, Metered},
+		{"draining, cold", Request{}, Worker{Draining: true, Cold: true}, Draining},
+		{"cold", Request{}, Worker{Cold: true}, NeedsWarmupPlace},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.verdict, Check(c.request, c.worker))
-			require.Equal(t, c.verdict != Allowed && c.verdict != Metered, c.verdict.Refused())
+			require.Equal(t, c.verdict != Allowed && c.verdict != NeedsWarmupPlace, c.verdict.Refused())
 		})
 	}
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -27,7 +27,7 @@
 type Candidate struct {
 	Worker       id.Worker
 	Zone         string
-	Distance     time.Duration // round trip to the worker, rounded so that equally distant workers are equal
+	RoundTrip    time.Duration // round trip to the worker, rounded so that equally distant workers are equal
 	Healthy      bool
 	Leaving      bool
 	ModelLoaded  bool
@@ -37,8 +37,8 @@
 	Wait         time.Duration // until admission
 	Prefill      time.Duration // of the tokens that are not cached at the worker
 	Decode       time.Duration // time to generate the output at the current batch size
-	Step         time.Duration // time per output token at the current batch size; 0: unknown
-	Compute      time.Duration // prefill of this call alone, without the work queued ahead of it
+	TokenTime    time.Duration // time per output token at the current batch size; 0: unknown
+	OwnPrefill   time.Duration // prefill of this call alone, without the work queued ahead of it
 	Load         time.Duration // time to load the model or adapter; 0: it is loaded
 	CachedTokens int
 	Capacity     int // KV cache in tokens; 0: unknown
@@ -55,10 +55,10 @@
 type Decision struct {
 	Worker   id.Worker
 	Expected time.Duration
-	// Second is the runner-up, and Margin its expected time minus Expected. Both are zero if there
+	// RunnerUp is the runner-up, and Margin its expected time minus Expected. Both are zero if there
 	// was no other feasible candidate.
-	Second id.Worker
-	Margin time.Duration
+	RunnerUp id.Worker
+	Margin   time.Duration
 }
 
 // Choose picks a worker for the call. random breaks the ties of calls without a key and may be nil.
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -66,10 +66,10 @@
 func TestRank(t *testing.T) {
 	second := time.Second
 	near := with(ready("near"), func(c *Candidate) { c.Decode = second })
-	far := with(ready("far"), func(c *Candidate) { c.Decode, c.Distance = second, 2 })
+	far := with(ready("far"), func(c *Candidate) { c.Decode, c.RoundTrip = second, 2 })
 	cached := with(ready("cached"), func(c *Candidate) { c.Decode, c.Wait = second, second })
 	cold := with(ready("cold"), func(c *Candidate) { c.Decode, c.Prefill = second, 3*second })
-	busy := with(ready("busy"), func(c *Candidate) { c.Running, c.Compute, c.Decode = 10, second, second })
+	busy := with(ready("busy"), func(c *Candidate) { c.Running, c.OwnPrefill, c.Decode = 10, second, second })
 	unloaded := with(ready("unloaded"), func(c *Candidate) { c.Load, c.ModelLoaded = 30*second, false })
 	crowded := with(ready("crowded"), func(c *Candidate) { c.Queued, c.Running = 3, 4 })
 	idle := with(ready("idle"), func(c *Candidate) { c.Running, c.Decode = 1, 9*second })
@@ -143,7 +143,7 @@
 	})
 	t.Run("the margin is over the runner-up", func(t *testing.T) {
 		decision := Select(Query{}, candidates(1000, 5000), expected, random)
-		require.Equal(t, Decision{Worker: "0", Expected: 1000, Second: "1", Margin: 4000}, decision)
+		require.Equal(t, Decision{Worker: "0", Expected: 1000, RunnerUp: "1", Margin: 4000}, decision)
 	})
 }
 
--- a/internal/place/rank.go
+++ b/internal/place/rank.go
@@ -42,7 +42,7 @@
 	if order := cmp.Compare(a.Queued+a.Running, b.Queued+b.Running); order != 0 {
 		return order
 	}
-	return cmp.Compare(a.Distance, b.Distance)
+	return cmp.Compare(a.RoundTrip, b.RoundTrip)
 }
 
 func compareSticky(query Query, a, b Candidate) int {
@@ -71,10 +71,10 @@
 		cost += c.Prefill
 	}
 	if !p.IgnoreCache && !p.IgnoreOthers {
-		cost += time.Duration(delayedCalls(query, c)) * c.Compute
+		cost += time.Duration(delayedCalls(query, c)) * c.OwnPrefill
 	}
 	if !p.IgnoreZones {
-		cost += c.Distance
+		cost += c.RoundTrip
 	}
 	return cost
 }
@@ -95,13 +95,13 @@
 	output, known := 0.0, 0
 	fastest := time.Duration(0)
 	for _, c := range candidates {
-		if c.Step <= 0 {
+		if c.TokenTime <= 0 {
 			continue
 		}
-		output += float64(c.Decode) / float64(c.Step)
+		output += float64(c.Decode) / float64(c.TokenTime)
 		known++
-		if fastest == 0 || c.Step < fastest {
-			fastest = c.Step
+		if fastest == 0 || c.TokenTime < fastest {
+			fastest = c.TokenTime
 		}
 	}
 	if known == 0 {
@@ -109,7 +109,7 @@
 	}
 	output /= float64(known)
 	for i := range candidates {
-		step := candidates[i].Step
+		step := candidates[i].TokenTime
 		if step <= 0 {
 			step = fastest
 		}
--- a/internal/place/select.go
+++ b/internal/place/select.go
@@ -36,7 +36,7 @@
 	best := policy.cost(query, ranked[0])
 	limit := best + time.Duration(float64(best)*tieTolerance)
 	tied := 1
-	for tied < len(ranked) && policy.cost(query, ranked[tied]) <= limit && ranked[tied].Distance == ranked[0].Distance {
+	for tied < len(ranked) && policy.cost(query, ranked[tied]) <= limit && ranked[tied].RoundTrip == ranked[0].RoundTrip {
 		tied++
 	}
 	for index := range ranked[:tied] {
@@ -75,7 +75,7 @@
 		runnerUp = 1
 	}
 	if runnerUp < len(ranked) {
-		decision.Second = ranked[runnerUp].Worker
+		decision.RunnerUp = ranked[runnerUp].Worker
 		decision.Margin = ranked[runnerUp].Expected() - decision.Expected
 	}
 	return decision
--- a/internal/quota/booking_test.go
+++ b/internal/quota/booking_test.go
@@ -11,7 +11,7 @@
 )
 
 // exhaustedLender is a lender without a free permit, whose first one was issued longAgo.
-func exhaustedLender(leases *fakeLeases, longAgo time.Duration) *Lender {
+func exhaustedLender(leases *fakeLeases, longAgo time.Duration) *Allocator {
 	l := newTestLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 	l.Answer(Request{Tenant: "t", Program: "p"})
 	time.Sleep(longAgo)
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -41,33 +41,33 @@
 	// Owner returns the owner of a slot. ok is false if the owner is unknown or has just
 	// failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// Heard records that the owner of a slot answered, and Missed that the process that was
+	// RecordAnswer records that the owner of a slot answered, and Missed that the process that was
 	// asked did not answer as the owner.
-	Heard(slot int)
-	Missed(slot int, asked budget.Holder)
+	RecordAnswer(slot int)
+	RecordNoAnswer(slot int, asked budget.Holder)
 }
 
 // Peers sends calls to other nodes.
 type Peers interface {
-	// Lend asks the owner of a share for a permit.
-	Lend(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
+	// RequestPermit asks the owner of a share for a permit.
+	RequestPermit(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
-// BorrowerOptions configures a Borrower.
-type BorrowerOptions struct {
+// ClientOptions configures a Client.
+type ClientOptions struct {
 	Self   budget.Holder
 	Layout directory.Layout
 	Region string // of this node
 	Owners Owners
 	Peers  Peers
-	// Patience estimates the response times of other nodes. With nil, the shortest timeouts
+	// ResponseTimes estimates the response times of other nodes. With nil, the shortest timeouts
 	// are used.
-	Patience wait.Patience
-	Lender   *Lender // of this process; used for slots that it owns
-	// Learn receives the proof of freshness in an answer and the time when the call was sent.
-	Learn func(proof freshness.Proof, sent time.Time)
-	// Count receives the outcome of each call, for metrics.
-	Count func(Outcome)
+	ResponseTimes wait.TimeoutFunc
+	Allocator     *Allocator // of this process; used for slots that it owns
+	// OnProof receives the proof of freshness in an answer and the time when the call was sent.
+	OnProof func(proof freshness.Proof, sent time.Time)
+	// OnOutcome receives the outcome of each call, for metrics.
+	OnOutcome func(Outcome)
 }
 
 // Outcome is the result of asking the owner of a share for a permit.
@@ -75,26 +75,26 @@
 
 // Outcomes of a call to an owner.
 const (
-	OutcomeLent   Outcome = "lent"   // a permit was issued
-	OutcomeEmpty  Outcome = "empty"  // the owner may issue none now
-	OutcomeSilent Outcome = "silent" // no process answered that may issue permits
+	OutcomeGranted     Outcome = "lent"   // a permit was issued
+	OutcomeExhausted   Outcome = "empty"  // the owner may issue none now
+	OutcomeUnavailable Outcome = "silent" // no process answered that may issue permits
 )
 
 func (a shareAnswer) outcome() Outcome {
 	switch {
 	case a.Lent:
-		return OutcomeLent
+		return OutcomeGranted
 	case a.reached:
-		return OutcomeEmpty
+		return OutcomeExhausted
 	default:
-		return OutcomeSilent
+		return OutcomeUnavailable
 	}
 }
 
-// Borrower obtains permits for requests against their tenants' limits. It implements
-// forward.Limits.
-type Borrower struct {
-	options BorrowerOptions
+// Client obtains permits for requests against their tenants' limits. It implements
+// forward.RateLimiter.
+type Client struct {
+	options ClientOptions
 
 	mutex         sync.Mutex
 	unused        map[string][]time.Time  // expiry times of returned permits, by tenant
@@ -109,16 +109,16 @@
 	lastUsed time.Time
 }
 
-var _ forward.Limits = (*Borrower)(nil)
+var _ forward.RateLimiter = (*Client)(nil)
 
-// NewBorrower returns a borrower without cached permits.
-func NewBorrower(options BorrowerOptions) *Borrower {
-	return &Borrower{options: options, unused: map[string][]time.Time{}, programShares: map[string]programShare{}, lastSweep: time.Now()}
+// NewClient returns a borrower without cached permits.
+func NewClient(options ClientOptions) *Client {
+	return &Client{options: options, unused: map[string][]time.Time{}, programShares: map[string]programShare{}, lastSweep: time.Now()}
 }
 
-// Admit implements forward.Limits. It first asks the owner of the program's share, then the
+// Admit implements forward.RateLimiter. It first asks the owner of the program's share, then the
 // owners of the other shares if that one refuses or is slow to answer.
-func (b *Borrower) Admit(ctx context.Context, ask forward.LimitRequest) error {
+func (b *Client) Admit(ctx context.Context, ask forward.RateLimitRequest) error {
 	if b.takeUnused(ask.Tenant) {
 		return nil
 	}
@@ -180,7 +180,7 @@
 
 // firstShare returns the share to ask first, one of this node's region. All nodes of a region
 // pick the same share for a program, unless they know that another share admitted it.
-func (b *Borrower) firstShare(ask forward.LimitRequest) int {
+func (b *Client) firstShare(ask forward.RateLimitRequest) int {
 	if ask.Program == "" {
 		local := sharesInRegion(b.options.Layout, b.options.Region, ask.Tenant)
 		return local[rand.IntN(len(local))]
@@ -193,15 +193,15 @@
 	return b.defaultShare(ask)
 }
 
-func (b *Borrower) defaultShare(ask forward.LimitRequest) int {
+func (b *Client) defaultShare(ask forward.RateLimitRequest) int {
 	local := sharesInRegion(b.options.Layout, b.options.Region, ask.Tenant)
 	return local[xxhash.Sum64String(ask.Program)%uint64(len(local))]
 }
 
-func programKey(ask forward.LimitRequest) string { return ask.Tenant + "/" + ask.Program }
+func programKey(ask forward.RateLimitRequest) string { return ask.Tenant + "/" + ask.Program }
 
 // rememberShare records the share that admitted a program, if it is not the default one.
-func (b *Borrower) rememberShare(ask forward.LimitRequest, share int) {
+func (b *Client) rememberShare(ask forward.RateLimitRequest, share int) {
 	if ask.Program == "" {
 		return
 	}
@@ -219,15 +219,15 @@
 	b.programShares[programKey(ask)] = programShare{share: share, lastUsed: now}
 }
 
-// Return implements forward.Limits. The permit stays usable for unusedPermitTTL.
-func (b *Borrower) Return(tenant string) {
+// Return implements forward.RateLimiter. The permit stays usable for unusedPermitTTL.
+func (b *Client) Return(tenant string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.unused[tenant] = append(b.unused[tenant], time.Now().Add(unusedPermitTTL))
 }
 
 // takeUnused takes a returned permit of a tenant and reports whether there was one.
-func (b *Borrower) takeUnused(tenant string) bool {
+func (b *Client) takeUnused(tenant string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	unused := b.unused[tenant]
@@ -245,8 +245,8 @@
 
 // acquisition obtains one permit from the owners of a tenant's shares.
 type acquisition struct {
-	borrower *Borrower
-	ask      forward.LimitRequest
+	borrower *Client
+	ask      forward.RateLimitRequest
 	first    int // share that is asked first
 	asked    int // number of shares asked so far
 	answers  chan shareAnswer
@@ -285,7 +285,7 @@
 			hedge.Reset(a.hedgeDelay())
 		case answer := <-a.answers:
 			running--
-			a.borrower.options.Count(answer.outcome())
+			a.borrower.options.OnOutcome(answer.outcome())
 			a.underWay = a.underWay || answer.UnderWay
 			switch {
 			case answer.Lent:
@@ -306,7 +306,7 @@
 func (a *acquisition) hedgeDelay() time.Duration {
 	share := (a.first + a.asked - 1) % shares
 	owner, _ := a.borrower.options.Owners.Owner(slotOf(a.borrower.options.Layout, a.ask.Tenant, share))
-	return a.borrower.options.Patience.Of(owner.Process, minHedgeDelay, maxOwnerTimeout)
+	return a.borrower.options.ResponseTimes.For(owner.Process, minHedgeDelay, maxOwnerTimeout)
 }
 
 // refusals collects the answers of owners that issued no permit.
@@ -351,32 +351,32 @@
 
 // askOwner asks the owner of the share that a request names. reached is false if no process
 // answers that owns the share and may issue permits.
-func (b *Borrower) askOwner(ctx context.Context, request Request) (answer Answer, reached bool) {
+func (b *Client) askOwner(ctx context.Context, request Request) (answer Answer, reached bool) {
 	slot := slotOf(b.options.Layout, request.Tenant, request.Share)
 	owner, ok := b.options.Owners.Owner(slot)
 	if !ok {
 		return Answer{}, false
 	}
 	if owner.Process == b.options.Self.Process {
-		answer := b.options.Lender.Answer(request)
+		answer := b.options.Allocator.Answer(request)
 		return answer, answer.Able
 	}
-	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(owner.Process, minOwnerTimeout, maxOwnerTimeout))
+	limited, cancel := context.WithTimeout(ctx, b.options.ResponseTimes.For(owner.Process, minOwnerTimeout, maxOwnerTimeout))
 	defer cancel()
 	sent := time.Now()
-	answer, err := b.options.Peers.Lend(limited, owner, request)
+	answer, err := b.options.Peers.RequestPermit(limited, owner, request)
 	if ctx.Err() != nil && err != nil {
 		return Answer{}, false
 	}
 	if err != nil {
-		b.options.Owners.Missed(slot, owner)
+		b.options.Owners.RecordNoAnswer(slot, owner)
 		return Answer{}, false
 	}
-	b.options.Learn(answer.Proof, sent)
+	b.options.OnProof(answer.Proof, sent)
 	if !answer.Owner {
-		b.options.Owners.Missed(slot, owner)
+		b.options.Owners.RecordNoAnswer(slot, owner)
 		return Answer{}, false
 	}
-	b.options.Owners.Heard(slot)
+	b.options.Owners.RecordAnswer(slot)
 	return answer, answer.Able
 }
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -37,12 +37,12 @@
 	mutex        sync.Mutex
 	nodes        map[string]*node // by address
 	starts       int
-	isolated     map[string]bool // nodes that are partitioned from other nodes
-	storeDown    map[string]bool // nodes whose calls to the store fail
-	limit        tenant.Limit    // of every tenant
-	places       *locality.Map   // nil: no regions
-	regionsSplit bool            // regions are partitioned from each other
-	crossRegion  int             // calls for permits to another region
+	isolated     map[string]bool   // nodes that are partitioned from other nodes
+	storeDown    map[string]bool   // nodes whose calls to the store fail
+	limit        tenant.Limit      // of every tenant
+	places       *locality.ZoneMap // nil: no regions
+	regionsSplit bool              // regions are partitioned from each other
+	crossRegion  int               // calls for permits to another region
 	admitted     map[string][]time.Time
 	refused      map[fault.Code]int
 }
@@ -52,8 +52,8 @@
 	cluster   *cluster
 	self      budget.Holder
 	directory *directory.Directory
-	borrower  *Borrower
-	lender    *Lender
+	borrower  *Client
+	lender    *Allocator
 	cancel    context.CancelFunc
 	paused    time.Time // end of the pause of the process
 }
@@ -70,13 +70,13 @@
 }
 
 // vantageOf returns the location of the node at an address; the address's index selects its region.
-func (c *cluster) vantageOf(address string) locality.Vantage {
+func (c *cluster) vantageOf(address string) locality.Location {
 	regions := c.places.Regions()
 	if len(regions) == 0 {
-		return locality.Vantage{}
+		return locality.Location{}
 	}
 	index, _ := strconv.Atoi(strings.TrimSuffix(strings.TrimPrefix(address, "10.0.0."), ":1"))
-	return locality.Vantage{Places: c.places, Zone: regions[index%len(regions)]}
+	return locality.Location{Zones: c.places, Zone: regions[index%len(regions)]}
 }
 
 // newSettledCluster is a cluster whose owners have owned their slots for more than a window.
@@ -98,7 +98,7 @@
 func (t faultyStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	t.node.waitWhilePaused()
 	if t.node.isStoreDown() {
-		return 0, store.ErrNotDone
+		return 0, store.ErrNotApplied
 	}
 	version, err := t.Store.Commit(ctx, transaction)
 	t.node.waitWhilePaused()
@@ -109,7 +109,7 @@
 func (t faultyStore) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	t.node.waitWhilePaused()
 	if t.node.isStoreDown() {
-		return store.Page{}, store.ErrNotDone
+		return store.Page{}, store.ErrNotApplied
 	}
 	return t.Store.Range(ctx, table, part, from, to, limit)
 }
@@ -137,10 +137,10 @@
 	vantage := c.vantageOf(address)
 	layout := directory.NewLayout(c.places)
 	n.directory = directory.New(directory.Options{
-		Store: faultyStore{c.table, n}, Self: n.self, Peers: peers, LentFor: testTolerance.Window, Logger: &log.Logger{Handler: discard.New()},
+		Store: faultyStore{c.table, n}, Self: n.self, Peers: peers, PermitDuration: testTolerance.Window, Logger: &log.Logger{Handler: discard.New()},
 		Vantage: vantage,
 	})
-	n.lender = NewLender(LenderOptions{
+	n.lender = NewAllocator(AllocatorOptions{
 		Leases: n.directory, Tolerance: testTolerance, Layout: layout,
 		LimitOf: func(string) (tenant.Limit, bool) {
 			c.mutex.Lock()
@@ -149,8 +149,8 @@
 		},
 		Proof: func() freshness.Proof { return freshness.Proof{} },
 	})
-	n.borrower = NewBorrower(BorrowerOptions{
-		Self: n.self, Layout: layout, Region: vantage.Region(), Owners: n.directory, Peers: peers, Lender: n.lender, Learn: func(freshness.Proof, time.Time) {}, Count: func(Outcome) {},
+	n.borrower = NewClient(ClientOptions{
+		Self: n.self, Layout: layout, Region: vantage.OwnRegion(), Owners: n.directory, Peers: peers, Allocator: n.lender, OnProof: func(freshness.Proof, time.Time) {}, OnOutcome: func(Outcome) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -168,11 +168,11 @@
 		var conflict *store.Conflict
 		switch {
 		case err == nil:
-			n.directory.Proven(claims, sent)
+			n.directory.ConfirmClaims(claims, sent)
 		case errors.As(err, &conflict):
-			n.directory.Disproven(claims, conflict, sent)
+			n.directory.HandleConflict(claims, conflict, sent)
 		}
-		n.directory.Settle(ctx)
+		n.directory.MarkSettled(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Second):
@@ -226,11 +226,11 @@
 	if err != nil {
 		return directory.Answer{}, err
 	}
-	return n.directory.Answer(request), nil
+	return n.directory.HandleRequest(request), nil
 }
 
-// Lend implements Peers.
-func (p clusterPeers) Lend(ctx context.Context, owner budget.Holder, request Request) (Answer, error) {
+// RequestPermit implements Peers.
+func (p clusterPeers) RequestPermit(ctx context.Context, owner budget.Holder, request Request) (Answer, error) {
 	n, err := p.reach(ctx, owner.Address)
 	if err != nil {
 		return Answer{}, err
@@ -252,7 +252,7 @@
 	n.waitWhilePaused()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	err := n.borrower.Admit(ctx, forward.LimitRequest{Tenant: name, Program: program})
+	err := n.borrower.Admit(ctx, forward.RateLimitRequest{Tenant: name, Program: program})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err != nil {
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -57,16 +57,16 @@
 type Leases interface {
 	// Lease returns this process's lease of a slot; ok is false if another process owns it.
 	Lease(slot int) (directory.Lease, bool)
-	// Raise records in the store that all of a tenant's share may be lent, and reports
+	// AllowFullLimit records in the store that all of a tenant's share may be lent, and reports
 	// whether that was confirmed.
-	Raise(ctx context.Context, slot int, tenant string) bool
-	// Lower removes that record.
-	Lower(ctx context.Context, slot int, tenant string)
+	AllowFullLimit(ctx context.Context, slot int, tenant string) bool
+	// RevokeFullLimit removes that record.
+	RevokeFullLimit(ctx context.Context, slot int, tenant string)
 }
 
-// Lender issues permits for the shares whose slots this process owns. It is safe for
+// Allocator issues permits for the shares whose slots this process owns. It is safe for
 // concurrent use.
-type Lender struct {
+type Allocator struct {
 	leases    Leases
 	layout    directory.Layout
 	tolerance Tolerance
@@ -103,8 +103,8 @@
 	lastUsed       time.Time
 }
 
-// LenderOptions configures a Lender.
-type LenderOptions struct {
+// AllocatorOptions configures a Allocator.
+type AllocatorOptions struct {
 	Leases    Leases
 	Layout    directory.Layout
 	Tolerance Tolerance
@@ -114,10 +114,10 @@
 	Proof func() freshness.Proof
 }
 
-// NewLender returns a lender that has issued no permits.
-func NewLender(options LenderOptions) *Lender {
+// NewAllocator returns a lender that has issued no permits.
+func NewAllocator(options AllocatorOptions) *Allocator {
 	now := time.Now()
-	return &Lender{
+	return &Allocator{
 		leases:      options.Leases,
 		layout:      options.Layout,
 		tolerance:   options.Tolerance.withDefaults(),
@@ -132,7 +132,7 @@
 
 // Answer issues a permit, or returns when to retry. A request for a share that does not exist
 // or is owned by another process gets an answer in which Owner is false.
-func (l *Lender) Answer(request Request) Answer {
+func (l *Allocator) Answer(request Request) Answer {
 	answer := Answer{Proof: l.proof()}
 	if request.Share < 0 || request.Share >= shares {
 		return answer
@@ -181,7 +181,7 @@
 }
 
 // lend counts a permit that becomes valid so many steps ahead. The caller holds the mutex.
-func (l *Lender) lend(account *shareAccount, program string, ahead int64, now time.Time) {
+func (l *Allocator) lend(account *shareAccount, program string, ahead int64, now time.Time) {
 	account.window.add(ahead)
 	account.programs.record(program, now)
 	l.programRate.count(program)
@@ -190,7 +190,7 @@
 // requestRetryAfter returns the retry delay of a refused request: the time until the share,
 // which may lend most permits in a window, has one more than the callers refused earlier will
 // take.
-func (l *Lender) requestRetryAfter(account *shareAccount, most float64, now time.Time) time.Duration {
+func (l *Allocator) requestRetryAfter(account *shareAccount, most float64, now time.Time) time.Duration {
 	return account.requestRetries.add(now, func(queue int) time.Duration {
 		surplus := account.window.total + 1 - int(most) + queue
 		return time.Duration(account.window.untilFree(surplus)) * l.tolerance.Window / steps
@@ -199,7 +199,7 @@
 
 // programRetryAfter returns how long a new program should wait. It assumes that the active
 // programs end evenly spread over a window.
-func (l *Lender) programRetryAfter(account *shareAccount, now time.Time) time.Duration {
+func (l *Allocator) programRetryAfter(account *shareAccount, now time.Time) time.Duration {
 	return account.programRetries.add(now, func(queue int) time.Duration {
 		return time.Duration(queue+1) * l.tolerance.Window / time.Duration(account.programs.active(now)+1)
 	})
@@ -208,7 +208,7 @@
 // hasRoom reports whether the share can take one more program without cutting off running
 // ones. It forecasts the permits in the window that ends forecastPart of a window from now, if
 // each program keeps its rate.
-func (l *Lender) hasRoom(account *shareAccount, allowed allowances, now time.Time) bool {
+func (l *Allocator) hasRoom(account *shareAccount, allowed allowances, now time.Time) bool {
 	ahead := time.Duration(forecastPart * float64(l.tolerance.Window))
 	counted := account.window.recent(l.tolerance.Window-ahead, l.tolerance.Window) + account.window.booked
 	perSecond := account.programs.perSecond(l.programRate.perSecond, now) + l.programRate.perSecond
@@ -218,7 +218,7 @@
 
 // accountFor returns the account of a share under a lease, advanced to now. A new lease starts
 // a new account: the allowance already deducts what was lent under earlier ones.
-func (l *Lender) accountFor(key shareKey, lease directory.Lease, now time.Time) *shareAccount {
+func (l *Allocator) accountFor(key shareKey, lease directory.Lease, now time.Time) *shareAccount {
 	l.sweep(now)
 	known, ok := l.accounts[key]
 	if !ok || known.lease != lease.Number {
@@ -232,7 +232,7 @@
 }
 
 // sweep drops the accounts of shares that were not used lately.
-func (l *Lender) sweep(now time.Time) {
+func (l *Allocator) sweep(now time.Time) {
 	if now.Sub(l.lastSweep) < 2*l.tolerance.Window {
 		return
 	}
@@ -242,18 +242,18 @@
 
 // updateRaised raises the tenant in the store shortly before more than the base allowance is
 // needed, and lowers it when usage falls below lowerThreshold. The caller holds the mutex.
-func (l *Lender) updateRaised(account *shareAccount, slot int, tenant string, lease directory.Lease, allowed allowances, now time.Time) {
+func (l *Allocator) updateRaised(account *shareAccount, slot int, tenant string, lease directory.Lease, allowed allowances, now time.Time) {
 	if account.writePending || now.Sub(account.lastWrite) < writeInterval {
 		return
 	}
-	raised, total := slices.Contains(lease.Raised, tenant), float64(account.window.total+account.window.booked)
+	raised, total := slices.Contains(lease.FullLimitTenants, tenant), float64(account.window.total+account.window.booked)
 	switch {
 	case allowed.nearBase(total) && (!raised || account.lowered):
-		l.write(account, now, func(ctx context.Context) (lowered bool) { return !l.leases.Raise(ctx, slot, tenant) })
+		l.write(account, now, func(ctx context.Context) (lowered bool) { return !l.leases.AllowFullLimit(ctx, slot, tenant) })
 	case total < lowerThreshold*allowed.base && raised:
 		account.lowered = true // before the store is written
 		l.write(account, now, func(ctx context.Context) (lowered bool) {
-			l.leases.Lower(ctx, slot, tenant)
+			l.leases.RevokeFullLimit(ctx, slot, tenant)
 			return true
 		})
 	}
@@ -261,7 +261,7 @@
 
 // write runs a write to the store in the background, one at a time for each share. do reports
 // whether only the base allowance may be lent after it.
-func (l *Lender) write(account *shareAccount, now time.Time, do func(context.Context) (lowered bool)) {
+func (l *Allocator) write(account *shareAccount, now time.Time, do func(context.Context) (lowered bool)) {
 	account.writePending, account.lastWrite = true, now
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
--- a/internal/quota/lender_test.go
+++ b/internal/quota/lender_test.go
@@ -23,14 +23,14 @@
 
 func (f *fakeLeases) Lease(int) (directory.Lease, bool) { return f.lease, true }
 
-func (f *fakeLeases) Raise(_ context.Context, _ int, name string) bool {
-	if f.raises && !slices.Contains(f.lease.Raised, name) {
-		f.lease.Raised = append(f.lease.Raised, name)
+func (f *fakeLeases) AllowFullLimit(_ context.Context, _ int, name string) bool {
+	if f.raises && !slices.Contains(f.lease.FullLimitTenants, name) {
+		f.lease.FullLimitTenants = append(f.lease.FullLimitTenants, name)
 	}
 	return f.raises
 }
 
-func (f *fakeLeases) Lower(context.Context, int, string) {
+func (f *fakeLeases) RevokeFullLimit(context.Context, int, string) {
 	f.lowers++
 	time.Sleep(storeLatency)
 }
@@ -39,10 +39,10 @@
 const storeLatency = 300 * time.Millisecond
 
 // newTestLender returns a lender with fake leases that are older than the window.
-func newTestLender(leases *fakeLeases, limit tenant.Limit) *Lender {
+func newTestLender(leases *fakeLeases, limit tenant.Limit) *Allocator {
 	now := time.Now()
 	leases.lease = directory.Lease{Number: 1, Since: now.Add(-time.Minute), Until: now.Add(time.Hour)}
-	return NewLender(LenderOptions{
+	return NewAllocator(AllocatorOptions{
 		Leases: leases, Tolerance: testTolerance,
 		LimitOf: func(string) (tenant.Limit, bool) { return limit, true },
 		Proof:   func() freshness.Proof { return freshness.Proof{Revision: 3, Age: time.Second} },
@@ -50,7 +50,7 @@
 }
 
 // lendAll asks until no permit is issued and returns how many were.
-func lendAll(l *Lender) (count int) {
+func lendAll(l *Allocator) (count int) {
 	for l.Answer(Request{Tenant: "t"}).Lent {
 		count++
 		synctest.Wait() // background writes finish
@@ -59,7 +59,7 @@
 }
 
 // triggerRaise sends a request after which the lender may raise the tenant again.
-func triggerRaise(l *Lender) {
+func triggerRaise(l *Allocator) {
 	time.Sleep(writeInterval)
 	l.Answer(Request{Tenant: "t"})
 	synctest.Wait()
@@ -81,7 +81,7 @@
 		require.True(t, l.Answer(Request{Tenant: "t"}).Lent)
 		synctest.Wait()
 		require.Equal(t, 1, leases.lowers, "the tenant is lowered after little use")
-		require.Contains(t, leases.lease.Raised, "t", "the row may still be raised")
+		require.Contains(t, leases.lease.FullLimitTenants, "t", "the row may still be raised")
 		leases.raises = false
 		require.Equal(t, base-1, lendAll(l))
 		leases.raises = true
--- a/internal/quota/regions_test.go
+++ b/internal/quota/regions_test.go
@@ -16,7 +16,7 @@
 )
 
 // threeRegions has three regions with one zone each, of the same name.
-func threeRegions() *locality.Map {
+func threeRegions() *locality.ZoneMap {
 	return locality.NewMap(map[string]string{"a": "a", "b": "b", "c": "c"})
 }
 
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -36,7 +36,7 @@
 // the loss of a region costs no more than the loss of one owner.
 func slotOf(layout directory.Layout, tenant string, share int) int {
 	hash := xxhash.Sum64String(tenant)
-	return layout.Spread(hash>>regionBits+uint64(share), hash+uint64(share)*shareStride)
+	return layout.RoundRobinSlot(hash>>regionBits+uint64(share), hash+uint64(share)*shareStride)
 }
 
 // sharesInRegion returns the shares of a tenant's limit that lie in a region, or all shares if
@@ -103,17 +103,17 @@
 // then if lease.Before.All is set.
 func (a allowances) lendable(lease directory.Lease, tenant string, now time.Time, window time.Duration) float64 {
 	most := a.base
-	if slices.Contains(lease.Raised, tenant) {
+	if slices.Contains(lease.FullLimitTenants, tenant) {
 		most = a.full
 	}
 	if now.Sub(lease.Since) >= window {
 		return most
 	}
 	predecessors := a.base
-	if lease.Before.Lent(tenant) {
+	if lease.Prior.MayHaveIssued(tenant) {
 		predecessors = a.full
 	}
-	if lease.Before.All {
+	if lease.Prior.All {
 		return 0
 	}
 	return min(most, a.full-predecessors+a.reserve)
--- a/internal/quota/succession_test.go
+++ b/internal/quota/succession_test.go
@@ -18,7 +18,7 @@
 		limit := tenant.Limit{PerSecond: 20, Burst: 20}
 		leases := &fakeLeases{raises: true}
 		leaving := newTestLender(leases, limit)
-		leases.lease.Raised = []string{"t"}
+		leases.lease.FullLimitTenants = []string{"t"}
 		var used []time.Time
 		for range lendAll(leaving) {
 			used = append(used, time.Now())
@@ -32,8 +32,8 @@
 		next := &fakeLeases{raises: true}
 		successor := newTestLender(next, limit)
 		next.lease.Since = time.Now()
-		next.lease.Raised = []string{"t"}
-		next.lease.Before = directory.Bequest{Raised: []string{"t"}}
+		next.lease.FullLimitTenants = []string{"t"}
+		next.lease.Prior = directory.PriorPermits{FullLimitTenants: []string{"t"}}
 		for end := time.Now().Add(2 * testTolerance.Window); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			for range lendAll(successor) {
 				used = append(used, time.Now())
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -24,20 +24,20 @@
 	"0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz",
 }
 
-// Names is the format of the names in a list: a constant prefix and a varying suffix. Names are
+// Format is the format of the names in a list: a constant prefix and a varying suffix. Names are
 // mapped to indexes by reading the suffix as a number.
-type Names struct {
+type Format struct {
 	prefix     string
 	alphabet   string
 	width      int    // characters of the suffix used, at most maxWidth
 	firstIndex uint64 // index of the first observed name
 }
 
-// Observe infers the format from the first names of a list, in order. ok is false for fewer than
+// InferFormat infers the format from the first names of a list, in order. ok is false for fewer than
 // two names, or if they have no varying suffix over a known alphabet.
-func Observe(names []string) (format Names, ok bool) {
+func InferFormat(names []string) (format Format, ok bool) {
 	if len(names) < 2 {
-		return Names{}, false
+		return Format{}, false
 	}
 	for _, alphabet := range alphabets {
 		suffix := varyingSuffix(names[0], alphabet)
@@ -49,11 +49,11 @@
 		for _, name := range names {
 			shortest = min(shortest, len(name)-len(prefix))
 		}
-		format = Names{prefix: prefix, alphabet: alphabet, width: min(shortest, maxWidth)}
+		format = Format{prefix: prefix, alphabet: alphabet, width: min(shortest, maxWidth)}
 		format.firstIndex = format.index(names[0])
 		return format, true
 	}
-	return Names{}, false
+	return Format{}, false
 }
 
 // varyingSuffix returns the longest suffix of name over an alphabet.
@@ -79,10 +79,10 @@
 // maxDraws bounds the attempts to draw an index that is not below the first name.
 const maxDraws = 256
 
-// Draw returns a name chosen by seed, so that all callers with the same seed get the same name
+// Pick returns a name chosen by seed, so that all callers with the same seed get the same name
 // while the first name of the list sorts before it. If nothing was found at or after an earlier
 // result, pass that as before: the next result sorts before it. An empty before sets no limit.
-func (n Names) Draw(seed, before string) string {
+func (n Format) Pick(seed, before string) string {
 	limit := n.count()
 	if before != "" {
 		limit = max(1, n.index(before))
@@ -98,9 +98,9 @@
 	return n.name(index)
 }
 
-// Size estimates the length of the list from consecutive names of it, assuming that names are
+// EstimateCount estimates the length of the list from consecutive names of it, assuming that names are
 // spread evenly over all indexes from the first name on.
-func (n Names) Size(sample []string) int {
+func (n Format) EstimateCount(sample []string) int {
 	if len(sample) < 2 {
 		return len(sample)
 	}
@@ -112,7 +112,7 @@
 }
 
 // count returns the number of possible indexes.
-func (n Names) count() uint64 {
+func (n Format) count() uint64 {
 	count := uint64(1)
 	for range n.width {
 		count *= uint64(len(n.alphabet))
@@ -121,7 +121,7 @@
 }
 
 // index returns the index of a name.
-func (n Names) index(name string) (index uint64) {
+func (n Format) index(name string) (index uint64) {
 	for _, char := range []byte(name[len(n.prefix) : len(n.prefix)+n.width]) {
 		index = index*uint64(len(n.alphabet)) + uint64(strings.IndexByte(n.alphabet, char))
 	}
@@ -129,7 +129,7 @@
 }
 
 // name returns the name with an index.
-func (n Names) name(index uint64) string {
+func (n Format) name(index uint64) string {
 	chars := make([]byte, n.width)
 	for position := n.width - 1; position >= 0; position-- {
 		chars[position] = n.alphabet[index%uint64(len(n.alphabet))]
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(kind, func(t *testing.T) {
 			names := sortedNames(count, name)
-			format, ok := Observe(names[:64])
+			format, ok := InferFormat(names[:64])
 			require.True(t, ok)
 			readers := make([]int, count)
 			for process := range processes {
@@ -58,10 +58,10 @@
 }
 
 // drawStart draws until there is a name at or after the result.
-func drawStart(format Names, names []string, seed string) int {
+func drawStart(format Format, names []string, seed string) int {
 	before := ""
 	for {
-		name := format.Draw(seed, before)
+		name := format.Pick(seed, before)
 		if start, _ := slices.BinarySearch(names, name); start < len(names) {
 			return start
 		}
@@ -72,7 +72,7 @@
 // TestObserveRejectsNamesWithoutCommonFormat guards against a format inferred from names that share none.
 func TestObserveRejectsNamesWithoutCommonFormat(t *testing.T) {
 	for _, names := range [][]string{nil, {"one"}, {"a-1", "b-2"}, {"one", "öne"}, {"", "a"}, {"x-", "x-1"}} {
-		_, ok := Observe(names)
+		_, ok := InferFormat(names)
 		require.False(t, ok, "%q", names)
 	}
 }
@@ -81,19 +81,19 @@
 // same seed because they observed different names.
 func TestDrawIsIndependentOfObservedNames(t *testing.T) {
 	names := sortedNames(1000, func(index int) string { return fmt.Sprintf("i-%010x", xxhash.Sum64String(fmt.Sprint(index))>>24) })
-	first, _ := Observe(names[:64])
-	other, _ := Observe(names[1:64])
-	require.Equal(t, first.Draw("part", ""), other.Draw("part", ""))
-	require.NotEqual(t, first.Draw("part", ""), first.Draw("other", ""))
+	first, _ := InferFormat(names[:64])
+	other, _ := InferFormat(names[1:64])
+	require.Equal(t, first.Pick("part", ""), other.Pick("part", ""))
+	require.NotEqual(t, first.Pick("part", ""), first.Pick("other", ""))
 }
 
 // TestSizeEstimateFromSample guards against estimates more than 40% off, wherever the sample lies.
 func TestSizeEstimateFromSample(t *testing.T) {
 	for _, count := range []int{100, 600, 3000, 10_000, 100_000} {
 		names := sortedNames(count, func(index int) string { return fmt.Sprintf("i-%010x", xxhash.Sum64String(fmt.Sprint(index))>>24) })
-		format, ok := Observe(names[:64])
+		format, ok := InferFormat(names[:64])
 		require.True(t, ok)
-		require.InEpsilon(t, count, format.Size(names[:64]), 0.4)
-		require.InEpsilon(t, count, format.Size(names[count/2-30:count/2+30]), 0.4)
+		require.InEpsilon(t, count, format.EstimateCount(names[:64]), 0.4)
+		require.InEpsilon(t, count, format.EstimateCount(names[count/2-30:count/2+30]), 0.4)
 	}
 }
--- a/internal/room/account.go
+++ b/internal/room/account.go
@@ -28,9 +28,9 @@
 
 // Member is a worker of a group that may receive requests.
 type Member struct {
-	Worker string // worker key
-	Places int    // concurrency limit: requests that it runs at once
-	Memory int    // tokens that fit into its memory; 0: unknown
+	Worker      string // worker key
+	Concurrency int    // concurrency limit: requests that it runs at once
+	Memory      int    // tokens that fit into its memory; 0: unknown
 }
 
 // GroupLoad is the load of a group's workers, summed over the reports of all nodes. It reads no clock;
@@ -206,7 +206,7 @@
 func (l *GroupLoad) Busy() float64 {
 	capacity, running := 0, 0
 	for _, member := range l.members {
-		capacity += member.Places
+		capacity += member.Concurrency
 		running += l.loads[member.Worker].requests
 	}
 	if capacity == 0 {
@@ -218,7 +218,7 @@
 // totalCapacity returns the sum of the members' concurrency limits.
 func (l *GroupLoad) totalCapacity() (total int) {
 	for _, member := range l.members {
-		total += member.Places
+		total += member.Concurrency
 	}
 	return total
 }
@@ -226,6 +226,6 @@
 // anyCapacity reports whether a member can take one more request, overcommit included.
 func (l *GroupLoad) anyCapacity() bool {
 	return slices.ContainsFunc(l.members, func(member Member) bool {
-		return l.loads[member.Worker].requests < member.Places+overcommit
+		return l.loads[member.Worker].requests < member.Concurrency+overcommit
 	})
 }
--- a/internal/room/account_test.go
+++ b/internal/room/account_test.go
@@ -43,7 +43,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		members := make([]Member, rapid.IntRange(1, 5).Draw(t, "workers"))
 		for index := range members {
-			members[index] = Member{Worker: fmt.Sprint(index), Places: rapid.IntRange(1, 4).Draw(t, "places"), Memory: 100}
+			members[index] = Member{Worker: fmt.Sprint(index), Concurrency: rapid.IntRange(1, 4).Draw(t, "places"), Memory: 100}
 		}
 		scheduler, now := settledScheduler(members...)
 		type node struct {
@@ -91,7 +91,7 @@
 				node.load.QuerySent(report.Sequence)
 				scheduler.ApplyReport(report, now)
 				answer, _ := scheduler.Submit(&Query{From: name, Sequence: report.Sequence, Ask: Ask{Tokens: 10}}, now)
-				if answer.Outcome != Go {
+				if answer.Outcome != OutcomeAssigned {
 					node.load.QueryDone(report.Sequence)
 					continue
 				}
@@ -113,7 +113,7 @@
 				scheduler.ApplyReport(nodes[index].load.Report(fmt.Sprint("n", index), now), now)
 			}
 			for _, member := range members {
-				require.LessOrEqual(t, running()[member.Worker], member.Places+overcommit)
+				require.LessOrEqual(t, running()[member.Worker], member.Concurrency+overcommit)
 			}
 		}
 	})
@@ -127,7 +127,7 @@
 		members := make([]Member, rapid.IntRange(1, 6).Draw(t, "workers"))
 		var reported []Running
 		for index := range members {
-			members[index] = Member{Worker: fmt.Sprint(index), Places: rapid.IntRange(1, 4).Draw(t, "places"), Memory: 100}
+			members[index] = Member{Worker: fmt.Sprint(index), Concurrency: rapid.IntRange(1, 4).Draw(t, "places"), Memory: 100}
 			if requests := rapid.IntRange(0, 6).Draw(t, "requests"); requests > 0 {
 				reported = append(reported, Running{Worker: members[index].Worker, Requests: requests, Tokens: rapid.IntRange(0, 120).Draw(t, "held")})
 			}
@@ -151,19 +151,19 @@
 			}
 			usable := len(exclude) == 0 || member.Worker != "0"
 			fits := current.Requests == 0 || current.Tokens+tokens <= member.Memory
-			if usable && fits && current.Requests <= member.Places {
+			if usable && fits && current.Requests <= member.Concurrency {
 				available = true
-				mostFree = max(mostFree, member.Places-current.Requests)
+				mostFree = max(mostFree, member.Concurrency-current.Requests)
 			}
 		}
 		if available && (home != "0" && home != "1" || mostFree > 0) {
-			require.Equal(t, Go, answer.Outcome)
+			require.Equal(t, OutcomeAssigned, answer.Outcome)
 		}
 		if !available {
-			require.NotEqual(t, Go, answer.Outcome)
+			require.NotEqual(t, OutcomeAssigned, answer.Outcome)
 		}
-		if answer.Outcome != Go {
-			require.Equal(t, Wait, answer.Outcome)
+		if answer.Outcome != OutcomeAssigned {
+			require.Equal(t, OutcomeWait, answer.Outcome)
 			require.Positive(t, answer.After)
 			return
 		}
@@ -193,7 +193,7 @@
 		"queue at home, little to read":        {9, 100, "other", ReasonMostFree},
 	} {
 		t.Run(name, func(t *testing.T) {
-			scheduler, now := settledScheduler(Member{Worker: "home", Places: 6}, Member{Worker: "other", Places: 6})
+			scheduler, now := settledScheduler(Member{Worker: "home", Concurrency: 6}, Member{Worker: "other", Concurrency: 6})
 			elsewhere := 5
 			if strings.HasPrefix(name, "all full") {
 				elsewhere = 6
@@ -211,7 +211,7 @@
 // TestReportsReplaceEachOtherAndExpire guards against counting a node twice, against late reports, and
 // against capacity lost to a dead node.
 func TestReportsReplaceEachOtherAndExpire(t *testing.T) {
-	scheduler, now := settledScheduler(Member{Worker: "w", Places: 50})
+	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 50})
 	scheduler.ApplyReport(runningReport("dies", 2, Running{Worker: "w", Requests: 50}), now)
 	require.InDelta(t, 1, scheduler.load.Busy(), 0)
 	scheduler.ApplyReport(runningReport("dies", 1, Running{Worker: "w", Requests: 3}), now)
@@ -230,13 +230,13 @@
 // TestGrantCountsUntilCoveredByReport guards against a granted request that counts twice or not at
 // all. A report made before the answer arrived does not cover the grant.
 func TestGrantCountsUntilCoveredByReport(t *testing.T) {
-	scheduler, now := settledScheduler(Member{Worker: "w", Places: 2})
+	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 2})
 	nodeLoad := NewNodeLoad(Group{})
 	report := nodeLoad.Report("n", now)
 	nodeLoad.QuerySent(report.Sequence)
 	scheduler.ApplyReport(report, now)
 	answer, _ := scheduler.Submit(&Query{From: "n", Sequence: report.Sequence}, now)
-	require.Equal(t, Go, answer.Outcome)
+	require.Equal(t, OutcomeAssigned, answer.Outcome)
 	require.InDelta(t, 0.5, scheduler.load.Busy(), 0)
 	scheduler.ApplyReport(nodeLoad.Report("n", now), now)
 	require.InDelta(t, 0.5, scheduler.load.Busy(), 0, "the answer has not arrived yet")
@@ -261,23 +261,23 @@
 // and of one that received no report for a while.
 func TestUnsettledSchedulerDoesNotDecide(t *testing.T) {
 	scheduler := NewScheduler()
-	scheduler.SetMembers([]Member{{Worker: "w", Places: 2}})
+	scheduler.SetMembers([]Member{{Worker: "w", Concurrency: 2}})
 	now := testStart
 	for range 4 {
 		answer := submit(scheduler, "n", uint64(now.UnixMilli()), Ask{}, now)
-		require.Equal(t, Unknown, answer.Outcome)
+		require.Equal(t, OutcomeUnknown, answer.Outcome)
 		require.Equal(t, ReasonUnsettled, answer.Reason)
 		now = now.Add(settleTime / 4)
 	}
-	require.Equal(t, Go, submit(scheduler, "n", uint64(now.UnixMilli()), Ask{}, now).Outcome)
+	require.Equal(t, OutcomeAssigned, submit(scheduler, "n", uint64(now.UnixMilli()), Ask{}, now).Outcome)
 	now = now.Add(4 * time.Second)
-	require.Equal(t, Unknown, submit(scheduler, "n", uint64(now.UnixMilli()), Ask{}, now).Outcome)
+	require.Equal(t, OutcomeUnknown, submit(scheduler, "n", uint64(now.UnixMilli()), Ask{}, now).Outcome)
 }
 
 // TestQueueOrder guards against a wrong order: least slack first, requests that are late anyway later,
 // and no request starved by later arrivals.
 func TestQueueOrder(t *testing.T) {
-	scheduler, now := settledScheduler(Member{Worker: "w", Places: 1})
+	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 1})
 	full := Running{Worker: "w", Requests: 2}
 	scheduler.ApplyReport(runningReport("busy", 1, full), now)
 	programs := map[string]standing.Program{
@@ -319,7 +319,7 @@
 // TestHomePreferenceDoesNotStarveOthers guards against starving a request without a home worker behind
 // a steady stream of requests whose home worker has capacity.
 func TestHomePreferenceDoesNotStarveOthers(t *testing.T) {
-	scheduler, now := settledScheduler(Member{Worker: "w", Places: 1})
+	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 1})
 	full := Running{Worker: "w", Requests: 2}
 	scheduler.ApplyReport(runningReport("busy", 1, full), now)
 	enqueue := func(from string, sequence uint64, ask Ask) {
@@ -347,18 +347,18 @@
 // TestDecliningWorkerCountsAsFull guards against assigning more requests to a worker that has just
 // declined one.
 func TestDecliningWorkerCountsAsFull(t *testing.T) {
-	scheduler, now := settledScheduler(Member{Worker: "w", Places: 6})
+	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 6})
 	report := runningReport("n", 1)
 	report.Declined = []string{"w"}
 	scheduler.ApplyReport(report, now)
-	require.Equal(t, Wait, submit(scheduler, "m", 1, Ask{}, now).Outcome)
+	require.Equal(t, OutcomeWait, submit(scheduler, "m", 1, Ask{}, now).Outcome)
 	now = now.Add(declineBackoff)
-	require.Equal(t, Go, submit(scheduler, "m", 2, Ask{}, now).Outcome)
+	require.Equal(t, OutcomeAssigned, submit(scheduler, "m", 2, Ask{}, now).Outcome)
 }
 
 // TestRetryAfterFollowsHoldTime guards against retry delays that ignore how fast capacity is freed.
 func TestRetryAfterFollowsHoldTime(t *testing.T) {
-	scheduler, now := settledScheduler(Member{Worker: "w", Places: 4})
+	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 4})
 	report := runningReport("n", 1, Running{Worker: "w", Requests: 5})
 	report.Ended, report.Held = 10, 2*time.Second // 200 ms each, 4 at a time: one ends every 50 ms
 	scheduler.ApplyReport(report, now)
@@ -369,7 +369,7 @@
 
 // TestGroupLoadIsBounded guards against unbounded memory when nodes come and go.
 func TestGroupLoadIsBounded(t *testing.T) {
-	scheduler, now := settledScheduler(Member{Worker: "w", Places: 4})
+	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 4})
 	for index := range 20_000 {
 		now = now.Add(time.Millisecond)
 		scheduler.ApplyReport(runningReport(fmt.Sprint(index), 1, Running{Worker: fmt.Sprint("w", index), Requests: 1}), now)
--- a/internal/room/decide.go
+++ b/internal/room/decide.go
@@ -32,10 +32,10 @@
 	worker, reason := l.chooseWorker(ask, now)
 	answer.Reason = reason
 	if worker != "" {
-		answer.Outcome, answer.Worker = Go, worker
+		answer.Outcome, answer.Worker = OutcomeAssigned, worker
 		return answer
 	}
-	answer.Outcome = Wait
+	answer.Outcome = OutcomeWait
 	answer.After = l.expectedWait(ahead)
 	return answer
 }
@@ -73,7 +73,7 @@
 		if !l.eligible(member.Worker, ask, now) || !l.fits(*member, ask, overcommit) {
 			continue
 		}
-		free := member.Places - l.loads[member.Worker].requests
+		free := member.Concurrency - l.loads[member.Worker].requests
 		if best == nil || free > bestFree || free == bestFree && l.moreFreeMemory(*member, *best) {
 			best, bestFree = member, free
 		}
@@ -109,7 +109,7 @@
 // could take it.
 func (l *GroupLoad) fits(member Member, ask Ask, extra int) bool {
 	current := l.loads[member.Worker]
-	if current.requests >= member.Places+extra {
+	if current.requests >= member.Concurrency+extra {
 		return false
 	}
 	return member.Memory == 0 || current.requests == 0 || current.tokens+ask.Tokens <= member.Memory
@@ -117,8 +117,8 @@
 
 // timeToFree returns the expected time until a worker runs fewer requests than its concurrency limit.
 func (l *GroupLoad) timeToFree(member Member) time.Duration {
-	excess := l.loads[member.Worker].requests - member.Places + 1
-	return time.Duration(max(excess, 0)) * l.meanHoldTime() / time.Duration(max(member.Places, 1))
+	excess := l.loads[member.Worker].requests - member.Concurrency + 1
+	return time.Duration(max(excess, 0)) * l.meanHoldTime() / time.Duration(max(member.Concurrency, 1))
 }
 
 // expectedWait returns the expected time until a worker has capacity for a query with ahead others
--- a/internal/room/desk.go
+++ b/internal/room/desk.go
@@ -52,7 +52,7 @@
 	query.startBy, query.arrived, query.number = startDeadline(query.Ask.Program, now), now, s.submitted
 	ahead := s.queue.ahead(query)
 	answer = s.decide(query, ahead, now)
-	if answer.Outcome != Wait || query.Ask.Patience <= 0 || len(s.queue) >= maxQueued {
+	if answer.Outcome != OutcomeWait || query.Ask.Patience <= 0 || len(s.queue) >= maxQueued {
 		return answer, false
 	}
 	s.queue.insert(query)
@@ -62,7 +62,7 @@
 // decide answers a query with ahead others before it, and records the grant if a worker is assigned.
 func (s *Scheduler) decide(query *Query, ahead int, now time.Time) Answer {
 	answer := s.load.Decide(query.Ask, ahead, now)
-	if answer.Outcome == Go {
+	if answer.Outcome == OutcomeAssigned {
 		s.load.addGrant(query.From, query.Sequence, answer.Worker, query.Ask.Tokens, now)
 	}
 	return answer
@@ -98,7 +98,7 @@
 			continue
 		}
 		answer := s.decide(query, len(remaining), now)
-		if answer.Outcome == Wait {
+		if answer.Outcome == OutcomeWait {
 			remaining = append(remaining, query)
 			continue
 		}
--- a/internal/room/find.go
+++ b/internal/room/find.go
@@ -18,8 +18,8 @@
 	fullTTL = 50 * time.Millisecond
 )
 
-// Wanted describes a request that needs a worker.
-type Wanted struct {
+// PlacementRequest describes a request that needs a worker.
+type PlacementRequest struct {
 	Service string
 	Key     string   // spreads new programs over groups
 	Home    string   // key of the worker that holds its context; empty: none
@@ -27,8 +27,8 @@
 	Tokens  int      // maximum number of tokens in memory
 	Exclude []string // keys of workers that may not get it
 	Program standing.Program
-	// Longest is the maximum time to wait for capacity.
-	Longest time.Duration
+	// MaxWait is the maximum time to wait for capacity.
+	MaxWait time.Duration
 	// Allows reports whether the request may be served in a zone.
 	Allows func(zone string) bool
 }
@@ -38,8 +38,8 @@
 
 // Values of Source.
 const (
-	SourceNone      Source = "none"   // no group: capacity is not tracked, the home worker is in another region, or this zone is not allowed
-	SourceCalm      Source = "calm"   // the load is low or not known yet; no query was sent
+	SourceUntracked Source = "none"   // no group: capacity is not tracked, the home worker is in another region, or this zone is not allowed
+	SourceLocal     Source = "calm"   // the load is low or not known yet; no query was sent
 	SourceKeeper    Source = "keeper" // the group's keeper assigned a worker
 	SourceOtherZone Source = "away"   // the keeper of a group in another zone assigned a worker, since the first group was full
 	SourceFull      Source = "full"   // no keeper had capacity within the maximum wait
@@ -47,51 +47,51 @@
 	SourceNoAnswer  Source = "silent" // no keeper is known, or it did not answer in time
 )
 
-// Found is the result of Find. Without a Place the node chooses a worker from local knowledge.
-type Found struct {
-	Place  *Place
-	Source Source
-	Group  Group
-	Keeper string        // process that was queried last
-	Reason Reason        // reason of the keeper's decision
-	Busy   float64       // utilization of the group, see Answer.Busy; 0 if not known
-	Age    time.Duration // age of Busy; 0 if a query returned it
-	Took   time.Duration // duration of Find
+// Placement is the result of Find. Without a Reservation the node chooses a worker from local knowledge.
+type Placement struct {
+	Reservation *Reservation
+	Source      Source
+	Group       Group
+	Keeper      string        // process that was queried last
+	Reason      Reason        // reason of the keeper's decision
+	Busy        float64       // utilization of the group, see Answer.Busy; 0 if not known
+	Age         time.Duration // age of Busy; 0 if a query returned it
+	Took        time.Duration // duration of Find
 }
 
-// Find looks for a worker for a request. It queries the group's keeper unless the load is low or not
-// known yet. If the group is full, it may query another zone, and waits for up to Wanted.Longest.
-func (r *Reporter) Find(ctx context.Context, wanted Wanted) Found {
+// Reserve looks for a worker for a request. It queries the group's keeper unless the load is low or not
+// known yet. If the group is full, it may query another zone, and waits for up to PlacementRequest.MaxWait.
+func (r *Client) Reserve(ctx context.Context, wanted PlacementRequest) Placement {
 	begun := time.Now()
 	found := r.find(ctx, wanted, begun)
 	found.Took = time.Since(begun)
-	r.options.Count(found)
+	r.options.OnFind(found)
 	return found
 }
 
-func (r *Reporter) find(ctx context.Context, wanted Wanted, begun time.Time) Found {
+func (r *Client) find(ctx context.Context, wanted PlacementRequest, begun time.Time) Placement {
 	group, ok := r.groupFor(wanted)
 	if !ok {
-		return Found{Source: SourceNone}
+		return Placement{Source: SourceUntracked}
 	}
 	found, sufficient := r.localView(group, begun)
 	if sufficient {
 		return found
 	}
 	answer, found := r.ask(ctx, group, wanted, 0)
-	if answer.Outcome != Wait {
+	if answer.Outcome != OutcomeWait {
 		return found
 	}
 	if other, ok := r.tryOtherZone(ctx, group, wanted, answer.After); ok {
 		return other
 	}
 	for {
-		remaining := wanted.Longest - time.Since(begun)
+		remaining := wanted.MaxWait - time.Since(begun)
 		if remaining < minHold || ctx.Err() != nil {
 			return found
 		}
 		answer, found = r.ask(ctx, group, wanted, min(remaining, maxHoldPerQuery))
-		if answer.Outcome != Wait {
+		if answer.Outcome != OutcomeWait {
 			return found
 		}
 	}
@@ -100,10 +100,10 @@
 // groupFor returns the group of the request's home worker, or else a group of this node's zone. ok is
 // false if the home worker is in another region: its keeper does not weigh the cost of the longer
 // path.
-func (r *Reporter) groupFor(wanted Wanted) (Group, bool) {
+func (r *Client) groupFor(wanted PlacementRequest) (Group, bool) {
 	group, ok := r.options.Workers.GroupOf(wanted.Service, wanted.Home)
 	if ok && wanted.Allows(group.Zone) {
-		return group, r.options.Workers.Near(group.Zone)
+		return group, r.options.Workers.InRegion(group.Zone)
 	}
 	if !wanted.Allows(r.options.Zone) {
 		return Group{}, false
@@ -113,14 +113,14 @@
 
 // localView returns what this node knows of a group, and whether that suffices to choose a worker
 // without its keeper.
-func (r *Reporter) localView(group Group, now time.Time) (found Found, sufficient bool) {
+func (r *Client) localView(group Group, now time.Time) (found Placement, sufficient bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	state, ok := r.groups[group]
 	if !ok {
-		return Found{Source: SourceCalm, Group: group}, true
+		return Placement{Source: SourceLocal, Group: group}, true
 	}
-	found = Found{Source: SourceCalm, Group: group, Keeper: state.keeper}
+	found = Placement{Source: SourceLocal, Group: group, Keeper: state.keeper}
 	if busy, age, known := state.Busy(now); known {
 		found.Busy, found.Age = busy, age
 	}
@@ -128,8 +128,8 @@
 }
 
 // ask queries a group's keeper, which may hold the query for up to hold.
-func (r *Reporter) ask(ctx context.Context, group Group, wanted Wanted, hold time.Duration) (Answer, Found) {
-	found := Found{Source: SourceNoAnswer, Group: group}
+func (r *Client) ask(ctx context.Context, group Group, wanted PlacementRequest, hold time.Duration) (Answer, Placement) {
+	found := Placement{Source: SourceNoAnswer, Group: group}
 	keeper, passed, ok := r.options.Slots.keeper(group, r.isSuspected)
 	if !ok {
 		return Answer{}, found
@@ -148,11 +148,11 @@
 	}
 	found.Busy, found.Reason = answer.Busy, answer.Reason
 	switch answer.Outcome {
-	case Go:
+	case OutcomeAssigned:
 		found.Source = SourceKeeper
 		state.BeginGranted(answer.Worker, wanted.Tokens)
-		found.Place = &Place{reporter: r, group: group, worker: answer.Worker, tokens: wanted.Tokens, started: time.Now()}
-	case Unknown:
+		found.Reservation = &Reservation{reporter: r, group: group, worker: answer.Worker, tokens: wanted.Tokens, started: time.Now()}
+	case OutcomeUnknown:
 		found.Source = SourceUnsettled
 	default:
 		found.Source = SourceFull
@@ -162,8 +162,8 @@
 
 // query sends a query to a keeper and waits for the answer. It returns the sequence of the query, 0 if
 // none was sent, and whether the keeper answered.
-func (r *Reporter) query(ctx context.Context, group Group, keeper budget.Holder, passed bool, ask Ask) (Answer, uint64, bool) {
-	timeout := r.options.Patience.Of(keeper.Process, queryTimeout, maxQueryTimeout)
+func (r *Client) query(ctx context.Context, group Group, keeper budget.Holder, passed bool, ask Ask) (Answer, uint64, bool) {
+	timeout := r.options.Patience.For(keeper.Process, queryTimeout, maxQueryTimeout)
 	queryCtx, cancel := context.WithTimeout(ctx, timeout+ask.Patience)
 	defer cancel()
 	request, sequence := r.newRequest(group, keeper, passed, &ask)
@@ -175,21 +175,21 @@
 }
 
 // newAsk returns the description of a request that is sent to a keeper.
-func (r *Reporter) newAsk(wanted Wanted, group Group, hold time.Duration) Ask {
+func (r *Client) newAsk(wanted PlacementRequest, group Group, hold time.Duration) Ask {
 	return Ask{
 		Program:  wanted.Program,
 		Home:     wanted.Home,
 		Fresh:    wanted.Fresh,
 		Tokens:   wanted.Tokens,
-		Exclude:  append(r.options.Workers.Shunned(group), wanted.Exclude...),
+		Exclude:  append(r.options.Workers.Excluded(group), wanted.Exclude...),
 		Patience: hold,
 	}
 }
 
 // tryOtherZone queries the nearest group of another zone that is expected to be faster than waiting
 // for after.
-func (r *Reporter) tryOtherZone(ctx context.Context, group Group, wanted Wanted, after time.Duration) (Found, bool) {
-	for _, zone := range r.options.Workers.Others(wanted.Service, group.Zone) {
+func (r *Client) tryOtherZone(ctx context.Context, group Group, wanted PlacementRequest, after time.Duration) (Placement, bool) {
+	for _, zone := range r.options.Workers.OtherZones(wanted.Service, group.Zone) {
 		cost := 2 * zone.RoundTrip // round trips to its keeper and to its worker
 		if wanted.Home != "" {
 			cost += prefillTime(wanted.Fresh)
@@ -201,17 +201,17 @@
 		if !ok || r.recentlyFull(other) {
 			continue
 		}
-		if answer, found := r.ask(ctx, other, wanted, 0); answer.Outcome == Go {
+		if answer, found := r.ask(ctx, other, wanted, 0); answer.Outcome == OutcomeAssigned {
 			found.Source = SourceOtherZone
 			return found, true
 		}
-		return Found{}, false // at most one query to another zone per request
+		return Placement{}, false // at most one query to another zone per request
 	}
-	return Found{}, false
+	return Placement{}, false
 }
 
 // recentlyFull reports whether the keeper's latest status is recent and showed a full group.
-func (r *Reporter) recentlyFull(group Group) bool {
+func (r *Client) recentlyFull(group Group) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	state, ok := r.groups[group]
--- a/internal/room/group.go
+++ b/internal/room/group.go
@@ -20,9 +20,9 @@
 	Number  int
 }
 
-// Groups returns the number of groups for a zone's workers of a service. It is a power of two, so that
+// GroupCount returns the number of groups for a zone's workers of a service. It is a power of two, so that
 // it seldom changes.
-func Groups(workers int) int {
+func GroupCount(workers int) int {
 	count := 1
 	for count*targetGroupSize < workers {
 		count *= 2
@@ -30,8 +30,8 @@
 	return count
 }
 
-// NumberOf returns the group number for a name: a worker's ID, or the key of a new program.
-func NumberOf(name string, groups int) int {
+// GroupNumber returns the group number for a name: a worker's ID, or the key of a new program.
+func GroupNumber(name string, groups int) int {
 	return int(xxhash.Sum64String(name) % uint64(max(groups, 1)))
 }
 
--- a/internal/room/keeper.go
+++ b/internal/room/keeper.go
@@ -23,29 +23,29 @@
 
 // Experience merges the nodes' samples of worker behavior into verdicts.
 type Experience interface {
-	// Learn adds a node's samples of a group's workers.
-	Learn(group Group, from string, samples []experience.Sample, now time.Time)
+	// Add adds a node's samples of a group's workers.
+	Add(group Group, from string, samples []experience.Sample, now time.Time)
 	// Verdicts returns the merged verdicts on a group's workers.
 	Verdicts(group Group, now time.Time) []experience.Verdict
 }
 
-// KeeperOptions configures a Keeper.
-type KeeperOptions struct {
+// CoordinatorOptions configures a Coordinator.
+type CoordinatorOptions struct {
 	Process string
-	Slots   *Slots
+	Slots   *KeeperResolver
 	// Members returns the workers of a group that may receive requests. ok is false if this process
 	// does not know all of them.
 	Members func(Group) (members []Member, ok bool)
 	// Experience is optional.
 	Experience Experience
-	// Count is called with each answer to a query.
-	Count  func(Outcome, Reason)
-	Logger log.Interface
+	// OnAnswer is called with each answer to a query.
+	OnAnswer func(Outcome, Reason)
+	Logger   log.Interface
 }
 
-// Keeper runs the schedulers of the groups for which other nodes consider this process the keeper.
-type Keeper struct {
-	options KeeperOptions
+// Coordinator runs the schedulers of the groups for which other nodes consider this process the keeper.
+type Coordinator struct {
+	options CoordinatorOptions
 
 	mutex      sync.Mutex
 	schedulers map[Group]*groupScheduler
@@ -59,15 +59,15 @@
 	lastUsed time.Time
 }
 
-// NewKeeper returns a Keeper without groups.
-func NewKeeper(options KeeperOptions) *Keeper {
-	return &Keeper{options: options, schedulers: map[Group]*groupScheduler{}}
+// NewCoordinator returns a Coordinator without groups.
+func NewCoordinator(options CoordinatorOptions) *Coordinator {
+	return &Coordinator{options: options, schedulers: map[Group]*groupScheduler{}}
 }
 
 // Answer handles a request of a node. It blocks while the query is held. Keeper is false in the
 // answer if this process is not the group's keeper, does not know all of its workers or keeps too many
 // groups.
-func (k *Keeper) Answer(ctx context.Context, request Request) Answer {
+func (k *Coordinator) Answer(ctx context.Context, request Request) Answer {
 	group := request.Report.Group
 	if !k.isKeeperFor(request) {
 		return Answer{}
@@ -83,19 +83,19 @@
 		answer = k.await(ctx, group, query, answers)
 	}
 	if request.Ask != nil {
-		k.options.Count(answer.Outcome, answer.Reason)
+		k.options.OnAnswer(answer.Outcome, answer.Reason)
 	}
 	answer.Avoid = verdicts
 	return answer
 }
 
 // mergeSamples adds a node's samples and returns the merged verdicts on the group's workers.
-func (k *Keeper) mergeSamples(report Report, now time.Time) []experience.Verdict {
+func (k *Coordinator) mergeSamples(report Report, now time.Time) []experience.Verdict {
 	if k.options.Experience == nil {
 		return nil
 	}
 	if len(report.Learnt) > 0 {
-		k.options.Experience.Learn(report.Group, report.From, report.Learnt, now)
+		k.options.Experience.Add(report.Group, report.From, report.Learnt, now)
 	}
 	return k.options.Experience.Verdicts(report.Group, now)
 }
@@ -115,8 +115,8 @@
 	return remaining
 }
 
-// Busy returns the utilization of a group; 0 if it is not kept here.
-func (k *Keeper) Busy(group Group) float64 {
+// Utilization returns the utilization of a group; 0 if it is not kept here.
+func (k *Coordinator) Utilization(group Group) float64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if scheduler, ok := k.schedulers[group]; ok {
@@ -127,7 +127,7 @@
 
 // isKeeperFor reports whether the request is addressed to this process, and this process keeps the
 // group or replaces a keeper that the sender could not reach.
-func (k *Keeper) isKeeperFor(request Request) bool {
+func (k *Coordinator) isKeeperFor(request Request) bool {
 	if request.Process != k.options.Process {
 		return false
 	}
@@ -140,7 +140,7 @@
 
 // handle applies a report, and answers its query or queues it. A queued query is returned with the
 // channel for its answer.
-func (k *Keeper) handle(request Request, members []Member, now time.Time) (Answer, *Query, <-chan Answer) {
+func (k *Coordinator) handle(request Request, members []Member, now time.Time) (Answer, *Query, <-chan Answer) {
 	report := request.Report
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -164,7 +164,7 @@
 }
 
 // await waits until a query is resolved, its hold time is over or the sender has canceled.
-func (k *Keeper) await(ctx context.Context, group Group, query *Query, answers <-chan Answer) Answer {
+func (k *Coordinator) await(ctx context.Context, group Group, query *Query, answers <-chan Answer) Answer {
 	timer := time.NewTimer(min(query.Ask.Patience, maxHold))
 	defer timer.Stop()
 	select {
@@ -180,7 +180,7 @@
 }
 
 // withdraw removes a held query. ok is false if it is already resolved.
-func (k *Keeper) withdraw(group Group, query *Query) (answer Answer, ok bool) {
+func (k *Coordinator) withdraw(group Group, query *Query) (answer Answer, ok bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	scheduler, known := k.schedulers[group]
@@ -207,7 +207,7 @@
 
 // scheduler returns the scheduler of a group, creating it if needed; nil if there are too many. The
 // caller holds the mutex.
-func (k *Keeper) scheduler(group Group, now time.Time) *groupScheduler {
+func (k *Coordinator) scheduler(group Group, now time.Time) *groupScheduler {
 	k.sweep(now)
 	scheduler, ok := k.schedulers[group]
 	if !ok {
@@ -223,7 +223,7 @@
 }
 
 // sweep removes the schedulers that nodes do not use any more. The caller holds the mutex.
-func (k *Keeper) sweep(now time.Time) {
+func (k *Coordinator) sweep(now time.Time) {
 	if now.Sub(k.lastSweep) < schedulerTTL/4 {
 		return
 	}
@@ -237,8 +237,8 @@
 	})
 }
 
-// Kept returns the number of groups kept by this process and of queries held.
-func (k *Keeper) Kept() (groups, waiting int) {
+// Stats returns the number of groups kept by this process and of queries held.
+func (k *Coordinator) Stats() (groups, waiting int) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	for _, scheduler := range k.schedulers {
--- a/internal/room/play_test.go
+++ b/internal/room/play_test.go
@@ -114,7 +114,7 @@
 		s.schedulers = append(s.schedulers, NewScheduler())
 		var members []Member
 		for index := zone; index < simWorkers; index += simZones {
-			members = append(members, Member{Worker: fmt.Sprint(index), Places: simConcurrency})
+			members = append(members, Member{Worker: fmt.Sprint(index), Concurrency: simConcurrency})
 		}
 		s.schedulers[zone].SetMembers(members)
 	}
@@ -268,7 +268,7 @@
 			if answer.Settled {
 				nodeLoad.SetBusy(answer.Busy, s.now)
 			}
-			if answer.Outcome != Go {
+			if answer.Outcome != OutcomeAssigned {
 				s.strategy = localOnly
 				index := s.chooseLocally(turn, exclude)
 				s.strategy = keeperAssigned
@@ -286,7 +286,7 @@
 		answer, held := scheduler.Submit(query, s.now)
 		if held {
 			if s.zoneHasCapacity(zone) && slices.ContainsFunc(scheduler.load.members, func(m Member) bool {
-				return scheduler.load.loads[m.Worker].requests < m.Places && !slices.Contains(exclude, m.Worker) && !s.now.Before(scheduler.load.declined[m.Worker])
+				return scheduler.load.loads[m.Worker].requests < m.Concurrency && !slices.Contains(exclude, m.Worker) && !s.now.Before(scheduler.load.declined[m.Worker])
 			}) {
 				s.heldDespiteCapacity++
 			}
--- a/internal/room/reporter.go
+++ b/internal/room/reporter.go
@@ -35,24 +35,24 @@
 	Room(ctx context.Context, keeper budget.Holder, request Request) (Answer, error)
 }
 
-// Workers maps workers to groups. ok is false if the group is not known, or if capacity is not tracked
+// GroupResolver maps workers to groups. ok is false if the group is not known, or if capacity is not tracked
 // for the service.
-type Workers interface {
+type GroupResolver interface {
 	// GroupOf returns the group of a worker, given its key.
 	GroupOf(service, worker string) (group Group, ok bool)
 	// GroupIn returns the group of a zone for a new program, given the program's key.
 	GroupIn(service, zone, key string) (group Group, ok bool)
-	// Others returns the other zones of the region in which workers of a service may get requests,
+	// OtherZones returns the other zones of the region in which workers of a service may get requests,
 	// nearest first.
-	Others(service, zone string) []Distant
-	// Near reports whether a zone is in this node's region.
-	Near(zone string) bool
-	// Shunned returns the workers of a group that this node has just seen fail or decline a request.
-	Shunned(group Group) []string
+	OtherZones(service, zone string) []RemoteZone
+	// InRegion reports whether a zone is in this node's region.
+	InRegion(zone string) bool
+	// Excluded returns the workers of a group that this node has just seen fail or decline a request.
+	Excluded(group Group) []string
 }
 
-// Distant is another zone and the round-trip time to it.
-type Distant struct {
+// RemoteZone is another zone and the round-trip time to it.
+type RemoteZone struct {
 	Zone      string
 	RoundTrip time.Duration
 }
@@ -66,29 +66,29 @@
 	NoteVerdicts(verdicts []experience.Verdict)
 }
 
-// ReporterOptions configures a Reporter.
-type ReporterOptions struct {
+// ClientOptions configures a Client.
+type ClientOptions struct {
 	Self    budget.Holder
 	Zone    string
-	Slots   *Slots
+	Slots   *KeeperResolver
 	Peers   Peers
-	Workers Workers
+	Workers GroupResolver
 	// Patience is the observed response times of other nodes; nil: unknown.
-	Patience wait.Patience
-	Keeper   *Keeper // the keeper of this process
+	Patience wait.TimeoutFunc
+	Keeper   *Coordinator // the keeper of this process
 	// Learner is optional.
 	Learner Learner
-	// Count is called with the result of each Find. Told is called after each report without a query;
+	// OnFind is called with the result of each Find. Told is called after each report without a query;
 	// heard is whether a keeper accepted it.
-	Count  func(Found)
-	Told   func(heard bool)
-	Logger log.Interface
+	OnFind   func(Placement)
+	OnReport func(heard bool)
+	Logger   log.Interface
 }
 
-// Reporter reports this node's running requests to the keepers of their groups, and queries them for
+// Client reports this node's running requests to the keepers of their groups, and queries them for
 // workers.
-type Reporter struct {
-	options ReporterOptions
+type Client struct {
+	options ClientOptions
 	wake    chan struct{} // signals Run that a report may be due
 
 	mutex    sync.Mutex
@@ -104,14 +104,14 @@
 	samples   []experience.Sample
 }
 
-// NewReporter returns a Reporter without running requests. Run has to be started.
-func NewReporter(options ReporterOptions) *Reporter {
-	return &Reporter{options: options, wake: make(chan struct{}, 1), groups: map[Group]*groupState{}, suspects: suspects{}}
+// NewClient returns a Client without running requests. Run has to be started.
+func NewClient(options ClientOptions) *Client {
+	return &Client{options: options, wake: make(chan struct{}, 1), groups: map[Group]*groupState{}, suspects: suspects{}}
 }
 
-// Begin counts a request at a worker until the Place is ended. It returns nil if capacity is not
+// Begin counts a request at a worker until the Reservation is ended. It returns nil if capacity is not
 // tracked there, or if this node tracks too many groups.
-func (r *Reporter) Begin(service, worker string, tokens int) *Place {
+func (r *Client) Begin(service, worker string, tokens int) *Reservation {
 	group, ok := r.options.Workers.GroupOf(service, worker)
 	if !ok {
 		return nil
@@ -124,11 +124,11 @@
 		return nil
 	}
 	state.Begin(worker, tokens)
-	return &Place{reporter: r, group: group, worker: worker, tokens: tokens, started: time.Now()}
+	return &Reservation{reporter: r, group: group, worker: worker, tokens: tokens, started: time.Now()}
 }
 
 // wakeRun makes Run check for due reports. It does not block.
-func (r *Reporter) wakeRun() {
+func (r *Client) wakeRun() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -136,7 +136,7 @@
 }
 
 // end removes the request of a place from the load.
-func (r *Reporter) end(place *Place) {
+func (r *Client) end(place *Reservation) {
 	defer r.wakeRun()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -146,7 +146,7 @@
 }
 
 // declined records that the worker of a place declined its request.
-func (r *Reporter) declined(place *Place) {
+func (r *Client) declined(place *Reservation) {
 	defer r.wakeRun()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -157,7 +157,7 @@
 
 // groupState returns the state of a group, creating it if needed; nil if there are too many. The
 // caller holds the mutex.
-func (r *Reporter) groupState(group Group) *groupState {
+func (r *Client) groupState(group Group) *groupState {
 	state, ok := r.groups[group]
 	if !ok && len(r.groups) < maxGroups {
 		state = &groupState{NodeLoad: NewNodeLoad(group)}
@@ -167,7 +167,7 @@
 }
 
 // Run sends due reports until ctx ends.
-func (r *Reporter) Run(ctx context.Context) {
+func (r *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		due, next := r.due(time.Now())
 		for _, group := range due {
@@ -185,7 +185,7 @@
 
 // due returns the groups for which a report is due, and removes idle groups. next is the time until
 // the next check.
-func (r *Reporter) due(now time.Time) (due []Group, next time.Duration) {
+func (r *Client) due(now time.Time) (due []Group, next time.Duration) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	next = reportTick
@@ -209,15 +209,15 @@
 
 // sendReport sends a report to a group's keeper. A suspected keeper is probed in this way once its
 // backoff is over.
-func (r *Reporter) sendReport(ctx context.Context, group Group) {
+func (r *Client) sendReport(ctx context.Context, group Group) {
 	keeper, passed, ok := r.options.Slots.keeper(group, r.inBackoff)
 	var answer Answer
 	if ok {
-		ctx, cancel := context.WithTimeout(ctx, r.options.Patience.Of(keeper.Process, reportTimeout, maxReportTimeout))
+		ctx, cancel := context.WithTimeout(ctx, r.options.Patience.For(keeper.Process, reportTimeout, maxReportTimeout))
 		defer cancel()
 		request, _ := r.newRequest(group, keeper, passed, nil)
 		answer, ok = r.send(ctx, group, keeper, request, true)
-		r.options.Told(ok && answer.Keeper)
+		r.options.OnReport(ok && answer.Keeper)
 	}
 	defer r.wakeRun()
 	r.mutex.Lock()
@@ -234,7 +234,7 @@
 
 // newRequest returns a request for a keeper and the sequence of its report; 0 if this node tracks too
 // many groups.
-func (r *Reporter) newRequest(group Group, keeper budget.Holder, passed bool, ask *Ask) (request Request, sequence uint64) {
+func (r *Client) newRequest(group Group, keeper budget.Holder, passed bool, ask *Ask) (request Request, sequence uint64) {
 	samples := r.collectSamples(group)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -253,7 +253,7 @@
 
 // send sends a request to a keeper and handles the answer. ok is false if the keeper did not answer.
 // conclusive says that one missing answer suffices to suspect it.
-func (r *Reporter) send(ctx context.Context, group Group, keeper budget.Holder, request Request, conclusive bool) (answer Answer, ok bool) {
+func (r *Client) send(ctx context.Context, group Group, keeper budget.Holder, request Request, conclusive bool) (answer Answer, ok bool) {
 	if keeper.Process == r.options.Self.Process {
 		answer = r.options.Keeper.Answer(ctx, request)
 	} else {
@@ -269,9 +269,9 @@
 }
 
 // handleAnswer updates the state of the group and of the keeper from an answer.
-func (r *Reporter) handleAnswer(group Group, keeper budget.Holder, answer Answer) {
+func (r *Client) handleAnswer(group Group, keeper budget.Holder, answer Answer) {
 	if !answer.Keeper {
-		r.options.Slots.Owners.Doubt()
+		r.options.Slots.Owners.RequestRefresh()
 	}
 	if r.options.Learner != nil && len(answer.Avoid) > 0 {
 		r.options.Learner.NoteVerdicts(answer.Avoid)
@@ -288,7 +288,7 @@
 
 // handleError records a missing answer. A canceled request says nothing about the keeper. A keeper
 // that does not know the method runs an older version and will never answer.
-func (r *Reporter) handleError(ctx context.Context, keeper budget.Holder, conclusive bool, err error) {
+func (r *Client) handleError(ctx context.Context, keeper budget.Holder, conclusive bool, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
@@ -300,13 +300,13 @@
 	}
 }
 
-func (r *Reporter) isSuspected(process string) bool {
+func (r *Client) isSuspected(process string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.suspects.suspected(process)
 }
 
-func (r *Reporter) inBackoff(process string) bool {
+func (r *Client) inBackoff(process string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.suspects.inBackoff(process, time.Now())
@@ -314,7 +314,7 @@
 
 // collectSamples returns the samples of a group's workers that have not been sent yet. Samples of
 // other groups of the service stay until their next report, up to targetGroupSize per group.
-func (r *Reporter) collectSamples(group Group) []experience.Sample {
+func (r *Client) collectSamples(group Group) []experience.Sample {
 	if r.options.Learner == nil {
 		return nil
 	}
@@ -339,8 +339,8 @@
 	return pending
 }
 
-// Holds returns the number of running requests that this node counts.
-func (r *Reporter) Holds() (count int) {
+// RunningRequests returns the number of running requests that this node counts.
+func (r *Client) RunningRequests() (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, state := range r.groups {
@@ -351,10 +351,10 @@
 	return count
 }
 
-// Busy returns the mean utilization of a service's groups in which this node has state, as their
+// Utilization returns the mean utilization of a service's groups in which this node has state, as their
 // keepers last reported it, and the age of the oldest value. Values older than longest are ignored;
 // known is false if none is left.
-func (r *Reporter) Busy(service string, longest time.Duration) (busy float64, age time.Duration, known bool) {
+func (r *Client) Utilization(service string, longest time.Duration) (busy float64, age time.Duration, known bool) {
 	now := time.Now()
 	count := 0
 	r.mutex.Lock()
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -73,10 +73,10 @@
 
 // Values of Outcome.
 const (
-	Unknown Outcome = iota // the keeper cannot decide; the node chooses a worker itself
-	Go                     // send the request to Answer.Worker
-	Wait                   // no capacity now; ask again after Answer.After
-	Refuse                 // no capacity in time; retry after Answer.After
+	OutcomeUnknown  Outcome = iota // the keeper cannot decide; the node chooses a worker itself
+	OutcomeAssigned                // send the request to Answer.Worker
+	OutcomeWait                    // no capacity now; ask again after Answer.After
+	OutcomeRefuse                  // no capacity in time; retry after Answer.After
 )
 
 // String returns the name of the outcome in metrics and log lines.
@@ -89,8 +89,8 @@
 type Answer struct {
 	Keeper  bool // the receiver is the group's keeper
 	Outcome Outcome
-	Worker  string        // worker key, with Go
-	After   time.Duration // with Wait and Refuse
+	Worker  string        // worker key, with OutcomeAssigned
+	After   time.Duration // with OutcomeWait and OutcomeRefuse
 	Reason  Reason        // why the keeper decided so; for logs and metrics
 	// Busy is the utilization of the group: running requests as a share of the workers' concurrency
 	// limits, above 1 if requests queue at workers. It is valid only if Settled, which says that all
--- a/internal/room/slots.go
+++ b/internal/room/slots.go
@@ -13,16 +13,16 @@
 	// Owner returns the owner of a slot, and whether it may be contacted: it is known and has not just
 	// failed to answer. An unknown owner is empty.
 	Owner(slot int) (budget.Holder, bool)
-	// Doubt records that another process disagrees on the ownership of slots.
-	Doubt()
+	// RequestRefresh records that another process disagrees on the ownership of slots.
+	RequestRefresh()
 }
 
-// Slots resolves the keeper of each group: the owner of a directory slot in the region of the group's
+// KeeperResolver resolves the keeper of each group: the owner of a directory slot in the region of the group's
 // workers.
-type Slots struct {
-	Layout directory.Layout
-	Places *locality.Map
-	Owners SlotOwners
+type KeeperResolver struct {
+	Layout     directory.Layout
+	Localities *locality.ZoneMap
+	Owners     SlotOwners
 
 	ranked sync.Map // cache of slotsFor: Group -> []int
 }
@@ -31,7 +31,7 @@
 // in the group's zone, in the order of its ranked slots, or else the first in another zone. Processes
 // for which skip is true are skipped. passed reports that a process of higher rank was skipped or does
 // not answer. ok is false if there is no such owner.
-func (s *Slots) keeper(group Group, skip func(process string) bool) (keeper budget.Holder, passed, ok bool) {
+func (s *KeeperResolver) keeper(group Group, skip func(process string) bool) (keeper budget.Holder, passed, ok bool) {
 	for _, slot := range s.slotsFor(group) {
 		owner, answering := s.Owners.Owner(slot)
 		sameZone := locality.ZoneOf(owner.Process) == group.Zone
@@ -49,11 +49,11 @@
 }
 
 // slotsFor returns the slots whose owners may keep a group, best first.
-func (s *Slots) slotsFor(group Group) []int {
+func (s *KeeperResolver) slotsFor(group Group) []int {
 	if cached, ok := s.ranked.Load(group); ok {
 		return cached.([]int)
 	}
-	ranked := group.rankSlots(s.Layout.Of(s.Places.Region(group.Zone)))
+	ranked := group.rankSlots(s.Layout.SlotsOf(s.Localities.Region(group.Zone)))
 	s.ranked.Store(group, ranked)
 	return ranked
 }
--- a/internal/room/world_test.go
+++ b/internal/room/world_test.go
@@ -42,9 +42,9 @@
 type testNode struct {
 	cluster  *testCluster
 	self     budget.Holder
-	keeper   *Keeper
-	reporter *Reporter
-	found    []Found
+	keeper   *Coordinator
+	reporter *Client
+	found    []Placement
 	samples  sampleRecorder
 }
 
@@ -59,17 +59,17 @@
 		process := locality.ProcessName("z", fmt.Sprint("n", index), "1")
 		c.nodes = append(c.nodes, &testNode{cluster: c, self: budget.Holder{Process: process, Address: process}})
 	}
-	c.owners = make([]budget.Holder, directory.Layout{}.Count())
+	c.owners = make([]budget.Holder, directory.Layout{}.SlotCount())
 	for slot := range c.owners {
 		c.owners[slot] = c.nodes[slot%2].self
 	}
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	for _, node := range c.nodes {
-		slots := &Slots{Owners: node}
-		node.keeper = NewKeeper(KeeperOptions{Process: node.self.Process, Slots: slots, Members: node.members, Experience: &c.merged, Count: func(Outcome, Reason) {}, Logger: logger})
-		node.reporter = NewReporter(ReporterOptions{
+		slots := &KeeperResolver{Owners: node}
+		node.keeper = NewCoordinator(CoordinatorOptions{Process: node.self.Process, Slots: slots, Members: node.members, Experience: &c.merged, OnAnswer: func(Outcome, Reason) {}, Logger: logger})
+		node.reporter = NewClient(ClientOptions{
 			Self: node.self, Zone: "z", Slots: slots, Peers: node, Workers: node, Keeper: node.keeper, Learner: &node.samples,
-			Count: func(found Found) { node.found = append(node.found, found) }, Told: func(bool) {}, Logger: logger,
+			OnFind: func(found Placement) { node.found = append(node.found, found) }, OnReport: func(bool) {}, Logger: logger,
 		})
 		go node.reporter.Run(t.Context())
 	}
@@ -86,7 +86,7 @@
 
 func (n *testNode) Owner(slot int) (budget.Holder, bool) { return n.cluster.owners[slot], true }
 
-func (n *testNode) Doubt() {
+func (n *testNode) RequestRefresh() {
 	n.cluster.mutex.Lock()
 	defer n.cluster.mutex.Unlock()
 	n.cluster.doubts++
@@ -96,16 +96,16 @@
 	n.cluster.mutex.Lock()
 	defer n.cluster.mutex.Unlock()
 	for _, worker := range n.cluster.workers {
-		members = append(members, Member{Worker: worker, Places: testConcurrency})
+		members = append(members, Member{Worker: worker, Concurrency: testConcurrency})
 	}
 	return members, true
 }
 
 func (n *testNode) GroupOf(_, worker string) (Group, bool) { return testGroup, worker != "" }
 func (n *testNode) GroupIn(_, _, _ string) (Group, bool)   { return testGroup, true }
-func (n *testNode) Others(_, _ string) []Distant           { return nil }
-func (n *testNode) Near(string) bool                       { return true }
-func (n *testNode) Shunned(Group) []string                 { return nil }
+func (n *testNode) OtherZones(_, _ string) []RemoteZone    { return nil }
+func (n *testNode) InRegion(string) bool                   { return true }
+func (n *testNode) Excluded(Group) []string                { return nil }
 func (c *testCluster) setState(states map[string]bool, of int, to bool) {
 	c.withLock(func() { states[c.process(of)] = to })
 }
@@ -133,7 +133,7 @@
 	if unknown {
 		return Answer{}, fault.New(fault.Invalid, "unknown peer method", "run the same version on all nodes")
 	}
-	if err := wait.For(ctx, n.cluster.hop); err != nil {
+	if err := wait.Sleep(ctx, n.cluster.hop); err != nil {
 		return Answer{}, err
 	}
 	index := slices.IndexFunc(n.cluster.nodes, func(other *testNode) bool { return other.self == keeper })
@@ -141,25 +141,25 @@
 		return Answer{}, errors.New("no such node")
 	}
 	answer := n.cluster.nodes[index].keeper.Answer(ctx, request)
-	if err := wait.For(ctx, n.cluster.hop); err != nil {
+	if err := wait.Sleep(ctx, n.cluster.hop); err != nil {
 		return Answer{}, err
 	}
 	return answer, nil
 }
 
 // find asks for a worker and falls back to the first one if none is assigned.
-func (n *testNode) find(wanted Wanted) (Found, *Place) {
+func (n *testNode) find(wanted PlacementRequest) (Placement, *Reservation) {
 	wanted.Service = "s"
 	wanted.Allows = func(string) bool { return true }
-	found := n.reporter.Find(n.cluster.t.Context(), wanted)
-	if found.Place != nil {
-		return found, found.Place
+	found := n.reporter.Reserve(n.cluster.t.Context(), wanted)
+	if found.Reservation != nil {
+		return found, found.Reservation
 	}
 	return found, n.reporter.Begin("s", n.cluster.workers[0], 0)
 }
 
 // beginRequests starts requests on a node, spread over the workers.
-func (n *testNode) beginRequests(requests int) (places []*Place) {
+func (n *testNode) beginRequests(requests int) (places []*Reservation) {
 	for index := range requests {
 		places = append(places, n.reporter.Begin("s", n.cluster.workers[index%len(n.cluster.workers)], 0))
 	}
@@ -179,11 +179,11 @@
 	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
 		c.nodes[2].beginRequests(4)
 		settle()
-		found, place := c.nodes[2].find(Wanted{})
-		require.Equal(t, SourceCalm, found.Source)
+		found, place := c.nodes[2].find(PlacementRequest{})
+		require.Equal(t, SourceLocal, found.Source)
 		require.Zero(t, found.Took)
 		require.InDelta(t, 0.25, found.Busy, 0)
-		place.End()
+		place.Release()
 	})
 }
 
@@ -194,11 +194,11 @@
 		c.nodes[2].beginRequests(15) // of 16; the last worker has 3 requests
 		settle()
 		c.nodes[3].beginRequests(0)
-		found, place := c.nodes[3].find(Wanted{})
-		require.Equal(t, SourceCalm, found.Source, "no status received yet")
-		place.End()
+		found, place := c.nodes[3].find(PlacementRequest{})
+		require.Equal(t, SourceLocal, found.Source, "no status received yet")
+		place.Release()
 		settle()
-		found, place = c.nodes[3].find(Wanted{})
+		found, place = c.nodes[3].find(PlacementRequest{})
 		require.Equal(t, SourceKeeper, found.Source)
 		require.Equal(t, "w3", place.Worker())
 		require.LessOrEqual(t, found.Took, 2*c.hop)
@@ -213,10 +213,10 @@
 		c.nodes[3].beginRequests(1)
 		settle()
 		begun := time.Now()
-		time.AfterFunc(50*time.Millisecond, func() { places[0].End(); places[1].End() })
-		found, _ := c.nodes[3].find(Wanted{Longest: 400 * time.Millisecond})
+		time.AfterFunc(50*time.Millisecond, func() { places[0].Release(); places[1].Release() })
+		found, _ := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
 		require.Equal(t, SourceKeeper, found.Source)
-		require.Equal(t, "w0", found.Place.Worker())
+		require.Equal(t, "w0", found.Reservation.Worker())
 		require.LessOrEqual(t, time.Since(begun), 50*time.Millisecond+reportDelayBusy+2*reportTick+4*c.hop)
 	})
 }
@@ -228,10 +228,10 @@
 		c.nodes[3].beginRequests(1)
 		settle()
 		for _, longest := range []time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond} {
-			found, place := c.nodes[3].find(Wanted{Longest: longest})
+			found, place := c.nodes[3].find(PlacementRequest{MaxWait: longest})
 			require.Equal(t, SourceFull, found.Source)
 			require.LessOrEqual(t, found.Took, longest+10*c.hop)
-			place.End()
+			place.Release()
 		}
 	})
 }
@@ -245,14 +245,14 @@
 		settle()
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
-		found := c.nodes[3].reporter.Find(ctx, Wanted{Service: "s", Longest: 400 * time.Millisecond, Allows: func(string) bool { return true }})
-		require.Nil(t, found.Place)
+		found := c.nodes[3].reporter.Reserve(ctx, PlacementRequest{Service: "s", MaxWait: 400 * time.Millisecond, Allows: func(string) bool { return true }})
+		require.Nil(t, found.Reservation)
 		require.LessOrEqual(t, found.Took, 21*time.Millisecond)
 		for _, place := range append(places, others...) {
-			place.End()
+			place.Release()
 		}
 		time.Sleep(grantTTL + 100*time.Millisecond)
-		require.Zero(t, c.nodes[c.keeperIndex()].keeper.Busy(testGroup))
+		require.Zero(t, c.nodes[c.keeperIndex()].keeper.Utilization(testGroup))
 	})
 }
 
@@ -284,9 +284,9 @@
 				settle()
 				keeper := c.keeperIndex()
 				failure.start(c, keeper)
-				ask := func() Found {
-					found, place := c.nodes[3].find(Wanted{Longest: 400 * time.Millisecond})
-					place.End()
+				ask := func() Placement {
+					found, place := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
+					place.Release()
 					time.Sleep(30 * time.Millisecond)
 					return found
 				}
@@ -294,7 +294,7 @@
 				for begun := time.Now(); time.Since(begun) < time.Second; {
 					found := ask()
 					waited += found.Took
-					require.Contains(t, []Source{SourceKeeper, SourceNoAnswer, SourceUnsettled, SourceCalm}, found.Source)
+					require.Contains(t, []Source{SourceKeeper, SourceNoAnswer, SourceUnsettled, SourceLocal}, found.Source)
 				}
 				require.LessOrEqual(t, waited, missesToSuspect*queryTimeout+time.Second/10)
 				for begun := time.Now(); time.Since(begun) < 3*time.Second; {
@@ -305,7 +305,7 @@
 					}
 					require.Equal(t, SourceKeeper, found.Source, "after %v", time.Since(begun))
 					require.NotEqual(t, c.process(keeper), found.Keeper)
-					require.Equal(t, "w3", found.Place.Worker())
+					require.Equal(t, "w3", found.Reservation.Worker())
 				}
 				if failure.stop == nil {
 					return
@@ -317,7 +317,7 @@
 				found := ask()
 				require.Equal(t, SourceKeeper, found.Source)
 				require.Equal(t, c.process(keeper), found.Keeper, "the recovered process must be keeper again")
-				require.Equal(t, "w3", found.Place.Worker())
+				require.Equal(t, "w3", found.Reservation.Worker())
 			})
 		})
 	}
@@ -339,13 +339,13 @@
 		settle()
 		for range 20 {
 			for index := 2; index < 6; index++ {
-				found, place := c.nodes[index].find(Wanted{Longest: 100 * time.Millisecond})
+				found, place := c.nodes[index].find(PlacementRequest{MaxWait: 100 * time.Millisecond})
 				require.LessOrEqual(t, found.Took, 100*time.Millisecond+10*c.hop)
-				place.End()
+				place.Release()
 			}
 			time.Sleep(30 * time.Millisecond)
 		}
-		last := func(index int) Found { return c.nodes[index].found[len(c.nodes[index].found)-1] }
+		last := func(index int) Placement { return c.nodes[index].found[len(c.nodes[index].found)-1] }
 		require.Equal(t, c.process(first), last(2).Keeper)
 		require.Equal(t, c.process(second), last(3).Keeper)
 
@@ -365,8 +365,8 @@
 		settle()
 		settle()
 		busy := func() float64 {
-			found, place := c.nodes[3].find(Wanted{})
-			place.End()
+			found, place := c.nodes[3].find(PlacementRequest{})
+			place.Release()
 			return found.Busy
 		}
 		require.Greater(t, busy(), 0.9)
@@ -384,14 +384,14 @@
 		c.nodes[3].beginRequests(1)  // w0 has one more
 		settle()
 		settle()
-		found, place := c.nodes[3].find(Wanted{})
-		require.Equal(t, "w2", found.Place.Worker())
-		place.End()
+		found, place := c.nodes[3].find(PlacementRequest{})
+		require.Equal(t, "w2", found.Reservation.Worker())
+		place.Release()
 		c.withLock(func() { c.workers[0] = "w0@2" })
 		time.Sleep(100 * time.Millisecond)
-		found, place = c.nodes[3].find(Wanted{Home: "w0"})
-		require.Equal(t, "w0@2", found.Place.Worker())
-		place.End()
+		found, place = c.nodes[3].find(PlacementRequest{Home: "w0"})
+		require.Equal(t, "w0@2", found.Reservation.Worker())
+		place.Release()
 	})
 }
 
@@ -410,7 +410,7 @@
 	what()
 }
 
-func (s *sampleRecorder) Learn(_ Group, _ string, samples []experience.Sample, _ time.Time) {
+func (s *sampleRecorder) Add(_ Group, _ string, samples []experience.Sample, _ time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.learnt = append(s.learnt, samples...)
@@ -453,8 +453,8 @@
 		c.merged.withLock(func() { require.Len(t, c.merged.learnt, 1) })
 		node.withLock(func() { require.Equal(t, c.merged.avoid, node.verdicts) })
 		for range 4 {
-			found, _ := c.nodes[3].find(Wanted{Exclude: []string{"w0"}})
-			require.NotEqual(t, "w3", found.Place.Worker())
+			found, _ := c.nodes[3].find(PlacementRequest{Exclude: []string{"w0"}})
+			require.NotEqual(t, "w3", found.Reservation.Worker())
 		}
 	})
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -45,9 +45,9 @@
 	MaxAttempts int              // maximum number of workers that run a request; at least 1
 	Sticky      bool             // prefer workers that have served the same object before
 	Resumable   bool             // an interrupted stream may continue at another worker
-	Retain      bool             // turns of a conversation are stored and may be continued
+	StoreTurns  bool             // turns of a conversation are stored and may be continued
 	Retention   time.Duration    // how long turns are stored
-	Open        bool             // no API key required
+	NoAPIKey    bool             // no API key required
 	Regions     locality.Regions // where requests may be served, forwarded and stored; nil: everywhere
 	Targets     []Target
 
@@ -107,13 +107,13 @@
 type Service struct {
 	Name           string
 	MaxConnections int  // per worker, from all nodes together
-	Model          bool // workers run a language model
+	LanguageModel  bool // workers run a language model
 	TokensPerEvent int  // number of tokens per stream event
-	Places         int  // requests that a worker runs at once; 0: unknown
-	Memory         int  // tokens that a worker holds for running requests and caches; 0: unknown
-	// ColdPerSecond is the maximum rate of requests to a cold worker, from all nodes together; 0:
+	MaxConcurrency int  // requests that a worker runs at once; 0: unknown
+	MemoryTokens   int  // tokens that a worker holds for running requests and caches; 0: unknown
+	// ColdRequestsPerSecond is the maximum rate of requests to a cold worker, from all nodes together; 0:
 	// no special limit.
-	ColdPerSecond float64
+	ColdRequestsPerSecond float64
 	// ColdStart is how long a worker stays cold after its start.
 	ColdStart time.Duration
 	// HealthPath is the path of a worker's health check; empty: none.
@@ -189,9 +189,9 @@
 	}
 }
 
-// LessUrgent returns the next higher number, and so the next less urgent priority, among the routes
+// NextLowerPriority returns the next higher number, and so the next less urgent priority, among the routes
 // to a service; ok is false if there is none.
-func (c *Configuration) LessUrgent(service string, priority int) (next int, ok bool) {
+func (c *Configuration) NextLowerPriority(service string, priority int) (next int, ok bool) {
 	priorities := c.priorities[service]
 	index, found := slices.BinarySearch(priorities, priority)
 	if found {
@@ -203,22 +203,22 @@
 	return priorities[index], true
 }
 
-// WithTenants sets the tenants and returns c. It must be called before c is in use.
-func (c *Configuration) WithTenants(tenants *tenant.Registry) *Configuration {
+// SetTenants sets the tenants and returns c. It must be called before c is in use.
+func (c *Configuration) SetTenants(tenants *tenant.Registry) *Configuration {
 	c.Tenants = tenants
 	return c
 }
 
-// Len returns the number of routes.
-func (c *Configuration) Len() int { return c.routes }
+// RouteCount returns the number of routes.
+func (c *Configuration) RouteCount() int { return c.routes }
 
-// Targeted returns the services with a positive weight in any route.
-func (c *Configuration) Targeted() []string { return c.targetServices }
+// TargetServices returns the services with a positive weight in any route.
+func (c *Configuration) TargetServices() []string { return c.targetServices }
 
-// Meters reports whether any service limits the request rate of cold workers.
-func (c *Configuration) Meters() bool {
+// LimitsColdWorkers reports whether any service limits the request rate of cold workers.
+func (c *Configuration) LimitsColdWorkers() bool {
 	for _, service := range c.Services {
-		if service.ColdPerSecond > 0 {
+		if service.ColdRequestsPerSecond > 0 {
 			return true
 		}
 	}
--- a/internal/server/cold.go
+++ b/internal/server/cold.go
@@ -23,20 +23,20 @@
 // how long a worker stays cold unless its record says otherwise.
 func (v *verifier) coldPolicy(name string) (limited bool, start time.Duration) {
 	service := v.service(name)
-	return service.ColdPerSecond > 0, service.ColdStart
+	return service.ColdRequestsPerSecond > 0, service.ColdStart
 }
 
 // coldLimit returns the request limit for cold workers of a service.
-func (v *verifier) coldLimit(name string) warmup.Bearing {
-	return warmup.Bearing{
-		PerSecond: v.service(name).ColdPerSecond,
+func (v *verifier) coldLimit(name string) warmup.ColdCapacity {
+	return warmup.ColdCapacity{
+		PerSecond: v.service(name).ColdRequestsPerSecond,
 		Overage:   v.options.Settings.ColdOverage,
 		Slack:     v.options.Settings.ColdSlack,
 	}
 }
 
 // handleColdLending registers the handler for requests to cold workers.
-func (p *peers) handleColdLending(lender *warmup.Lender) {
+func (p *peers) handleColdLending(lender *warmup.Allocator) {
 	peer.Handle(p.mux, methodLendCold, func(_ context.Context, request warmup.Request) (warmup.Answer, error) {
 		return lender.Answer(request), nil
 	})
--- a/internal/server/content_test.go
+++ b/internal/server/content_test.go
@@ -24,9 +24,9 @@
 	unknown := budget.Holder{Process: "n3/03", Address: "nameless"}
 	var asked []string
 	network := peer.NewMemoryNetwork()
-	network.SetJudge(func(_, to peer.Address, _ string) peer.Verdict {
+	network.SetFaultInjector(func(_, to peer.Address, _ string) peer.InjectedFault {
 		asked = append(asked, string(to))
-		return peer.Verdict{}
+		return peer.InjectedFault{}
 	})
 	for _, holder := range []budget.Holder{inside, outside, unknown} {
 		mux := peer.NewMux()
@@ -40,7 +40,7 @@
 	calls := map[string]func(context.Context){
 		"a chain": func(ctx context.Context) {
 			for _, holder := range []budget.Holder{inside, outside, unknown} {
-				_, err := client.Chain(ctx, holder, "t")
+				_, err := client.History(ctx, holder, "t")
 				require.NoError(t, err)
 			}
 		},
@@ -62,10 +62,10 @@
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
 			asked = nil
-			call(locality.WithContent(t.Context(), locality.Regions{"a"}))
+			call(locality.WithContentRegions(t.Context(), locality.Regions{"a"}))
 			require.Equal(t, []string{"inside"}, asked)
 			asked = nil
-			call(locality.WithContent(t.Context(), locality.Regions{}))
+			call(locality.WithContentRegions(t.Context(), locality.Regions{}))
 			require.Empty(t, asked, "no region is allowed")
 			call(t.Context())
 			require.Greater(t, len(asked), 1)
@@ -74,15 +74,15 @@
 }
 
 // newUncountedTransport returns a transport that counts no messages.
-func newUncountedTransport(transport peer.Transport, places *locality.Map) *meteredTransport {
-	return &meteredTransport{Transport: transport, vantage: locality.Vantage{Places: places}, count: func(locality.Distance, int, int) {}}
+func newUncountedTransport(transport peer.Transport, places *locality.ZoneMap) *meteredTransport {
+	return &meteredTransport{Transport: transport, vantage: locality.Location{Zones: places}, count: func(locality.Distance, int, int) {}}
 }
 
 // newRelayClient returns a client whose second candidate answered last.
-func newRelayClient(transport peer.Transport, places *locality.Map, candidates ...budget.Holder) *relayClient {
+func newRelayClient(transport peer.Transport, places *locality.ZoneMap, candidates ...budget.Holder) *relayClient {
 	return &relayClient{
 		transport:  newUncountedTransport(transport, places),
-		vantage:    locality.Vantage{Places: places},
+		vantage:    locality.Location{Zones: places},
 		lastHelper: candidates[1], countCall: func() {},
 		candidates: func() []budget.Holder { return append([]budget.Holder(nil), candidates...) },
 		timeout:    func() time.Duration { return time.Second },
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -12,16 +12,16 @@
 
 // components are the parts of a node that requests use besides the forwarder and the worker list.
 type components struct {
-	budgets    *budget.Book
-	history    *history.Keeper
+	budgets    *budget.Accounts
+	history    *history.TurnStore
 	directory  *directory.Directory // nil: the node runs without peers
-	neighbours forward.Neighbours   // nil likewise
+	neighbours forward.HistoryPeers // nil likewise
 	// store is the shared store, called directly or through other nodes.
 	store relayedStore
 	// limits enforces the request limits of tenants; nil if the node runs without peers.
-	limits forward.Limits
+	limits forward.RateLimiter
 	// allowance limits requests to cold workers; nil likewise.
-	allowance forward.Allowance
+	allowance forward.WarmupLimiter
 	// room finds workers with free capacity; nil likewise.
 	room *roomTracker
 }
@@ -37,15 +37,15 @@
 	relayed := store.NewRelayed(gate, relay, options.Logger)
 	dir := directory.New(directory.Options{
 		Store: gate, Self: self, Peers: client, Patience: client.timeout, Vantage: vantage, Logger: options.Logger,
-		LentFor: max(options.Settings.Limits.Window, warmup.LentFor),
-		Grants:  client, CountGrant: options.Metrics.Grant,
+		PermitDuration: max(options.Settings.LimitTolerance.Window, warmup.UnsettledPeriod),
+		Grants:         client, CountGrant: options.Metrics.Grant,
 	})
-	options.Metrics.RegisterGrantGauges(dir.GrantRights)
+	options.Metrics.RegisterGrantGauges(dir.CountGrantableSlots)
 	peers.transport.owners = dir.Owners
-	budgets := budget.NewBook(budget.Options{
+	budgets := budget.NewAccounts(budget.Options{
 		Store: relayed, Self: self, Peers: client, Patience: client.timeout, Locator: dir, Granter: dir, Vantage: vantage,
 	})
-	relay.candidates = func() []budget.Holder { return withRemoteOwners(vantage, budgets.Met(), dir.Owners()) }
+	relay.candidates = func() []budget.Holder { return withRemoteOwners(vantage, budgets.RecentPeers(), dir.Owners()) }
 	historyOptions := options.historyOptions(relayed)
 	historyOptions.Together = newGatherWriter(options, relayed, peers, dir)
 	turns := history.New(historyOptions)
@@ -62,7 +62,7 @@
 // newStandaloneComponents returns the components of a node that runs without peers.
 func newStandaloneComponents(options Options, gate *store.Gate) components {
 	return components{
-		budgets: budget.NewBook(budget.Options{Store: gate, Self: options.self()}),
+		budgets: budget.NewAccounts(budget.Options{Store: gate, Self: options.self()}),
 		history: history.New(options.historyOptions(gate)),
 		store:   gate,
 	}
@@ -70,38 +70,38 @@
 
 // newTenantLimits returns the borrower of tenants' request limits, and serves as lender to other
 // nodes.
-func newTenantLimits(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.Limits {
+func newTenantLimits(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.RateLimiter {
 	vantage := options.Settings.vantage()
-	layout := directory.NewLayout(vantage.Places)
-	lender := quota.NewLender(quota.LenderOptions{
-		Leases: dir, Layout: layout, Tolerance: options.Settings.Limits,
+	layout := directory.NewLayout(vantage.Zones)
+	lender := quota.NewAllocator(quota.AllocatorOptions{
+		Leases: dir, Layout: layout, Tolerance: options.Settings.LimitTolerance,
 		LimitOf: verifier.limitOf, Proof: verifier.fresh.Proof,
 	})
 	peers.handleProofsAndLimits(lender, verifier)
-	return quota.NewBorrower(quota.BorrowerOptions{
-		Self: options.self(), Layout: layout, Region: vantage.Region(), Owners: dir,
-		Peers: peers.client, Patience: peers.client.timeout, Lender: lender,
-		Learn: verifier.adoptProof, Count: options.Metrics.LimitAnswer,
+	return quota.NewClient(quota.ClientOptions{
+		Self: options.self(), Layout: layout, Region: vantage.OwnRegion(), Owners: dir,
+		Peers: peers.client, ResponseTimes: peers.client.timeout, Allocator: lender,
+		OnProof: verifier.adoptProof, OnOutcome: options.Metrics.LimitAnswer,
 	})
 }
 
 // newColdAllowance returns the borrower of requests to cold workers, and serves as lender to
 // other nodes.
-func newColdAllowance(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.Allowance {
-	places := options.Settings.Places
+func newColdAllowance(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.WarmupLimiter {
+	places := options.Settings.Regions
 	slots := warmup.Slots{Layout: directory.NewLayout(places), Places: places}
-	lender := warmup.NewLender(dir, slots, verifier.coldLimit)
+	lender := warmup.NewAllocator(dir, slots, verifier.coldLimit)
 	peers.handleColdLending(lender)
-	return warmup.NewBorrower(warmup.BorrowerOptions{
+	return warmup.NewClient(warmup.ClientOptions{
 		Self: options.self(), Slots: slots, Owners: dir,
-		Peers: peers.client, Patience: peers.client.timeout, Lender: lender,
-		Count: options.Metrics.ColdAnswer,
+		Peers: peers.client, ResponseTimes: peers.client.timeout, Allocator: lender,
+		OnOutcome: options.Metrics.ColdAnswer,
 	})
 }
 
 // self returns the process name and address by which other nodes call this one.
 func (o Options) self() budget.Holder {
-	return budget.Holder{Process: o.Process, Address: o.Settings.Peers}
+	return budget.Holder{Process: o.Process, Address: o.Settings.PeerAddress}
 }
 
 // historyOptions returns the options of the history keeper, which stores turns in the given
@@ -110,6 +110,6 @@
 	return history.Options{
 		Store:      table,
 		CacheBytes: int(o.Settings.MemoryBytes / historyMemoryDivisor),
-		Region:     o.Settings.Places.Region(o.Settings.Zone),
+		Region:     o.Settings.Regions.Region(o.Settings.Zone),
 	}
 }
--- a/internal/server/evacuations.go
+++ b/internal/server/evacuations.go
@@ -13,7 +13,7 @@
 // newEvacuationBoard returns the board of evacuated zones, which logs and counts each change.
 // reopened is called for each zone that is no longer evacuated, and returns how many of its
 // workers are assumed to be cold.
-func newEvacuationBoard(options Options, reopened func(zone string, revision store.Version) (cold int)) *evacuation.Board {
+func newEvacuationBoard(options Options, reopened func(zone string, revision store.Version) (cold int)) *evacuation.Tracker {
 	return evacuation.New(func(change evacuation.Change) {
 		cold := 0
 		if !change.Evacuated {
@@ -32,8 +32,8 @@
 
 // replaceOperatorRows applies a complete read of the operator's rows. A zone without a row is no
 // longer evacuated.
-func (s *Server) replaceOperatorRows(read follow.Reading) {
-	s.evacuations.Whole(read.Version, s.evacuationOrders(read.Rows))
+func (s *Server) replaceOperatorRows(read follow.Snapshot) {
+	s.evacuations.ApplyFullRead(read.Version, s.evacuationOrders(read.Rows))
 	s.applyConfigurations(read.Rows)
 }
 
@@ -42,7 +42,7 @@
 // before it serves.
 func (s *Server) applyOperatorRows(rows []store.Row) {
 	for _, order := range s.evacuationOrders(rows) {
-		s.evacuations.Hear(order, evacuation.FromTable)
+		s.evacuations.Apply(order, evacuation.FromStore)
 	}
 	if s.evacuations.Known() {
 		s.applyConfigurations(rows)
@@ -50,13 +50,13 @@
 }
 
 // evacuationOrders returns the evacuation orders that the rows contain.
-func (s *Server) evacuationOrders(rows []store.Row) (orders []evacuation.Word) {
+func (s *Server) evacuationOrders(rows []store.Row) (orders []evacuation.ZoneState) {
 	if s.options.Records.Evacuation == nil {
 		return nil
 	}
 	for _, row := range rows {
 		if zone, ok := s.options.Records.Evacuation(row); ok {
-			orders = append(orders, evacuation.Word{Zone: zone, Evacuated: !row.Gone, Revision: row.Version})
+			orders = append(orders, evacuation.ZoneState{Zone: zone, Evacuated: !row.Gone, Revision: row.Version})
 		}
 	}
 	return orders
@@ -70,7 +70,7 @@
 // again; 0: as soon as the feed delivers them.
 func (s Settings) maxOperatorStaleness() time.Duration {
 	if s.EvacuateWithin == 0 {
-		return s.Fresh
+		return s.MaxStaleness
 	}
-	return min(s.Fresh, time.Duration(operatorStalenessRatio*float64(s.EvacuateWithin)))
+	return min(s.MaxStaleness, time.Duration(operatorStalenessRatio*float64(s.EvacuateWithin)))
 }
--- a/internal/server/evacuations_test.go
+++ b/internal/server/evacuations_test.go
@@ -19,7 +19,7 @@
 	configuration, evacuated := row("configuration", 3), row("evacuated", 4)
 	s := New(Options{
 		Store: storetest.New(),
-		Records: Records{
+		Records: RowDecoders{
 			Configuration: func(row store.Row) (*route.Configuration, bool, error) {
 				return route.New(1, nil, nil, route.Limits{}), row.Name == configuration.Name, nil
 			},
@@ -30,7 +30,7 @@
 	})
 	s.applyOperatorRows([]store.Row{configuration})
 	require.Nil(t, s.forwarder.Configuration())
-	s.replaceOperatorRows(follow.Reading{Rows: []store.Row{configuration, evacuated}, Version: 5, Whole: true})
+	s.replaceOperatorRows(follow.Snapshot{Rows: []store.Row{configuration, evacuated}, Version: 5, Whole: true})
 	require.NotNil(t, s.forwarder.Configuration())
 	require.True(t, s.Evacuated("a"))
 	gone := row(evacuated.Name, 6)
--- a/internal/server/experiencemetrics.go
+++ b/internal/server/experiencemetrics.go
@@ -32,18 +32,18 @@
 		"worker": change.Worker,
 		"group":  group.String(),
 		"reason": string(change.Reason),
-		"share":  truncateHundredths(change.Share),
-		"weight": truncateHundredths(change.Weight),
+		"share":  truncateHundredths(change.FailureRate),
+		"weight": truncateHundredths(change.Requests),
 		"nodes":  change.Nodes,
-		"busy":   truncateHundredths(change.Busy),
+		"busy":   truncateHundredths(change.Utilization),
 	}
-	if change.Out {
-		fields["wait_ms"] = change.Wait.Milliseconds()
+	if change.Ejected {
+		fields["wait_ms"] = change.TrialDelay.Milliseconds()
 		logger.WithFields(fields).Warnf("worker %s", change.Event())
 		return
 	}
-	fields["lasted_ms"] = change.Lasted.Milliseconds()
-	m.ejectedFor.Observe(change.Lasted.Seconds())
+	fields["lasted_ms"] = change.EjectedFor.Milliseconds()
+	m.ejectedFor.Observe(change.EjectedFor.Seconds())
 	logger.WithFields(fields).Infof("worker %s", change.Event())
 }
 
--- a/internal/server/experiencemetrics_test.go
+++ b/internal/server/experiencemetrics_test.go
@@ -24,9 +24,9 @@
 	handler := memory.New()
 	logger := &log.Logger{Handler: handler, Level: log.InfoLevel}
 	for _, change := range []experience.Change{
-		{Worker: "w@1", Out: true, Reason: experience.Failing, Share: 0.456, Weight: 20.5, Nodes: 9, Wait: time.Second, Busy: 0.5},
-		{Worker: "w@1", Out: true, Reason: experience.Tried, Wait: 2 * time.Second},
-		{Worker: "w@1", Reason: experience.Sound, Lasted: 3 * time.Second},
+		{Worker: "w@1", Ejected: true, Reason: experience.TooManyFailures, FailureRate: 0.456, Requests: 20.5, Nodes: 9, TrialDelay: time.Second, Utilization: 0.5},
+		{Worker: "w@1", Ejected: true, Reason: experience.TrialFailed, TrialDelay: 2 * time.Second},
+		{Worker: "w@1", Reason: experience.TrialsSucceeded, EjectedFor: 3 * time.Second},
 	} {
 		metrics.RecordDecision(logger, groupName("s/a/0"), change)
 	}
--- a/internal/server/finder.go
+++ b/internal/server/finder.go
@@ -36,7 +36,7 @@
 )
 
 // workerFinder finds workers in a list of which this node keeps only a part. It implements
-// forward.Finder.
+// forward.WorkerFinder.
 type workerFinder struct {
 	workers     *backend.Registry
 	follower    *follow.Follower
@@ -73,24 +73,24 @@
 	return true
 }
 
-// NoteShort implements forward.Finder. It makes the kept part of the worker list grow.
-func (f *workerFinder) NoteShort() { f.workerMissing.Store(true) }
+// NoteNoCapacity implements forward.WorkerFinder. It makes the kept part of the worker list grow.
+func (f *workerFinder) NoteNoCapacity() { f.workerMissing.Store(true) }
 
-// Worker implements forward.Finder. It reads the record of an unknown worker from the store.
-func (f *workerFinder) Worker(ctx context.Context, key string) {
+// LoadWorker implements forward.WorkerFinder. It reads the record of an unknown worker from the store.
+func (f *workerFinder) LoadWorker(ctx context.Context, key string) {
 	id := backend.IDOf(key)
-	if f.workers.Knows(id) || f.follower.Whole() || f.gate.Suspect() {
+	if f.workers.HasID(id) || f.follower.Whole() || f.gate.Suspect() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	rows, err := f.follower.Ask(ctx, id, id+"\x00", 1)
+	rows, err := f.follower.Fetch(ctx, id, id+"\x00", 1)
 	f.countResult("worker", len(rows), err)
 }
 
-// Keepers implements forward.Finder. It returns the IDs of the workers that are assigned to hold a
+// PrefixWorkers implements forward.WorkerFinder. It returns the IDs of the workers that are assigned to hold a
 // prompt prefix; nil if the whole list is kept, or if they are unknown.
-func (f *workerFinder) Keepers(ctx context.Context, prefix string) []string {
+func (f *workerFinder) PrefixWorkers(ctx context.Context, prefix string) []string {
 	if f.follower.Whole() {
 		return nil
 	}
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	rows, err := f.follower.AskAt(ctx, prefix, prefixHolderLimit)
+	rows, err := f.follower.FetchAt(ctx, prefix, prefixHolderLimit)
 	f.countResult("keepers", len(rows), err)
 	if err != nil {
 		return nil
@@ -116,7 +116,7 @@
 	if !ok || time.Since(cached.foundAt) > prefixHolderTTL {
 		return nil
 	}
-	remaining := slices.DeleteFunc(slices.Clone(cached.ids), func(id string) bool { return !f.workers.Knows(id) })
+	remaining := slices.DeleteFunc(slices.Clone(cached.ids), func(id string) bool { return !f.workers.HasID(id) })
 	if len(remaining) < minPrefixHolders {
 		return nil
 	}
--- a/internal/server/gather.go
+++ b/internal/server/gather.go
@@ -11,32 +11,32 @@
 
 // newGatherWriter returns the writer of turn rows, which batches them with the rows of other
 // nodes. It also registers this node as a gatherer for other nodes.
-func newGatherWriter(options Options, relayed *store.Relayed, peers *peers, dir *directory.Directory) *gather.Writer {
+func newGatherWriter(options Options, relayed *store.RelayedStore, peers *peers, dir *directory.Directory) *gather.Writer {
 	vantage := options.Settings.vantage()
-	slots := gather.Slots{Layout: directory.NewLayout(vantage.Places), Region: vantage.Region()}
-	pace := gather.Pace{Writes: options.Settings.TableWrites, Groups: slots.Groups(), Across: options.Settings.TableAcross}
-	gatherer := gather.NewGatherer(gather.GathererOptions{
-		Process: options.Process,
-		Owns:    slots.Owned(dir.Owns),
-		Store:   relayed,
-		Lost:    relayed.Lost,
-		Region:  vantage.Region(),
-		Pace:    pace,
-		Bytes:   int(options.Settings.MemoryBytes / gatherMemoryDivisor),
-		Meter:   options.Metrics,
-		Logger:  options.Logger,
+	slots := gather.Slots{Layout: directory.NewLayout(vantage.Zones), Region: vantage.OwnRegion()}
+	pace := gather.CommitLimit{PerSecond: options.Settings.StoreWritesPerSecond, Groups: slots.Groups(), CrossPartition: options.Settings.CrossPartTransactions}
+	gatherer := gather.NewCommitter(gather.CommitterOptions{
+		Process:          options.Process,
+		Owns:             slots.OwnsGroup(dir.Owns),
+		Store:            relayed,
+		TableUnreachable: relayed.Unreachable,
+		Region:           vantage.OwnRegion(),
+		Limit:            pace,
+		MaxPendingBytes:  int(options.Settings.MemoryBytes / gatherMemoryDivisor),
+		Meter:            options.Metrics,
+		Logger:           options.Logger,
 	})
 	peers.handleGather(gatherer)
 	return gather.NewWriter(gather.WriterOptions{
 		Process: options.Process, Slots: slots, Owners: dir,
-		Peers: peers.client, Patience: peers.client.timeout, Gatherer: gatherer,
-		ThrottledSince: relayed.ThrottledSince, Pace: pace, Nodes: func() int { return 1 + len(dir.Owners()) },
+		Peers: peers.client, Patience: peers.client.timeout, Committer: gatherer,
+		ThrottledSince: relayed.ThrottledSince, Limit: pace, Nodes: func() int { return 1 + len(dir.Owners()) },
 		Meter: options.Metrics, Logger: options.Logger,
 	})
 }
 
 // handleGather registers the handler for turn rows sent by other nodes.
-func (p *peers) handleGather(gatherer *gather.Gatherer) {
+func (p *peers) handleGather(gatherer *gather.Committer) {
 	peer.Handle(p.mux, methodGather, func(ctx context.Context, request gather.Request) (gather.Answer, error) {
 		return gatherer.Answer(ctx, request), nil
 	})
--- a/internal/server/gather_metrics.go
+++ b/internal/server/gather_metrics.go
@@ -8,7 +8,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/gather"
 )
 
-var _ gather.Meter = (*Metrics)(nil)
+var _ gather.Metrics = (*Metrics)(nil)
 
 // registerGatherMetrics registers the metrics of batched row writes.
 func (m *Metrics) registerGatherMetrics() {
@@ -19,8 +19,8 @@
 	m.Registry.MustRegister(m.gatherCalls, m.gatherRows, m.gatherWait, m.gatherRequests)
 }
 
-// GatherCall implements gather.Meter.
-func (m *Metrics) GatherCall(rows int, taken bool) {
+// RecordCommit implements gather.Metrics.
+func (m *Metrics) RecordCommit(rows int, taken bool) {
 	label := "no"
 	if taken {
 		label = "yes"
@@ -29,10 +29,10 @@
 	m.gatherRows.Observe(float64(rows))
 }
 
-// GatherWait implements gather.Meter.
-func (m *Metrics) GatherWait(waited time.Duration) { m.gatherWait.Observe(waited.Seconds()) }
+// RecordWait implements gather.Metrics.
+func (m *Metrics) RecordWait(waited time.Duration) { m.gatherWait.Observe(waited.Seconds()) }
 
-// GatherAsk implements gather.Meter.
-func (m *Metrics) GatherAsk(outcome gather.Outcome) {
+// RecordForward implements gather.Metrics.
+func (m *Metrics) RecordForward(outcome gather.Outcome) {
 	m.gatherRequests.WithLabelValues(string(outcome)).Inc()
 }
--- a/internal/server/guards.go
+++ b/internal/server/guards.go
@@ -18,7 +18,7 @@
 
 // Guards detect silent connections of a node, by kind of peer.
 type Guards struct {
-	Nodes, Table, Workers, Clients silence.Guard
+	Nodes, Store, Workers, Clients silence.Guard
 }
 
 // NewGuards returns the guards for a node with these settings.
@@ -26,9 +26,9 @@
 	guard := func(kind string, limits silence.Limits) silence.Guard {
 		var once sync.Once
 		return silence.Guard{
-			Limits:  limits,
-			GivenUp: metrics.silentConnections.WithLabelValues(kind).Inc,
-			Unguarded: func(err error) {
+			Limits:           limits,
+			OnDeadConnection: metrics.silentConnections.WithLabelValues(kind).Inc,
+			OnOptionError: func(err error) {
 				once.Do(func() {
 					logger.WithError(err).WithField("kind", kind).
 						Warn("cannot set the silence timeout of a connection, so a silent peer may go undetected; check which TCP options the kernel supports")
@@ -36,10 +36,10 @@
 			},
 		}
 	}
-	fresh, grace := settings.Fresh, settings.Grace
+	fresh, grace := settings.MaxStaleness, settings.ShutdownGrace
 	return Guards{
 		Nodes:   guard(kindNode, silence.ForNodes(fresh)),
-		Table:   guard(kindTable, silence.ForTable(fresh)),
+		Store:   guard(kindTable, silence.ForTable(fresh)),
 		Workers: guard(kindWorker, silence.ForWorkers(fresh)),
 		Clients: guard(kindClient, silence.ForClients(fresh, grace)),
 	}
--- a/internal/server/isolation.go
+++ b/internal/server/isolation.go
@@ -28,9 +28,9 @@
 	switch {
 	case !p.outsideFailureDomain(target):
 	case err == nil:
-		p.isolation.Answered(time.Now())
+		p.isolation.RecordReply(time.Now())
 	case !errors.Is(err, context.Canceled):
-		p.isolation.Missed(time.Now())
+		p.isolation.RecordMiss(time.Now())
 	}
 }
 
@@ -38,30 +38,30 @@
 // single zone every process does.
 func (p *peers) outsideFailureDomain(holder budget.Holder) bool {
 	vantage := p.transport.vantage
-	return vantage.To(holder.Zone()) != locality.SameZone || vantage.Places.Zones() <= 1
+	return vantage.DistanceTo(holder.Zone()) != locality.SameZone || vantage.Zones.ZoneCount() <= 1
 }
 
-// IsIsolated reports whether the node can reach neither the store, directly or through other
+// Isolated reports whether the node can reach neither the store, directly or through other
 // nodes, nor any node outside its failure domain.
-func (s *Server) IsIsolated() bool { return s.isolated.Load() }
+func (s *Server) Isolated() bool { return s.isolated.Load() }
 
-// SendsAway reports whether clients should reconnect to another node, because this one is
+// RedirectsClients reports whether clients should reconnect to another node, because this one is
 // draining or isolated.
-func (s *Server) SendsAway() bool { return s.Draining() || s.IsIsolated() }
+func (s *Server) RedirectsClients() bool { return s.Draining() || s.Isolated() }
 
 // monitorIsolation updates the isolation state until ctx ends.
 func (s *Server) monitorIsolation(ctx context.Context) {
 	var lastProbe time.Time // time of the last store probe
-	for wait.For(ctx, isolationCheckInterval) == nil {
+	for wait.Sleep(ctx, isolationCheckInterval) == nil {
 		now := time.Now()
-		if s.peers.isolation.InDoubt(now) {
+		if s.peers.isolation.NeedsProbe(now) {
 			go s.probeRemotePeer(ctx)
 		}
-		if s.peers.isolation.Silent() && now.Sub(lastProbe) >= storeProbeInterval {
+		if s.peers.isolation.PeersUnreachable() && now.Sub(lastProbe) >= storeProbeInterval {
 			lastProbe = now
 			go s.probeStore(ctx)
 		}
-		s.setIsolated(s.peers.isolation.Isolated(s.store.Lost(), now))
+		s.setIsolated(s.peers.isolation.Isolated(s.store.Unreachable(), now))
 	}
 }
 
@@ -84,8 +84,8 @@
 	if len(owners) == 0 {
 		return
 	}
-	if !s.peers.isolation.Silent() {
-		owners = locality.Near(s.peers.transport.vantage, owners, budget.Holder.Zone) // avoids calls to other regions unless no peer answers
+	if !s.peers.isolation.PeersUnreachable() {
+		owners = locality.PreferOwnRegion(s.peers.transport.vantage, owners, budget.Holder.Zone) // avoids calls to other regions unless no peer answers
 	}
 	answer, sent, err := s.verifier.requestProof(ctx, owners[rand.IntN(len(owners))])
 	if err == nil {
@@ -105,6 +105,6 @@
 // relayedStore is the shared store, called directly or through other nodes.
 type relayedStore interface {
 	store.Store
-	// Lost reports whether the last calls failed, both directly and through other nodes.
-	Lost() bool
+	// Unreachable reports whether the last calls failed, both directly and through other nodes.
+	Unreachable() bool
 }
--- a/internal/server/knowledge.go
+++ b/internal/server/knowledge.go
@@ -51,13 +51,13 @@
 // While the node's own feed of the operator's rows is lost, it also fetches evacuated zones from
 // another node.
 type verifier struct {
-	fresh       *freshness.Keeper
+	fresh       *freshness.Tracker
 	options     Options
 	server      *Server
 	store       store.Store
 	directory   *directory.Directory
 	peerClient  *peerClient // nil: the node runs without peers
-	evacuations *evacuation.Board
+	evacuations *evacuation.Tracker
 	// operatorFeedLost reports that the node's own feed of the operator's rows gets no answer
 	// from the store.
 	operatorFeedLost atomic.Bool
@@ -73,7 +73,7 @@
 	queries       queryState
 }
 
-func newVerifier(options Options, evacuations *evacuation.Board) *verifier {
+func newVerifier(options Options, evacuations *evacuation.Tracker) *verifier {
 	return &verifier{fresh: freshness.New(options.Settings.RevokeWithin), options: options, evacuations: evacuations}
 }
 
@@ -94,7 +94,7 @@
 	}
 	v.mutex.Unlock()
 	if current := v.server.forwarder.Configuration(); current != nil && current.Version >= configuration.Version {
-		v.fresh.InForce(row.Version)
+		v.fresh.SetActive(row.Version)
 	}
 }
 
@@ -125,12 +125,12 @@
 // cold workers.
 func (v *verifier) needed() bool {
 	configuration := v.server.forwarder.Configuration()
-	return configuration != nil && (configuration.Tenants != nil || configuration.Meters())
+	return configuration != nil && (configuration.Tenants != nil || configuration.LimitsColdWorkers())
 }
 
 // run renews the proofs until ctx ends.
 func (v *verifier) run(ctx context.Context) {
-	for wait.For(ctx, verifyInterval/2+rand.N(verifyInterval)) == nil {
+	for wait.Sleep(ctx, verifyInterval/2+rand.N(verifyInterval)) == nil {
 		if v.operatorFeedLost.Load() && time.Since(v.lastPeerRequest) > feedLostInterval {
 			v.requestFromPeer(ctx)
 		}
@@ -168,7 +168,7 @@
 // proofOlderThan reports whether the freshness proof is missing or older than the given ratio of
 // the bound.
 func (v *verifier) proofOlderThan(ratio float64) bool {
-	bound := v.fresh.Bound()
+	bound := v.fresh.MaxAge()
 	proof := v.fresh.Proof()
 	return bound > 0 && (proof.Revision == 0 || proof.Age > time.Duration(ratio*float64(bound)))
 }
@@ -198,9 +198,9 @@
 		return
 	}
 	if conflict == nil {
-		v.directory.Proven(claims, sent)
+		v.directory.ConfirmClaims(claims, sent)
 	} else {
-		v.directory.Disproven(claims, conflict, sent)
+		v.directory.HandleConflict(claims, conflict, sent)
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -217,7 +217,7 @@
 	if row.Version > v.currentRow().Version {
 		v.server.applyConfigurations([]store.Row{row})
 	}
-	v.fresh.Prove(row.Version, sent)
+	v.fresh.AddProof(row.Version, sent)
 }
 
 // adoptProof adopts the proof of another node, received for a request that was sent at the given
@@ -225,7 +225,7 @@
 // than it is.
 func (v *verifier) adoptProof(proof freshness.Proof, sent time.Time) {
 	if proof.Revision != 0 {
-		v.fresh.Prove(proof.Revision, sent.Add(-proof.Age))
+		v.fresh.AddProof(proof.Revision, sent.Add(-proof.Age))
 	}
 }
 
@@ -256,7 +256,7 @@
 	}
 	owners := v.directory.Owners()
 	if len(owners) == 0 {
-		owners = v.server.budgets.Met()
+		owners = v.server.budgets.RecentPeers()
 	}
 	if len(owners) == 0 || time.Since(v.lastPeerRequest) < peerRequestInterval {
 		return false
@@ -266,7 +266,7 @@
 	had := v.fresh.Proof().Revision != 0
 	answer, sent, err := v.requestProof(ctx, v.choosePeer(owners))
 	if err == nil {
-		v.evacuations.Learn(answer.Evacuations) // evacuations apply regardless of the age of the proof
+		v.evacuations.Merge(answer.Evacuations) // evacuations apply regardless of the age of the proof
 	}
 	v.lastPeerFailed = err != nil || answer.Proof.Revision == 0
 	if v.lastPeerFailed {
@@ -284,7 +284,7 @@
 // returned no proof.
 func (v *verifier) choosePeer(owners []budget.Holder) budget.Holder {
 	if !v.lastPeerFailed {
-		owners = locality.Near(v.options.Settings.vantage(), owners, budget.Holder.Zone)
+		owners = locality.PreferOwnRegion(v.options.Settings.vantage(), owners, budget.Holder.Zone)
 	}
 	return owners[rand.IntN(len(owners))]
 }
@@ -298,7 +298,7 @@
 }
 
 // handleProofsAndLimits registers the handlers for proof requests and for tenants' limits.
-func (p *peers) handleProofsAndLimits(lender *quota.Lender, verifier *verifier) {
+func (p *peers) handleProofsAndLimits(lender *quota.Allocator, verifier *verifier) {
 	peer.Handle(p.mux, methodLend, func(_ context.Context, request quota.Request) (quota.Answer, error) {
 		return lender.Answer(request), nil
 	})
--- a/internal/server/knowledge_test.go
+++ b/internal/server/knowledge_test.go
@@ -16,7 +16,7 @@
 func TestPeerProofAgeIncludesRoundTrip(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := newVerifier(Options{Settings: Settings{RevokeWithin: 5 * time.Second}}, evacuation.New(nil))
-		v.fresh.InForce(7)
+		v.fresh.SetActive(7)
 		sent := time.Now()
 		time.Sleep(time.Second) // network time of the answer
 		v.adoptProof(freshness.Proof{Revision: 7, Age: 3 * time.Second}, sent)
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -144,11 +144,11 @@
 	}, age))
 }
 
-// TableCall counts a call to a table of the store.
-func (m *Metrics) TableCall(call, table string) { m.tableCalls.WithLabelValues(call, table).Inc() }
+// StoreCall counts a call to a table of the store.
+func (m *Metrics) StoreCall(call, table string) { m.tableCalls.WithLabelValues(call, table).Inc() }
 
-// TableBytes counts bytes on connections to the store.
-func (m *Metrics) TableBytes(carries string, sent, received int) {
+// StoreBytes counts bytes on connections to the store.
+func (m *Metrics) StoreBytes(carries string, sent, received int) {
 	if sent > 0 {
 		m.tableBytes.WithLabelValues(carries, directionSent).Add(float64(sent))
 	}
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -96,17 +96,17 @@
 }
 
 func newPeers(options Options) *peers {
-	address, network := options.Settings.Peers, options.PeerNetwork
+	address, network := options.Settings.PeerAddress, options.PeerNetwork
 	p := &peers{address: address, network: network, mux: peer.NewMux()}
 	p.options = peer.Options{
-		Keys:        peer.NewKeys(peerKey),
-		MaxRequest:  maxPeerRequest,
-		MaxResponse: maxPeerResponse,
-		DialTimeout: peerDialTimeout,
-		IdleTimeout: peerIdleTimeout,
-		QuietTime:   peerSilenceTimeout,
-		Guard:       options.Guards.Nodes,
-		Registerer:  options.Metrics.Registry,
+		Keys:              peer.NewKeys(peerKey),
+		MaxRequest:        maxPeerRequest,
+		MaxResponse:       maxPeerResponse,
+		DialTimeout:       peerDialTimeout,
+		IdleTimeout:       peerIdleTimeout,
+		UnresponsiveAfter: peerSilenceTimeout,
+		Guard:             options.Guards.Nodes,
+		Registerer:        options.Metrics.Registry,
 	}
 	p.transport = &meteredTransport{vantage: options.Settings.vantage(), count: options.Metrics.NodeMessage}
 	if network != nil {
@@ -128,12 +128,12 @@
 type chainAnswer struct{ Turns []*history.Turn }
 
 // handleProgramCalls registers the handlers for calls about programs.
-func (p *peers) handleProgramCalls(process string, book *budget.Book, turns *history.Keeper, dir *directory.Directory) {
+func (p *peers) handleProgramCalls(process string, book *budget.Accounts, turns *history.TurnStore, dir *directory.Directory) {
 	peer.Handle(p.mux, methodLocate, func(_ context.Context, request directory.Request) (directory.Answer, error) {
-		return dir.Answer(request), nil
+		return dir.HandleRequest(request), nil
 	})
 	peer.Handle(p.mux, methodGrant, func(_ context.Context, request directory.GrantRequest) (directory.GrantAnswer, error) {
-		return dir.AnswerGrant(request), nil
+		return dir.HandleGrantRequest(request), nil
 	})
 	peer.Handle(p.mux, methodHandOver, func(ctx context.Context, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
 		return book.HandOver(ctx, request), nil
@@ -142,7 +142,7 @@
 		if request.Process != process {
 			return chainAnswer{}, nil
 		}
-		return chainAnswer{Turns: turns.Known(request.Turn)}, nil
+		return chainAnswer{Turns: turns.CachedChain(request.Turn)}, nil
 	})
 }
 
@@ -173,11 +173,11 @@
 
 // peerClient calls other nodes and measures the latency of each zone. It implements budget.Peers,
 // directory.Peers, directory.GrantPeers, quota.Peers, warmup.Peers, room.Peers, gather.Peers and
-// forward.Neighbours.
+// forward.HistoryPeers.
 type peerClient struct {
 	transport *meteredTransport
-	latencies wait.Ways    // by zone of the called process
-	abandoned atomic.Int64 // calls whose callers have given up
+	latencies wait.LatencyEstimates // by zone of the called process
+	abandoned atomic.Int64          // calls whose callers have given up
 	// onResult is called with the result of each call; may be nil.
 	onResult func(target budget.Holder, err error)
 }
@@ -190,9 +190,9 @@
 }
 
 // timeout returns the timeout for a call to a process, based on the latency of its zone. It is a
-// wait.Patience.
+// wait.TimeoutFunc.
 func (c *peerClient) timeout(process string, least, most time.Duration) time.Duration {
-	return c.latencies.Longest(locality.ZoneOf(process), least, most)
+	return c.latencies.Timeout(locality.ZoneOf(process), least, most)
 }
 
 // abandon counts a call whose caller has given up until the call ends. It cancels the call if
@@ -259,24 +259,24 @@
 	return callPeer[directory.GrantAnswer](ctx, c, budget.Holder{Process: request.Process, Address: address}, methodGrant, request)
 }
 
-// Lend implements quota.Peers.
-func (c *peerClient) Lend(ctx context.Context, owner budget.Holder, request quota.Request) (quota.Answer, error) {
+// RequestPermit implements quota.Peers.
+func (c *peerClient) RequestPermit(ctx context.Context, owner budget.Holder, request quota.Request) (quota.Answer, error) {
 	return callPeer[quota.Answer](ctx, c, owner, methodLend, request)
 }
 
 // Proof requests a process's proof that its configuration is the newest.
 func (c *peerClient) Proof(ctx context.Context, owner budget.Holder, request proofRequest) (proofAnswer, error) {
-	return callPeer[proofAnswer](peer.Repeatable(ctx), c, owner, methodProof, request)
+	return callPeer[proofAnswer](peer.WithRepeatable(ctx), c, owner, methodProof, request)
 }
 
 // mayPassThrough reports whether the content of a call may be sent to a process, by the regions
 // that the content is bound to.
-func mayPassThrough(ctx context.Context, places *locality.Map, holder budget.Holder) bool {
-	return locality.Content(ctx).Allow(places.Region(locality.ZoneOf(holder.Process)))
+func mayPassThrough(ctx context.Context, places *locality.ZoneMap, holder budget.Holder) bool {
+	return locality.ContentRegions(ctx).Allow(places.Region(locality.ZoneOf(holder.Process)))
 }
 
-// LendCold implements warmup.Peers.
-func (c *peerClient) LendCold(ctx context.Context, owner budget.Holder, request warmup.Request) (warmup.Answer, error) {
+// RequestColdPermit implements warmup.Peers.
+func (c *peerClient) RequestColdPermit(ctx context.Context, owner budget.Holder, request warmup.Request) (warmup.Answer, error) {
 	return callPeer[warmup.Answer](ctx, c, owner, methodLendCold, request)
 }
 
@@ -286,19 +286,19 @@
 	return callPeerTimed(ctx, c, keeper, methodRoom, request, networkTime)
 }
 
-// Chain implements forward.Neighbours.
-func (c *peerClient) Chain(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
-	if !mayPassThrough(ctx, c.transport.vantage.Places, holder) {
+// History implements forward.HistoryPeers.
+func (c *peerClient) History(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
+	if !mayPassThrough(ctx, c.transport.vantage.Zones, holder) {
 		return nil, nil
 	}
-	answer, err := callPeer[chainAnswer](peer.Repeatable(ctx), c, holder, methodChain, chainRequest{Process: holder.Process, Turn: turn})
+	answer, err := callPeer[chainAnswer](peer.WithRepeatable(ctx), c, holder, methodChain, chainRequest{Process: holder.Process, Turn: turn})
 	return answer.Turns, err
 }
 
 // Gather implements gather.Peers.
 func (c *peerClient) Gather(ctx context.Context, owner budget.Holder, request gather.Request) (gather.Answer, error) {
-	if !mayPassThrough(ctx, c.transport.vantage.Places, owner) {
-		return gather.Answer{}, gather.ErrNotCarried
+	if !mayPassThrough(ctx, c.transport.vantage.Zones, owner) {
+		return gather.Answer{}, gather.ErrRegionNotAllowed
 	}
 	return callPeerTimed(ctx, c, owner, methodGather, request, func(answer gather.Answer, elapsed time.Duration) time.Duration {
 		return elapsed - answer.Took
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -32,7 +32,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := wait.For(ctx, time.Duration(s.delay.Load())); err != nil {
+	if err := wait.Sleep(ctx, time.Duration(s.delay.Load())); err != nil {
 		return nil, err
 	}
 	return peer.Encode(directory.Answer{Owner: true})
@@ -85,9 +85,9 @@
 // Guards against detecting a dead connection only after the timeout of the calls that wait on it.
 func TestSilenceTimeoutIsWithinCallTimeouts(t *testing.T) {
 	p := newPeers(Options{Metrics: NewMetrics()})
-	require.Positive(t, p.options.QuietTime)
-	require.LessOrEqual(t, p.options.QuietTime, minProofTimeout)
-	require.Less(t, p.options.QuietTime, p.options.DialTimeout)
+	require.Positive(t, p.options.UnresponsiveAfter)
+	require.LessOrEqual(t, p.options.UnresponsiveAfter, minProofTimeout)
+	require.Less(t, p.options.UnresponsiveAfter, p.options.DialTimeout)
 }
 
 // Guards against an unresponsive node accumulating calls whose callers have given up.
--- a/internal/server/question.go
+++ b/internal/server/question.go
@@ -47,7 +47,7 @@
 		err := v.query(ctx, claims)
 		v.finishQuery(ctx, err, maxBackoff)
 		if err == nil && len(claims) > 0 {
-			v.directory.Settle(ctx)
+			v.directory.MarkSettled(ctx)
 		}
 	}()
 }
@@ -82,7 +82,7 @@
 	var conflict *store.Conflict
 	switch {
 	case err == nil:
-		v.fresh.Prove(row.Version, sent)
+		v.fresh.AddProof(row.Version, sent)
 		v.recordClaims(claims, nil, sent)
 	case errors.As(err, &conflict):
 		v.applyRow(conflict.Find(row.Key), sent)
@@ -132,7 +132,7 @@
 	v.queries.outstanding--
 	entry := v.options.Logger.WithField("proof_ms", age)
 	switch {
-	case store.Answered(err):
+	case store.IsDefinite(err):
 		if v.queries.backoff > 0 {
 			entry.Info("configuration verified as the newest again")
 		}
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -26,7 +26,7 @@
 		s.verifier.recordConfiguration(row, configuration)
 		s.options.Logger.WithFields(log.Fields{
 			"version":  int64(configuration.Version),
-			"routes":   configuration.Len(),
+			"routes":   configuration.RouteCount(),
 			"tenants":  configuration.Tenants.Len(),
 			"revision": uint64(row.Version),
 			"taken":    applied,
@@ -34,7 +34,7 @@
 			"keys_removed": removed,
 			"keys_added":   added,
 		}).Info("configuration received")
-		if duplicates := configuration.Tenants.Doubled(); duplicates > 0 {
+		if duplicates := configuration.Tenants.SharedKeys(); duplicates > 0 {
 			s.options.Logger.WithField("version", int64(configuration.Version)).WithField("keys", duplicates).
 				Error("keys shared by several tenants are rejected; give each tenant its own keys")
 		}
@@ -48,17 +48,17 @@
 	if current == nil || next.Version <= current.Version {
 		return 0, 0
 	}
-	return next.Tenants.Follow(current.Tenants, int64(next.Version))
+	return next.Tenants.RecordRemovedKeys(current.Tenants, int64(next.Version))
 }
 
 // replaceWorkers applies a complete read of the worker list or of the kept part. Workers that are
 // not in it are removed, or no longer kept.
-func (s *Server) replaceWorkers(read follow.Reading) {
+func (s *Server) replaceWorkers(read follow.Snapshot) {
 	listed := make(map[string]bool, len(read.Rows))
 	for _, row := range read.Rows {
 		listed[row.Name] = true
 	}
-	end := backend.Unkept
+	end := backend.OutOfScope
 	if read.Whole {
 		end = backend.Removed
 	}
@@ -122,7 +122,7 @@
 
 func (s *Server) logWorker(update backend.Update) {
 	entry := s.options.Logger.WithField("worker", update.Record.Key())
-	if update.End != backend.Stays {
+	if update.End != backend.NotEnded {
 		entry.WithField("end", update.End.String()).Info("worker removed from this node's list")
 		return
 	}
@@ -132,7 +132,7 @@
 		"address":  record.Address,
 		"zone":     record.Zone,
 		"draining": record.Draining,
-		"cold_ms":  record.ColdLeft.Milliseconds(),
+		"cold_ms":  record.ColdRemaining.Milliseconds(),
 		"revision": record.Revision,
 	}).Info("worker updated")
 }
--- a/internal/server/regions_test.go
+++ b/internal/server/regions_test.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	testVantage = locality.Vantage{Places: locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
+	testVantage = locality.Location{Zones: locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
 	remoteOne   = holderIn("b1", "far-one")
 	remoteTwo   = holderIn("b1", "far-other")
 	nearbyOne   = holderIn("a2", "near-one")
@@ -28,7 +28,7 @@
 
 // Guards against proof requests to other regions while the node's own region answers.
 func TestProofsAreRequestedWithinTheRegionFirst(t *testing.T) {
-	v := newVerifier(Options{Settings: Settings{Places: testVantage.Places, Zone: testVantage.Zone}}, evacuation.New(nil))
+	v := newVerifier(Options{Settings: Settings{Regions: testVantage.Zones, Zone: testVantage.Zone}}, evacuation.New(nil))
 	owners := []budget.Holder{remoteOne, nearbyOne, remoteTwo}
 	for range 50 {
 		require.Equal(t, nearbyOne, v.choosePeer(owners))
@@ -51,7 +51,7 @@
 func chosenRelays(t *testing.T, r *relayClient) []budget.Holder {
 	t.Helper()
 	chosen, failure := r.choose(t.Context())
-	require.ErrorIs(t, failure, store.ErrNotDone)
+	require.ErrorIs(t, failure, store.ErrNotApplied)
 	return chosen
 }
 
@@ -82,7 +82,7 @@
 func TestOwnersInOtherRegionsAreRelayCandidates(t *testing.T) {
 	candidates := withRemoteOwners(testVantage, []budget.Holder{nearbyOne, remoteOne}, []budget.Holder{remoteOne, remoteTwo, nearbyTwo})
 	require.Equal(t, []budget.Holder{nearbyOne, remoteOne, remoteTwo}, candidates)
-	require.Empty(t, withRemoteOwners(locality.Vantage{}, nil, []budget.Holder{remoteOne}), "no regions configured")
+	require.Empty(t, withRemoteOwners(locality.Location{}, nil, []budget.Holder{remoteOne}), "no regions configured")
 }
 
 // fixedTransport answers every call with the same bytes.
--- a/internal/server/relay.go
+++ b/internal/server/relay.go
@@ -92,7 +92,7 @@
 		return commitAnswer{Outcome: outcomeApplied, Version: version}
 	case errors.As(err, &conflict):
 		return commitAnswer{Outcome: outcomeConflict, Rows: conflict.Rows}
-	case errors.Is(err, store.ErrNotDone):
+	case errors.Is(err, store.ErrNotApplied):
 		return commitAnswer{}
 	default:
 		return commitAnswer{Outcome: outcomeUnknown}
@@ -109,14 +109,14 @@
 	case outcomeUnknown:
 		return errRelayOutcomeUnknown
 	default:
-		return store.ErrNotDone
+		return store.ErrNotApplied
 	}
 }
 
-// relayClient makes store calls through other nodes. It implements store.Relays.
+// relayClient makes store calls through other nodes. It implements store.Relayer.
 type relayClient struct {
 	transport  *meteredTransport
-	vantage    locality.Vantage
+	vantage    locality.Location
 	candidates func() []budget.Holder // nodes that may relay a call, newest first
 	timeout    func() time.Duration   // usual timeout of a store call
 	countCall  func()                 // counts the calls sent to other nodes
@@ -127,7 +127,7 @@
 	failures int
 }
 
-// Commit implements store.Relays. Once a node may have applied the transaction, the failure is
+// Commit implements store.Relayer. Once a node may have applied the transaction, the failure is
 // reported as uncertain, whatever the next node answers.
 func (r *relayClient) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	chosen, failure := r.choose(ctx)
@@ -139,24 +139,24 @@
 		} else {
 			err = errRelayOutcomeUnknown
 		}
-		if store.Answered(err) {
+		if store.IsDefinite(err) {
 			r.recordSuccess(holder)
 			return answer.Version, err
 		}
 		r.recordFailure(holder)
-		if !errors.Is(err, store.ErrNotDone) {
+		if !errors.Is(err, store.ErrNotApplied) {
 			failure = err
 		}
 	}
 	return 0, failure
 }
 
-// Range implements store.Relays.
+// Range implements store.Relayer.
 func (r *relayClient) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	chosen, failure := r.choose(ctx)
 	for _, holder := range chosen {
 		request := rangeRequest{Process: holder.Process, Table: table, Part: part, From: from, To: to, Limit: limit}
-		answer, err := callRelay[rangeAnswer](peer.Repeatable(ctx), r, holder, methodRange, request)
+		answer, err := callRelay[rangeAnswer](peer.WithRepeatable(ctx), r, holder, methodRange, request)
 		if err == nil && answer.Outcome == outcomeApplied {
 			r.recordSuccess(holder)
 			return answer.Page, nil
@@ -179,16 +179,16 @@
 // node's region, or of any region while those fail. A call bound to regions only goes through
 // nodes of these regions. failure is the error to return if none of them answers.
 func (r *relayClient) choose(ctx context.Context) (chosen []budget.Holder, failure error) {
-	candidates := slices.DeleteFunc(r.candidates(), func(holder budget.Holder) bool { return !mayPassThrough(ctx, r.vantage.Places, holder) })
+	candidates := slices.DeleteFunc(r.candidates(), func(holder budget.Holder) bool { return !mayPassThrough(ctx, r.vantage.Zones, holder) })
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	r.mutex.Lock()
 	lastHelper, failures := r.lastHelper, r.failures
 	r.mutex.Unlock()
 	if failures < maxRelays {
-		locality.NearFirst(r.vantage, candidates, budget.Holder.Zone)
+		locality.OwnRegionFirst(r.vantage, candidates, budget.Holder.Zone)
 	}
 	chosen = make([]budget.Holder, 0, maxRelays+1)
-	if lastHelper.Process != "" && mayPassThrough(ctx, r.vantage.Places, lastHelper) {
+	if lastHelper.Process != "" && mayPassThrough(ctx, r.vantage.Zones, lastHelper) {
 		chosen = append(chosen, lastHelper)
 	}
 	for _, holder := range candidates {
@@ -199,17 +199,17 @@
 			chosen = append(chosen, holder)
 		}
 	}
-	if len(chosen) == 0 && locality.Content(ctx) != nil {
-		return nil, store.ErrNoRelay
+	if len(chosen) == 0 && locality.ContentRegions(ctx) != nil {
+		return nil, store.ErrNotRelayable
 	}
-	return chosen, store.ErrNotDone
+	return chosen, store.ErrNotApplied
 }
 
 // withRemoteOwners adds slot owners in other regions to the recently seen nodes. Those are mostly
 // of this node's region, which may have lost the store as a whole.
-func withRemoteOwners(vantage locality.Vantage, met, owners []budget.Holder) []budget.Holder {
+func withRemoteOwners(vantage locality.Location, met, owners []budget.Holder) []budget.Holder {
 	for _, owner := range owners {
-		if vantage.To(owner.Zone()) == locality.OtherRegion && !slices.Contains(met, owner) {
+		if vantage.DistanceTo(owner.Zone()) == locality.OtherRegion && !slices.Contains(met, owner) {
 			met = append(met, owner)
 		}
 	}
--- a/internal/server/room.go
+++ b/internal/server/room.go
@@ -19,40 +19,40 @@
 
 // roomTracker tracks the free capacity of workers and asks other nodes for placement. It covers
 // services whose configuration gives the capacity of a worker, and only while this node knows the
-// complete worker list. It implements room.Workers.
+// complete worker list. It implements room.GroupResolver.
 type roomTracker struct {
-	reporter        *room.Reporter
-	keeper          *room.Keeper
-	vantage         locality.Vantage
+	reporter        *room.Client
+	keeper          *room.Coordinator
+	vantage         locality.Location
 	service         func(name string) route.Service
 	workers         *backend.Registry
 	workersComplete func() bool // reports whether the complete worker list is known
 }
 
-var _ room.Workers = (*roomTracker)(nil)
+var _ room.GroupResolver = (*roomTracker)(nil)
 
 // newRoomTracker returns the tracker of a node and registers its handler for calls of other
 // nodes.
 func newRoomTracker(options Options, peers *peers, verifier *verifier, dir *directory.Directory) *roomTracker {
 	vantage := options.Settings.vantage()
-	slots := &room.Slots{Layout: directory.NewLayout(vantage.Places), Places: vantage.Places, Owners: dir}
+	slots := &room.KeeperResolver{Layout: directory.NewLayout(vantage.Zones), Localities: vantage.Zones, Owners: dir}
 	r := &roomTracker{vantage: vantage, service: verifier.service}
-	boards := experience.NewBoards(experience.Options[room.Group]{
-		Members: r.memberKeys, Busy: func(group room.Group) float64 { return r.keeper.Busy(group) },
+	boards := experience.NewDetectors(experience.Options[room.Group]{
+		Members: r.memberKeys, Utilization: func(group room.Group) float64 { return r.keeper.Utilization(group) },
 		OnChange: func(group room.Group, change experience.Change) {
 			options.Metrics.Ejections.RecordDecision(options.Logger, group, change)
 		},
 	})
-	r.keeper = room.NewKeeper(room.KeeperOptions{
+	r.keeper = room.NewCoordinator(room.CoordinatorOptions{
 		Process: options.Process, Slots: slots, Members: r.members, Experience: boards,
-		Count: options.Metrics.Room.RecordAnswer, Logger: options.Logger,
+		OnAnswer: options.Metrics.Room.RecordAnswer, Logger: options.Logger,
 	})
-	r.reporter = room.NewReporter(room.ReporterOptions{
+	r.reporter = room.NewClient(room.ClientOptions{
 		Self: options.self(), Zone: vantage.Zone, Slots: slots, Peers: peers.client, Workers: r,
 		Patience: peers.client.timeout, Keeper: r.keeper, Learner: r,
-		Count: options.Metrics.Room.RecordPlacement, Told: options.Metrics.Room.RecordReport, Logger: options.Logger,
+		OnFind: options.Metrics.Room.RecordPlacement, OnReport: options.Metrics.Room.RecordReport, Logger: options.Logger,
 	})
-	options.Metrics.Room.RegisterGauges(r.keeper.Kept)
+	options.Metrics.Room.RegisterGauges(r.keeper.Stats)
 	peer.Handle(peers.mux, methodRoom, func(ctx context.Context, request room.Request) (room.Answer, error) {
 		return r.keeper.Answer(ctx, request), nil
 	})
@@ -65,7 +65,7 @@
 }
 
 // NoteVerdicts implements room.Learner.
-func (r *roomTracker) NoteVerdicts(verdicts []experience.Verdict) { r.workers.NoteVerdicts(verdicts) }
+func (r *roomTracker) NoteVerdicts(verdicts []experience.Verdict) { r.workers.ApplyVerdicts(verdicts) }
 
 // memberKeys returns the sorted keys of the workers of a group that may get requests.
 func (r *roomTracker) memberKeys(group room.Group) []string {
@@ -87,25 +87,25 @@
 
 // forwardRoom returns the placement interface for the forwarder; nil if the node runs without
 // peers.
-func (r *roomTracker) forwardRoom() forward.Room {
+func (r *roomTracker) forwardRoom() forward.Capacity {
 	if r == nil {
 		return nil
 	}
 	return r.reporter
 }
 
-// Busy implements admission.Keepers. It returns nil if the load of the service is unknown.
-func (r *roomTracker) Busy(service string) *admission.Keeper {
-	busy, age, known := r.reporter.Busy(service, admission.KeeperAge)
+// Utilization implements admission.UtilizationSource. It returns nil if the load of the service is unknown.
+func (r *roomTracker) Utilization(service string) *admission.UtilizationReport {
+	busy, age, known := r.reporter.Utilization(service, admission.MaxUtilizationAge)
 	if !known {
 		return nil
 	}
-	return &admission.Keeper{Busy: busy, Age: age}
+	return &admission.UtilizationReport{Share: busy, Age: age}
 }
 
 // admissionKeepers returns the source of worker load for admission control; nil if the node runs
 // without peers.
-func (r *roomTracker) admissionKeepers() admission.Keepers {
+func (r *roomTracker) admissionKeepers() admission.UtilizationSource {
 	if r == nil {
 		return nil
 	}
@@ -114,19 +114,19 @@
 
 // tracks reports whether the capacity of a service's workers is tracked.
 func (r *roomTracker) tracks(service string) bool {
-	return r.service(service).Places > 0 && r.workersComplete()
+	return r.service(service).MaxConcurrency > 0 && r.workersComplete()
 }
 
-// GroupOf implements room.Workers. It returns the group of the worker with the given key.
+// GroupOf implements room.GroupResolver. It returns the group of the worker with the given key.
 func (r *roomTracker) GroupOf(service, key string) (room.Group, bool) {
-	worker, ok := r.workers.WorkerOf(key)
+	worker, ok := r.workers.WorkerByKey(key)
 	if !ok || worker.Service() != service || !r.tracks(service) {
 		return room.Group{}, false
 	}
 	return r.groupIn(service, worker.Zone(), worker.ID())
 }
 
-// GroupIn implements room.Workers. It maps any key to a group of a zone.
+// GroupIn implements room.GroupResolver. It maps any key to a group of a zone.
 func (r *roomTracker) GroupIn(service, zone, key string) (room.Group, bool) {
 	if !r.tracks(service) {
 		return room.Group{}, false
@@ -136,36 +136,38 @@
 
 // groupIn returns the group of a zone that a name hashes to.
 func (r *roomTracker) groupIn(service, zone, name string) (room.Group, bool) {
-	workers := len(r.workers.OfZone(service, zone))
+	workers := len(r.workers.WorkersInZone(service, zone))
 	if workers == 0 {
 		return room.Group{}, false
 	}
-	return room.Group{Service: service, Zone: zone, Number: room.NumberOf(name, room.Groups(workers))}, true
+	return room.Group{Service: service, Zone: zone, Number: room.GroupNumber(name, room.GroupCount(workers))}, true
 }
 
-// Others implements room.Workers. It returns the other zones of the region, nearest first.
-func (r *roomTracker) Others(service, zone string) []room.Distant {
-	var others []room.Distant
-	for _, other := range r.workers.ZonesOf(service) {
-		if other != zone && r.Near(other) {
-			others = append(others, room.Distant{Zone: other, RoundTrip: r.workers.RoundTripTo(other)})
+// OtherZones implements room.GroupResolver. It returns the other zones of the region, nearest first.
+func (r *roomTracker) OtherZones(service, zone string) []room.RemoteZone {
+	var others []room.RemoteZone
+	for _, other := range r.workers.Zones(service) {
+		if other != zone && r.InRegion(other) {
+			others = append(others, room.RemoteZone{Zone: other, RoundTrip: r.workers.RoundTripTo(other)})
 		}
 	}
-	slices.SortFunc(others, func(a, b room.Distant) int {
+	slices.SortFunc(others, func(a, b room.RemoteZone) int {
 		return cmp.Or(cmp.Compare(a.RoundTrip, b.RoundTrip), cmp.Compare(a.Zone, b.Zone))
 	})
 	return others
 }
 
-// Near implements room.Workers. It reports whether a zone is in this node's region.
-func (r *roomTracker) Near(zone string) bool { return r.vantage.To(zone) != locality.OtherRegion }
+// InRegion implements room.GroupResolver. It reports whether a zone is in this node's region.
+func (r *roomTracker) InRegion(zone string) bool {
+	return r.vantage.DistanceTo(zone) != locality.OtherRegion
+}
 
-// Shunned implements room.Workers. It returns the workers that have just failed or declined a
+// Excluded implements room.GroupResolver. It returns the workers that have just failed or declined a
 // request of this node.
-func (r *roomTracker) Shunned(group room.Group) (shunned []string) {
+func (r *roomTracker) Excluded(group room.Group) (shunned []string) {
 	now := time.Now()
 	for _, worker := range r.groupWorkers(group) {
-		if worker.Shunned(now) {
+		if worker.Avoided(now) {
 			shunned = append(shunned, worker.Key())
 		}
 	}
@@ -174,10 +176,10 @@
 
 // groupWorkers returns the workers of a group.
 func (r *roomTracker) groupWorkers(group room.Group) []*backend.Worker {
-	workers := r.workers.OfZone(group.Service, group.Zone)
-	groups := room.Groups(len(workers))
+	workers := r.workers.WorkersInZone(group.Service, group.Zone)
+	groups := room.GroupCount(len(workers))
 	return slices.DeleteFunc(workers, func(worker *backend.Worker) bool {
-		return room.NumberOf(worker.ID(), groups) != group.Number
+		return room.GroupNumber(worker.ID(), groups) != group.Number
 	})
 }
 
@@ -189,12 +191,12 @@
 	}
 	service := r.service(group.Service)
 	for _, worker := range r.groupWorkers(group) {
-		if !r.workers.Takes(worker) {
+		if !r.workers.Available(worker) {
 			continue
 		}
-		member := room.Member{Worker: worker.Key(), Places: service.Places, Memory: service.Memory}
+		member := room.Member{Worker: worker.Key(), Concurrency: service.MaxConcurrency, Memory: service.MemoryTokens}
 		if slots := worker.Record().Slots; slots > 0 {
-			member.Places = slots
+			member.Concurrency = slots
 		}
 		members = append(members, member)
 	}
--- a/internal/server/room_test.go
+++ b/internal/server/room_test.go
@@ -18,13 +18,13 @@
 func newTestRoomTracker(perZone map[string]int) *roomTracker {
 	places := locality.NewMap(map[string]string{"a": "one", "b": "one", "c": "other"})
 	r := &roomTracker{
-		vantage: locality.Vantage{Places: places, Zone: "a"},
+		vantage: locality.Location{Zones: places, Zone: "a"},
 		workers: backend.NewRegistry(backend.Options{Zone: "a", Places: places}),
 		service: func(name string) route.Service {
 			if name == "plain" {
 				return route.Service{Name: name}
 			}
-			return route.Service{Name: name, Places: 6, Memory: 1000}
+			return route.Service{Name: name, MaxConcurrency: 6, MemoryTokens: 1000}
 		},
 		workersComplete: func() bool { return true },
 	}
@@ -45,7 +45,7 @@
 	for _, count := range []int{1, 11, 16, 17, 45, 140, 560} {
 		r := newTestRoomTracker(map[string]int{"a": count, "b": 3})
 		seen := map[string]int{}
-		groups := room.Groups(count)
+		groups := room.GroupCount(count)
 		require.LessOrEqual(t, groups, max(1, count/8))
 		for number := range groups {
 			members, ok := r.members(room.Group{Service: "s", Zone: "a", Number: number})
@@ -53,7 +53,7 @@
 			require.LessOrEqual(t, len(members), 3*16/2)
 			for _, member := range members {
 				seen[member.Worker]++
-				require.Equal(t, 6, member.Places)
+				require.Equal(t, 6, member.Concurrency)
 				require.Equal(t, 1000, member.Memory)
 				group, ok := r.GroupOf("s", member.Worker)
 				require.True(t, ok)
@@ -89,16 +89,16 @@
 	r.workers.Put(backend.Record{ID: "sa1", Service: "s", Address: "sa1", Zone: "a", Draining: true, Revision: 2})
 	members, _ := r.members(room.Group{Service: "s", Zone: "a"})
 	require.Len(t, members, 2)
-	worker, _ := r.workers.WorkerOf("sa0")
-	require.Empty(t, r.Shunned(room.Group{Service: "s", Zone: "a"}))
-	worker.Declined(time.Now())
-	require.Equal(t, []string{"sa0"}, r.Shunned(room.Group{Service: "s", Zone: "a"}))
+	worker, _ := r.workers.WorkerByKey("sa0")
+	require.Empty(t, r.Excluded(room.Group{Service: "s", Zone: "a"}))
+	worker.RecordRefusal(time.Now())
+	require.Equal(t, []string{"sa0"}, r.Excluded(room.Group{Service: "s", Zone: "a"}))
 }
 
 // Guards against overflow to zones of another region.
 func TestOthersListsZonesOfTheRegion(t *testing.T) {
 	r := newTestRoomTracker(map[string]int{"a": 1, "b": 1, "c": 1})
-	others := r.Others("s", "a")
+	others := r.OtherZones("s", "a")
 	require.Len(t, others, 1)
 	require.Equal(t, "b", others[0].Zone)
 	require.Positive(t, others[0].RoundTrip)
--- a/internal/server/roommetrics.go
+++ b/internal/server/roommetrics.go
@@ -28,9 +28,9 @@
 }
 
 // RecordPlacement counts a request that needed a worker, and the time it waited for a keeper.
-func (m *RoomMetrics) RecordPlacement(found room.Found) {
+func (m *RoomMetrics) RecordPlacement(found room.Placement) {
 	m.requests.WithLabelValues(string(found.Source)).Inc()
-	if found.Source != room.SourceNone && found.Source != room.SourceCalm {
+	if found.Source != room.SourceUntracked && found.Source != room.SourceLocal {
 		m.waitSeconds.Observe(found.Took.Seconds())
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -33,25 +33,25 @@
 
 // Settings are a node's settings from its environment.
 type Settings struct {
-	Node        string        // node name
-	Zone        string        // zone of the node
-	IP          string        // IP address of the node
-	Front       string        // IP:PORT for clients
-	Ready       string        // IP:PORT for readiness checks
-	Metrics     string        // IP:PORT for metrics; empty: not served
-	Peers       string        // IP:PORT for other nodes; empty: the node runs without peers
-	MemoryBytes int64         // memory limit of the process; 0: a default of 256 MiB
-	Descriptors int           // maximum number of socket descriptors; 0: unlimited
-	Grace       time.Duration // time for a planned shutdown
-	// Fresh is how soon after a store failure the node's state must be current again; 0:
+	Node           string        // node name
+	Zone           string        // zone of the node
+	IP             string        // IP address of the node
+	ClientAddress  string        // IP:PORT for clients
+	ReadyAddress   string        // IP:PORT for readiness checks
+	MetricsAddress string        // IP:PORT for metrics; empty: not served
+	PeerAddress    string        // IP:PORT for other nodes; empty: the node runs without peers
+	MemoryBytes    int64         // memory limit of the process; 0: a default of 256 MiB
+	Descriptors    int           // maximum number of socket descriptors; 0: unlimited
+	ShutdownGrace  time.Duration // time for a planned shutdown
+	// MaxStaleness is how soon after a store failure the node's state must be current again; 0:
 	// unspecified.
-	Fresh time.Duration
+	MaxStaleness time.Duration
 	// RevokeWithin is how long after its removal an API key may still be accepted; 0: unlimited.
 	RevokeWithin time.Duration
-	// Limits is the tolerance in the enforcement of tenants' limits.
-	Limits quota.Tolerance
-	// Places maps each zone to its region.
-	Places *locality.Map
+	// LimitTolerance is the tolerance in the enforcement of tenants' limits.
+	LimitTolerance quota.Tolerance
+	// Regions maps each zone to its region.
+	Regions *locality.ZoneMap
 	// EvacuateWithin is how soon after its acknowledgement an evacuation must take effect; 0:
 	// unspecified.
 	EvacuateWithin time.Duration
@@ -59,15 +59,15 @@
 	// workers, plus ColdSlack requests. Both 0: the limit is not enforced.
 	ColdOverage float64
 	ColdSlack   float64
-	// TableWrites is the number of writing calls per second that the store accepts from all nodes
+	// StoreWritesPerSecond is the number of writing calls per second that the store accepts from all nodes
 	// together; 0: unspecified.
-	TableWrites float64
-	// TableAcross states that the store supports transactions across parts.
-	TableAcross bool
+	StoreWritesPerSecond float64
+	// CrossPartTransactions states that the store supports transactions across parts.
+	CrossPartTransactions bool
 }
 
-// Records decodes the rows of the followed tables.
-type Records struct {
+// RowDecoders decodes the rows of the followed tables.
+type RowDecoders struct {
 	ConfigurationTable string // table of the operator's rows
 	WorkersTable       string // table of the worker list
 	// Configuration decodes a configuration; ok is false for other rows.
@@ -80,7 +80,9 @@
 }
 
 // vantage returns the node's location.
-func (s Settings) vantage() locality.Vantage { return locality.Vantage{Places: s.Places, Zone: s.Zone} }
+func (s Settings) vantage() locality.Location {
+	return locality.Location{Zones: s.Regions, Zone: s.Zone}
+}
 
 // Options are the options of a Server.
 type Options struct {
@@ -89,7 +91,7 @@
 	Store     store.Store
 	Transport forward.Transport
 	Prober    forward.Prober // may be nil
-	Records   Records
+	Records   RowDecoders
 	// Listen opens a listener and Dial a connection; nil: TCP.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
@@ -99,11 +101,11 @@
 	Guards Guards
 	// DialTimeout bounds opening a connection to a worker.
 	DialTimeout time.Duration
-	// Front and Ready create the handlers of the client address and the readiness address.
-	Front   func(*Server) http.Handler
-	Ready   func(*Server) http.Handler
-	Metrics *Metrics
-	Logger  log.Interface
+	// NewClientHandler and Ready create the handlers of the client address and the readiness address.
+	NewClientHandler func(*Server) http.Handler
+	NewReadyHandler  func(*Server) http.Handler
+	Metrics          *Metrics
+	Logger           log.Interface
 }
 
 // Server is one node.
@@ -111,7 +113,7 @@
 	options        Options
 	forwarder      *forward.Forwarder
 	workers        *backend.Registry
-	evacuations    *evacuation.Board
+	evacuations    *evacuation.Tracker
 	draining       atomic.Bool
 	isolated       atomic.Bool
 	workersLoaded  atomic.Bool      // the worker list, or its first page, is loaded
@@ -119,7 +121,7 @@
 	workerFollower *follow.Follower // of the worker list
 	finder         *workerFinder
 	sweeper        *sweep.Sweeper
-	budgets        *budget.Book
+	budgets        *budget.Accounts
 	verifier       *verifier
 	store          relayedStore
 	directory      *directory.Directory // nil: the node runs without peers
@@ -178,25 +180,25 @@
 			Logger: options.Logger,
 		}),
 		forwarder: forward.New(forward.Options{
-			Workers:    workers,
-			Transport:  options.Transport,
-			Budgets:    parts.budgets,
-			History:    parts.history,
-			Neighbours: parts.neighbours,
-			Turns:      parts.directory,
-			Patience:   peers.client.timeout,
-			Freshness:  verifier.fresh,
-			Limits:     parts.limits,
-			Isolated:   func() bool { return s.IsIsolated() },
-			Allowance:  parts.allowance,
-			Admit:      func(bytes int64) (func(), bool) { return s.Admit(bytes) },
-			Finder:     finder,
-			Prober:     options.Prober,
-			Room:       parts.room.forwardRoom(),
-			Standing:   standing.NewLearner(),
-			Admission:  admission.NewGate(parts.room.admissionKeepers()),
-			Metrics:    options.Metrics.Requests,
-			Logger:     options.Logger,
+			Workers:         workers,
+			Transport:       options.Transport,
+			Budgets:         parts.budgets,
+			History:         parts.history,
+			HistoryPeers:    parts.neighbours,
+			TurnDirectory:   parts.directory,
+			ResponseTimes:   peers.client.timeout,
+			ConfigFreshness: verifier.fresh,
+			RateLimiter:     parts.limits,
+			Isolated:        func() bool { return s.Isolated() },
+			WarmupLimiter:   parts.allowance,
+			ReserveMemory:   func(bytes int64) (func(), bool) { return s.ReserveBodyMemory(bytes) },
+			Finder:          finder,
+			Prober:          options.Prober,
+			Capacity:        parts.room.forwardRoom(),
+			Estimator:       standing.NewEstimator(),
+			Admission:       admission.NewGate(parts.room.admissionKeepers()),
+			Metrics:         options.Metrics.Requests,
+			Logger:          options.Logger,
 		}),
 	}
 	verifier.attach(s, parts)
@@ -219,7 +221,7 @@
 func newWorkers(options Options, verifier *verifier) *backend.Registry {
 	return backend.NewRegistry(backend.Options{
 		Zone:        options.Settings.Zone,
-		Places:      options.Settings.Places,
+		Places:      options.Settings.Regions,
 		Evacuated:   verifier.evacuations.Evacuated,
 		Cold:        verifier.coldPolicy,
 		Node:        options.Settings.Node,
@@ -227,11 +229,11 @@
 		Dial:        options.Dial,
 		Guard:       options.Guards.Workers,
 		OnDial:      options.Metrics.Dials.Inc,
-		OnWay: func(zone string, roundTrip time.Duration) {
+		OnRoundTrip: func(zone string, roundTrip time.Duration) {
 			options.Metrics.SetRoundTrip(zone, roundTrip)
 			options.Logger.WithField("zone", zone).WithField("round_trip_us", roundTrip.Microseconds()).Info("round-trip time to zone changed")
 		},
-		OnLook: options.Metrics.WorkerProbes.Inc,
+		OnReconnect: options.Metrics.WorkerProbes.Inc,
 	})
 }
 
@@ -245,14 +247,14 @@
 // Draining reports whether a planned shutdown has started.
 func (s *Server) Draining() bool { return s.draining.Load() }
 
-// IsReady reports whether the node should get new connections.
-func (s *Server) IsReady() bool {
-	return !s.SendsAway() && s.workersLoaded.Load() && s.forwarder.Configuration() != nil && s.clients.accepting()
+// Ready reports whether the node should get new connections.
+func (s *Server) Ready() bool {
+	return !s.RedirectsClients() && s.workersLoaded.Load() && s.forwarder.Configuration() != nil && s.clients.accepting()
 }
 
-// Admit reserves memory for a request body, or for a response held until its client has read it.
+// ReserveBodyMemory reserves memory for a request body, or for a response held until its client has read it.
 // It returns a function that releases the memory; ok is false if too much is in use.
-func (s *Server) Admit(bytes int64) (release func(), ok bool) {
+func (s *Server) ReserveBodyMemory(bytes int64) (release func(), ok bool) {
 	limit := s.options.Settings.MemoryBytes / bodyMemoryDivisor
 	if s.bodyBytes.Add(bytes) > limit {
 		s.bodyBytes.Add(-bytes)
@@ -293,28 +295,28 @@
 		})
 	}
 	front := &http.Server{
-		Handler:           s.options.Front(s),
+		Handler:           s.options.NewClientHandler(s),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          newErrorLog(s.options.Logger),
 		ConnState:         s.clients.trackState,
 	}
-	ready := &http.Server{Handler: s.options.Ready(s), ReadHeaderTimeout: readHeaderTimeout, ErrorLog: newErrorLog(s.options.Logger)}
-	if err := s.serve(group, front, s.options.Settings.Front, s.listenToClients); err != nil {
+	ready := &http.Server{Handler: s.options.NewReadyHandler(s), ReadHeaderTimeout: readHeaderTimeout, ErrorLog: newErrorLog(s.options.Logger)}
+	if err := s.serve(group, front, s.options.Settings.ClientAddress, s.listenToClients); err != nil {
 		return err
 	}
-	if err := s.serve(group, ready, s.options.Settings.Ready, s.options.Listen); err != nil {
+	if err := s.serve(group, ready, s.options.Settings.ReadyAddress, s.options.Listen); err != nil {
 		return err
 	}
 	s.peers.serve(ctx, group, s)
 	metrics := &http.Server{Handler: s.options.Metrics.Handler(), ReadHeaderTimeout: readHeaderTimeout, ErrorLog: newErrorLog(s.options.Logger)}
-	if address := s.options.Settings.Metrics; address != "" {
+	if address := s.options.Settings.MetricsAddress; address != "" {
 		if err := s.serve(group, metrics, address, s.options.Listen); err != nil {
 			return err
 		}
 	}
-	s.options.Logger.WithField("front", s.options.Settings.Front).Info("node started")
+	s.options.Logger.WithField("front", s.options.Settings.ClientAddress).Info("node started")
 	group.Go(func() error {
 		defer cancel()
 		s.awaitShutdown(ctx, front)
@@ -358,13 +360,13 @@
 func (s *Server) followers() []*follow.Follower {
 	return []*follow.Follower{
 		follow.New(follow.Options{
-			Store:   s.options.Store,
-			Table:   s.options.Records.ConfigurationTable,
-			Replace: s.replaceOperatorRows,
-			Change:  s.applyOperatorRows,
-			Lost:    s.verifier.operatorFeedLost.Store,
-			Fresh:   s.options.Settings.maxOperatorStaleness(),
-			Logger:  s.options.Logger,
+			Store:        s.options.Store,
+			Table:        s.options.Records.ConfigurationTable,
+			Replace:      s.replaceOperatorRows,
+			Change:       s.applyOperatorRows,
+			OnLost:       s.verifier.operatorFeedLost.Store,
+			MaxStaleness: s.options.Settings.maxOperatorStaleness(),
+			Logger:       s.options.Logger,
 		}),
 		s.workerFollower,
 	}
@@ -373,15 +375,15 @@
 // newWorkerFollower returns the follower of the worker list.
 func (s *Server) newWorkerFollower() *follow.Follower {
 	return follow.New(follow.Options{
-		Store:   s.options.Store,
-		Table:   s.options.Records.WorkersTable,
-		Replace: s.replaceWorkers,
-		Change:  s.applyWorkerRows,
-		Fresh:   s.options.Settings.Fresh,
-		Gather:  workerBatchDelay,
-		Heard:   s.workers.Heard,
-		Part:    &follow.Part{Text: s.options.Settings.Node, Kept: s.workers.Len, Enough: s.finder.hasEnough},
-		Logger:  s.options.Logger,
+		Store:        s.options.Store,
+		Table:        s.options.Records.WorkersTable,
+		Replace:      s.replaceWorkers,
+		Change:       s.applyWorkerRows,
+		MaxStaleness: s.options.Settings.MaxStaleness,
+		BatchDelay:   workerBatchDelay,
+		OnResponse:   s.workers.ListConfirmed,
+		Part:         &follow.Part{Key: s.options.Settings.Node, RowCount: s.workers.Len, Enough: s.finder.hasEnough},
+		Logger:       s.options.Logger,
 	})
 }
 
@@ -392,5 +394,5 @@
 	if configuration == nil {
 		return nil
 	}
-	return configuration.Targeted()
+	return configuration.TargetServices()
 }
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -31,8 +31,8 @@
 	case <-s.drain:
 	}
 	started := time.Now()
-	_ = wait.For(ctx, drainDelayFor(s.options.Settings.Grace))
-	shutdownCtx, cancel := context.WithDeadline(ctx, started.Add(s.options.Settings.Grace-exitMargin))
+	_ = wait.Sleep(ctx, drainDelayFor(s.options.Settings.ShutdownGrace))
+	shutdownCtx, cancel := context.WithDeadline(ctx, started.Add(s.options.Settings.ShutdownGrace-exitMargin))
 	defer cancel()
 	err := front.Shutdown(shutdownCtx)
 	s.options.Logger.WithField("ms", time.Since(started).Milliseconds()).WithField("all_ended", err == nil).Info("stopped serving clients")
--- a/internal/shard/cluster_test.go
+++ b/internal/shard/cluster_test.go
@@ -185,10 +185,10 @@
 		t: t, network: peer.NewMemoryNetwork(), platform: newFakePlatform(), shards: shards, view: &member.View{},
 		nodes: map[id.Node]*testNode{}, cut: map[peer.Address]bool{}, led: map[Position]map[id.Shard]id.Node{},
 	}
-	c.network.SetJudge(func(from, to peer.Address, _ string) peer.Verdict {
+	c.network.SetFaultInjector(func(from, to peer.Address, _ string) peer.InjectedFault {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		return peer.Verdict{Drop: c.cut[from] != c.cut[to]}
+		return peer.InjectedFault{Drop: c.cut[from] != c.cut[to]}
 	})
 	return c
 }
