--- a/internal/shard/faults_test.go
+++ b/internal/shard/faults_test.go
@@ -45,15 +45,15 @@
 }
 
 // judge loses, delays and doubles messages by the seed.
-func (r *faultRun) judge(from, to peer.Address, _ string) peer.Verdict {
+func (r *faultRun) judge(from, to peer.Address, _ string) peer.InjectedFault {
 	r.cluster.mutex.Lock()
 	defer r.cluster.mutex.Unlock()
 	roll := r.random.IntN(100)
-	return peer.Verdict{
-		Drop:       r.cut[from] != r.cut[to] || r.oneWay == from || roll == 0,
-		DropAnswer: roll == 1,
-		Duplicate:  roll == 2 || roll == 3,
-		Delay:      time.Duration(r.random.IntN(5)) * time.Millisecond,
+	return peer.InjectedFault{
+		Drop:         r.cut[from] != r.cut[to] || r.oneWay == from || roll == 0,
+		DropResponse: roll == 1,
+		Duplicate:    roll == 2 || roll == 3,
+		Delay:        time.Duration(r.random.IntN(5)) * time.Millisecond,
 	}
 }
 
@@ -256,7 +256,7 @@
 		c.start(id.Node(fmt.Sprintf("n%d", i+1)), zone)
 	}
 	time.Sleep(20 * time.Second)
-	c.network.SetJudge(r.judge)
+	c.network.SetFaultInjector(r.judge)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	var clients sync.WaitGroup
 	for number := range 2 * faultShards {
@@ -265,7 +265,7 @@
 	for range faultEvents {
 		r.event()
 	}
-	c.network.SetJudge(nil)
+	c.network.SetFaultInjector(nil)
 	time.Sleep(20 * time.Second)
 	cancel(errors.New("the run is over"))
 	clients.Wait()
--- a/internal/shard/host_test.go
+++ b/internal/shard/host_test.go
@@ -73,15 +73,15 @@
 // was lost when it died before other live nodes had joined its group.
 func TestNewGroupServesOnlyOnceItHasGrown(t *testing.T) {
 	inBubble(t, 4, func(t *testing.T, c *cluster) {
-		c.network.SetJudge(func(_, _ peer.Address, method string) peer.Verdict {
-			return peer.Verdict{Drop: method == methodBatch}
+		c.network.SetFaultInjector(func(_, _ peer.Address, method string) peer.InjectedFault {
+			return peer.InjectedFault{Drop: method == methodBatch}
 		})
 		c.startThree()
 		time.Sleep(time.Minute)
 		for shard := range id.Shard(4) {
 			require.Empty(t, c.leader(shard))
 		}
-		c.network.SetJudge(nil)
+		c.network.SetFaultInjector(nil)
 		proposeAll(t, c, "one")
 		c.requireVoters(t, "n1", "n2", "n3")
 	})
--- a/internal/shard/locator.go
+++ b/internal/shard/locator.go
@@ -67,7 +67,7 @@
 		if refusal.Code == fault.NotLeader && search.follow(peer.Address(refusal.Hint)) {
 			continue
 		}
-		if err := wait.For(ctx, delay.NextBackOff()); err != nil {
+		if err := wait.Sleep(ctx, delay.NextBackOff()); err != nil {
 			return fault.Newf(fault.Unavailable, "try again", "the leader of shard %d was not found in time (last: %s)", shard, refusal.Message).WithRetryAfter(l.host.options.ElectionTimeout)
 		}
 	}
--- a/internal/silence/guard.go
+++ b/internal/silence/guard.go
@@ -10,15 +10,15 @@
 // Guard applies limits to connections of one kind. Its zero value does nothing.
 type Guard struct {
 	Limits
-	// GivenUp is called for each connection that is abandoned as dead; may be nil.
-	GivenUp func()
-	// Unguarded is called with the error if the kernel rejects a socket option; may be nil.
-	Unguarded func(error)
+	// OnDeadConnection is called for each connection that is abandoned as dead; may be nil.
+	OnDeadConnection func()
+	// OnOptionError is called with the error if the kernel rejects a socket option; may be nil.
+	OnOptionError func(error)
 }
 
-// Protect applies the limits to a new connection. roundTrip is how long the connection took
+// Apply applies the limits to a new connection. roundTrip is how long the connection took
 // to open; 0 means unknown. Connections other than TCP are left unchanged.
-func (g Guard) Protect(connection net.Conn, roundTrip time.Duration) {
+func (g Guard) Apply(connection net.Conn, roundTrip time.Duration) {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok {
 		return
@@ -31,9 +31,9 @@
 	}
 }
 
-// Stretch raises the user timeout of a protected connection to MaxUnread, so that its peer has time
+// AllowSlowRead raises the user timeout of a protected connection to MaxUnread, so that its peer has time
 // to read a long message. It does nothing if MaxUnread isn't longer.
-func (g Guard) Stretch(connection net.Conn) {
+func (g Guard) AllowSlowRead(connection net.Conn) {
 	tcp, ok := connection.(*net.TCPConn)
 	if !ok || g.MaxUnread <= g.UserTimeout(0) {
 		return
@@ -42,20 +42,20 @@
 }
 
 func (g Guard) report(err error) {
-	if err != nil && g.Unguarded != nil && !errors.Is(err, net.ErrClosed) {
-		g.Unguarded(err)
+	if err != nil && g.OnOptionError != nil && !errors.Is(err, net.ErrClosed) {
+		g.OnOptionError(err)
 	}
 }
 
-// Count reports a connection that is abandoned as dead to GivenUp, if set.
-func (g Guard) Count() {
-	if g.GivenUp != nil {
-		g.GivenUp()
+// ReportDead reports a connection that is abandoned as dead to GivenUp, if set.
+func (g Guard) ReportDead() {
+	if g.OnDeadConnection != nil {
+		g.OnDeadConnection()
 	}
 }
 
-// Broken reports whether err is the kernel's timeout of a dead connection (ETIMEDOUT).
-func Broken(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
+// IsTimeout reports whether err is the kernel's timeout of a dead connection (ETIMEDOUT).
+func IsTimeout(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
 
 // Listener applies a guard to each connection that it accepts.
 type Listener struct {
@@ -67,7 +67,7 @@
 func (l Listener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err == nil {
-		l.Guard.Protect(connection, 0)
+		l.Guard.Apply(connection, 0)
 	}
 	return connection, err
 }
--- a/internal/silence/limits.go
+++ b/internal/silence/limits.go
@@ -13,7 +13,7 @@
 	Transmissions int
 	// MaxUnacknowledged is the maximum time that bytes may stay unacknowledged; 0: no limit.
 	MaxUnacknowledged time.Duration
-	// MaxUnread is how long the peer may stop reading within a long message, for Guard.Stretch; 0:
+	// MaxUnread is how long the peer may stop reading within a long message, for Guard.AllowSlowRead; 0:
 	// no longer than usual. The kernel also counts bytes that don't fit the peer's receive window
 	// as unacknowledged.
 	MaxUnread time.Duration
--- a/internal/silence/silence_linux_test.go
+++ b/internal/silence/silence_linux_test.go
@@ -56,12 +56,12 @@
 	guard := Guard{Limits: ForWorkers(0)}
 	dialed, accepted := connect(t, guard)
 	require.Equal(t, 3000, tcpOption(t, accepted, tcpUserTimeout), "set by the listener")
-	guard.Protect(dialed, time.Millisecond)
+	guard.Apply(dialed, time.Millisecond)
 	require.Equal(t, 3015, tcpOption(t, dialed, tcpUserTimeout))
 	require.Equal(t, 1, tcpOption(t, dialed, syscall.TCP_KEEPIDLE))
 	require.Equal(t, 1, tcpOption(t, dialed, syscall.TCP_KEEPINTVL))
 	require.Equal(t, maxUnansweredProbes, tcpOption(t, dialed, syscall.TCP_KEEPCNT))
-	guard.Stretch(dialed)
+	guard.AllowSlowRead(dialed)
 	require.Equal(t, 3200, tcpOption(t, dialed, tcpUserTimeout))
 }
 
@@ -69,9 +69,9 @@
 func TestZeroGuardChangesNothing(t *testing.T) {
 	dialed, _ := connect(t, Guard{})
 	before := tcpOption(t, dialed, syscall.TCP_KEEPIDLE)
-	Guard{}.Protect(dialed, time.Millisecond)
-	Guard{}.Stretch(dialed)
-	Guard{}.Count()
+	Guard{}.Apply(dialed, time.Millisecond)
+	Guard{}.AllowSlowRead(dialed)
+	Guard{}.ReportDead()
 	require.Zero(t, tcpOption(t, dialed, tcpUserTimeout))
 	require.Equal(t, before, tcpOption(t, dialed, syscall.TCP_KEEPIDLE))
 }
@@ -80,7 +80,7 @@
 func TestRejectedSocketOptionIsReported(t *testing.T) {
 	dialed, _ := connect(t, Guard{})
 	var reported error
-	Guard{Limits: Limits{Idle: time.Second, Interval: time.Second, Probes: 1 << 20}, Unguarded: func(err error) { reported = err }}.Protect(dialed, 0)
+	Guard{Limits: Limits{Idle: time.Second, Interval: time.Second, Probes: 1 << 20}, OnOptionError: func(err error) { reported = err }}.Apply(dialed, 0)
 	require.ErrorIs(t, reported, syscall.EINVAL)
 }
 
@@ -108,9 +108,9 @@
 
 // Guards against mistaking other connection errors for a dead connection.
 func TestOnlyKernelTimeoutsCountAsBroken(t *testing.T) {
-	require.True(t, Broken(&net.OpError{Op: "read", Err: syscall.ETIMEDOUT}))
-	require.False(t, Broken(&net.OpError{Op: "read", Err: syscall.ECONNRESET}))
-	require.False(t, Broken(nil))
+	require.True(t, IsTimeout(&net.OpError{Op: "read", Err: syscall.ETIMEDOUT}))
+	require.False(t, IsTimeout(&net.OpError{Op: "read", Err: syscall.ECONNRESET}))
+	require.False(t, IsTimeout(nil))
 }
 
 // Guards against declaring bytes overdue that are still in flight, for example where a slow peer
--- a/internal/simcluster/network_test.go
+++ b/internal/simcluster/network_test.go
@@ -61,7 +61,7 @@
 		listeners:     map[string]*listener{},
 	}
 	n.closed, n.close = context.WithCancel(context.Background())
-	n.SetJudge(n.judge)
+	n.SetFaultInjector(n.judge)
 	n.add(platformAddress, "")
 	n.add(callersAddress, "")
 	return n
@@ -103,10 +103,10 @@
 	n.change(func() { n.duplicate = duplicate })
 }
 
-func (n *network) judge(from, to peer.Address, _ string) peer.Verdict {
+func (n *network) judge(from, to peer.Address, _ string) peer.InjectedFault {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	verdict := peer.Verdict{Delay: betweenZones, Duplicate: n.duplicate}
+	verdict := peer.InjectedFault{Delay: betweenZones, Duplicate: n.duplicate}
 	sender, receiver := n.places[string(from)], n.places[string(to)]
 	if sender != nil && receiver != nil && sender.zone == receiver.zone {
 		verdict.Delay = withinZone
--- a/internal/standing/learner.go
+++ b/internal/standing/learner.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxRoutes and maxPrograms bound the memory of a Learner.
+	// maxRoutes and maxPrograms bound the memory of a Estimator.
 	maxRoutes   = 256
 	maxPrograms = 1024
 )
@@ -22,19 +22,19 @@
 	Line    string // sequence of turns within the program, such as a sub-agent's; empty if unknown
 	// Begins says that the turn does not continue an earlier one.
 	Begins bool
-	// Place is the number of the turn within its line, from 1; 0 if unknown.
-	Place  int
-	Timed  bool          // Finish is set
-	Finish time.Duration // time left until the caller's deadline for the program
-	Hint   int           // the caller's estimate of the tokens to be generated; 0 if none
+	// Number is the number of the turn within its line, from 1; 0 if unknown.
+	Number       int
+	HasFinish    bool          // Finish is set
+	TimeToFinish time.Duration // time left until the caller's deadline for the program
+	Hint         int           // the caller's estimate of the tokens to be generated; 0 if none
 }
 
-// Took is the outcome of a turn.
-type Took struct {
-	Failed bool          // the turn did not complete
-	Whole  time.Duration // from arrival to the end
-	First  time.Duration // from sending to a worker to the first event
-	Tokens int           // tokens generated
+// Outcome is the outcome of a turn.
+type Outcome struct {
+	Failed     bool          // the turn did not complete
+	Total      time.Duration // from arrival to the end
+	FirstEvent time.Duration // from sending to a worker to the first event
+	Tokens     int           // tokens generated
 }
 
 // programState is the state of a program with turns at this node. Its main line is the line of its
@@ -49,17 +49,17 @@
 	endedAt      time.Time     // when the latest turn completed; zero if none has
 }
 
-// Learner estimates from the turns that pass through a node how long programs take. It is safe for
+// Estimator estimates from the turns that pass through a node how long programs take. It is safe for
 // concurrent use and bounded in memory.
-type Learner struct {
+type Estimator struct {
 	mutex    sync.Mutex
 	routes   fifoMap[string, routeStats]
 	programs fifoMap[uint64, programState]
 }
 
-// NewLearner returns a Learner without observations.
-func NewLearner() *Learner {
-	return &Learner{
+// NewEstimator returns a Estimator without observations.
+func NewEstimator() *Estimator {
+	return &Estimator{
 		routes:   newFIFOMap[string, routeStats](maxRoutes),
 		programs: newFIFOMap[uint64, programState](maxPrograms),
 	}
@@ -67,12 +67,12 @@
 
 // Begin records the start of a turn and returns the scheduling state of its program, without Returns.
 // The caller must call End when the turn is over.
-func (l *Learner) Begin(turn Turn, now time.Time) Program {
+func (l *Estimator) Begin(turn Turn, now time.Time) Program {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	program := Program{
 		Key: turn.Program, Tenant: turn.Tenant, Urgency: turn.Urgency,
-		Begins: turn.Begins, Timed: turn.Timed, Finish: turn.Finish,
+		Begins: turn.Begins, Timed: turn.HasFinish, Finish: turn.TimeToFinish,
 	}
 	stats := l.routeStats(turn.Route)
 	state := l.programs.get(xxhash.Sum64String(turn.Program))
@@ -92,7 +92,7 @@
 }
 
 // End records the outcome of a turn that was passed to Begin.
-func (l *Learner) End(turn Turn, took Took, now time.Time) {
+func (l *Estimator) End(turn Turn, took Outcome, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	stats := l.routeStats(turn.Route)
@@ -103,14 +103,14 @@
 	if took.Failed {
 		return
 	}
-	stats.turn.observe(took.Whole, unloadedQuantile)
-	stats.first.observe(took.First, unloadedQuantile)
+	stats.turn.observe(took.Total, unloadedQuantile)
+	stats.first.observe(took.FirstEvent, unloadedQuantile)
 	stats.hints.observe(turn.Hint, took.Tokens)
 }
 
-// Idle returns how long a turn of a route takes without queueing, in all and until its first event.
+// UnloadedTime returns how long a turn of a route takes without queueing, in all and until its first event.
 // known is false while there are too few observations.
-func (l *Learner) Idle(route string) (whole, first time.Duration, known bool) {
+func (l *Estimator) UnloadedTime(route string) (whole, first time.Duration, known bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	stats := l.routes.get(route)
@@ -121,7 +121,7 @@
 }
 
 // routeStats returns the estimates of a route and adds them if needed.
-func (l *Learner) routeStats(route string) *routeStats {
+func (l *Estimator) routeStats(route string) *routeStats {
 	if stats := l.routes.get(route); stats != nil {
 		return stats
 	}
@@ -129,10 +129,10 @@
 }
 
 // addProgram adds a program at its first turn.
-func (l *Learner) addProgram(turn Turn) *programState {
+func (l *Estimator) addProgram(turn Turn) *programState {
 	state := l.programs.add(xxhash.Sum64String(turn.Program))
 	state.line = xxhash.Sum64String(turn.Line)
-	state.budget = turn.Finish
+	state.budget = turn.TimeToFinish
 	return state
 }
 
@@ -140,7 +140,7 @@
 // by the number of its turn. If that is unknown or observations are too few it returns one turn; without
 // any observations, zeros.
 func (r *routeStats) remainingFromPlace(turn Turn) (needs time.Duration, turns int) {
-	if needs, turns, known := r.remaining(turn.Place); known {
+	if needs, turns, known := r.remaining(turn.Number); known {
 		return needs + r.hintAdjustment(turn), turns
 	}
 	return r.turn.value, min(1, r.turn.count)
@@ -155,9 +155,9 @@
 // beginTurn updates the program at the start of a turn.
 func (s *programState) beginTurn(turn Turn, stats *routeStats, now time.Time) {
 	if turn.Begins && s.endedAt.IsZero() {
-		s.waited = max(0, s.budget-turn.Finish) // no turn has completed: all time since the first try was spent waiting
+		s.waited = max(0, s.budget-turn.TimeToFinish) // no turn has completed: all time since the first try was spent waiting
 	}
-	if s.line != xxhash.Sum64String(turn.Line) || turn.Place > 0 && turn.Place <= s.place {
+	if s.line != xxhash.Sum64String(turn.Line) || turn.Number > 0 && turn.Number <= s.place {
 		return // a sub-agent's turn or a retry
 	}
 	if turn.Begins && s.place >= 1 {
@@ -166,16 +166,16 @@
 	if !s.endedAt.IsZero() && s.running == 0 {
 		stats.pause.observe(now.Sub(s.endedAt), medianQuantile)
 	}
-	s.place = max(s.place+1, turn.Place)
+	s.place = max(s.place+1, turn.Number)
 }
 
 // endTurn updates the program at the end of a turn.
-func (s *programState) endTurn(turn Turn, stats *routeStats, took Took, now time.Time) {
+func (s *programState) endTurn(turn Turn, stats *routeStats, took Outcome, now time.Time) {
 	s.running = max(0, s.running-1)
 	mainLine := s.line == xxhash.Sum64String(turn.Line)
 	if took.Failed {
 		if mainLine {
-			s.waited += took.Whole
+			s.waited += took.Total
 		}
 		return
 	}
@@ -184,7 +184,7 @@
 		return
 	}
 	if stats.turn.known() {
-		s.waited += max(0, took.Whole-stats.turn.value)
+		s.waited += max(0, took.Total-stats.turn.value)
 	}
 	s.countTurn(turn, stats)
 }
@@ -197,9 +197,9 @@
 	}
 	s.countedPlace = s.place
 	stats.countReached(s.place)
-	if turn.Timed && s.place == 1 {
-		stats.budget.observe(turn.Finish, medianQuantile)
-		stats.lowBudget.observe(turn.Finish, lowBudgetQuantile)
+	if turn.HasFinish && s.place == 1 {
+		stats.budget.observe(turn.TimeToFinish, medianQuantile)
+		stats.lowBudget.observe(turn.TimeToFinish, lowBudgetQuantile)
 	}
 }
 
@@ -214,7 +214,7 @@
 // remaining estimates the remaining time and turns of the program: the total need derived from its
 // budget, less the time spent since the first turn except for waiting, but at least one turn.
 func (s *programState) remaining(turn Turn, stats *routeStats) (needs time.Duration, turns int) {
-	elapsed := s.budget - turn.Finish
+	elapsed := s.budget - turn.TimeToFinish
 	needs = max(stats.totalNeed(s.budget)-max(0, elapsed-s.waited), stats.turn.value)
 	return needs + stats.hintAdjustment(turn), stats.turnsIn(needs)
 }
--- a/internal/standing/learner_test.go
+++ b/internal/standing/learner_test.go
@@ -8,15 +8,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// programRunner runs programs of equal turns with equal pauses through a Learner. A caller's budget is
+// programRunner runs programs of equal turns with equal pauses through a Estimator. A caller's budget is
 // one and a half times the unloaded duration.
 type programRunner struct {
-	learner *Learner
+	learner *Estimator
 	now     time.Time
 }
 
 func newProgramRunner() *programRunner {
-	return &programRunner{learner: NewLearner(), now: time.Unix(1000, 0)}
+	return &programRunner{learner: NewEstimator(), now: time.Unix(1000, 0)}
 }
 
 const (
@@ -36,14 +36,14 @@
 		turn := newTurn(name, place, budgetFor(turns)-p.now.Sub(began))
 		states = append(states, p.learner.Begin(turn, p.now))
 		p.now = p.now.Add(testTurn + wait)
-		p.learner.End(turn, Took{Whole: testTurn + wait, First: testTurn/4 + wait, Tokens: 100}, p.now)
+		p.learner.End(turn, Outcome{Total: testTurn + wait, FirstEvent: testTurn/4 + wait, Tokens: 100}, p.now)
 		p.now = p.now.Add(testPause)
 	}
 	return states
 }
 
 func newTurn(name string, place int, finish time.Duration) Turn {
-	return Turn{Route: "r", Program: name, Line: "main", Begins: place == 1, Place: place, Timed: true, Finish: finish}
+	return Turn{Route: "r", Program: name, Line: "main", Begins: place == 1, Number: place, HasFinish: true, TimeToFinish: finish}
 }
 
 // Without observations the need must be derived from the caller's budget.
@@ -126,12 +126,12 @@
 		for place := 1; place <= 3; place++ {
 			turn := newTurn(name, place, budgetFor(3))
 			p.learner.Begin(turn, p.now)
-			p.learner.End(turn, Took{Whole: testTurn, First: testTurn / 4}, p.now.Add(testTurn))
+			p.learner.End(turn, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
 			for agent := range 5 {
 				helper := newTurn(name, place+1, budgetFor(3))
 				helper.Line = fmt.Sprint("agent", agent)
 				p.learner.Begin(helper, p.now)
-				p.learner.End(helper, Took{Whole: testTurn, First: testTurn / 4}, p.now.Add(testTurn))
+				p.learner.End(helper, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
 			}
 			p.now = p.now.Add(testTurn + testPause)
 		}
@@ -147,7 +147,7 @@
 		p.run(fmt.Sprint("calm", index), 4, 0)
 	}
 	before := p.learner.Begin(newTurn("again", 1, budgetFor(4)), p.now)
-	p.learner.End(newTurn("again", 1, budgetFor(4)), Took{Failed: true}, p.now)
+	p.learner.End(newTurn("again", 1, budgetFor(4)), Outcome{Failed: true}, p.now)
 	after := p.learner.Begin(newTurn("again", 1, budgetFor(4)-time.Second), p.now.Add(time.Second))
 	require.True(t, after.Begins)
 	require.InDelta(t, before.Needs.Seconds(), after.Needs.Seconds(), 0.01)
@@ -158,16 +158,16 @@
 
 // Hints must affect the estimate only if they predict the number of tokens.
 func TestHintIsWeightedByItsAccuracy(t *testing.T) {
-	good, bad := NewLearner(), NewLearner()
+	good, bad := NewEstimator(), NewEstimator()
 	for index := range 200 {
 		tokens := 50 + 100*(index%2)
 		turn := newTurn(fmt.Sprint("p", index), 1, time.Second)
 		turn.Hint = tokens
 		good.Begin(turn, time.Unix(0, 0))
-		good.End(turn, Took{Whole: testTurn, First: testTurn / 4, Tokens: tokens}, time.Unix(0, 0))
+		good.End(turn, Outcome{Total: testTurn, FirstEvent: testTurn / 4, Tokens: tokens}, time.Unix(0, 0))
 		turn.Hint = 50 + 100*(index/2%2)
 		bad.Begin(turn, time.Unix(0, 0))
-		bad.End(turn, Took{Whole: testTurn, First: testTurn / 4, Tokens: tokens}, time.Unix(0, 0))
+		bad.End(turn, Outcome{Total: testTurn, FirstEvent: testTurn / 4, Tokens: tokens}, time.Unix(0, 0))
 	}
 	long := newTurn("long", 1, time.Second)
 	usual := newTurn("usual", 1, time.Second)
@@ -176,9 +176,9 @@
 	require.Equal(t, bad.Begin(long, time.Unix(0, 0)).Needs, bad.Begin(usual, time.Unix(0, 0)).Needs)
 }
 
-// Many programs and routes must not make a Learner grow without limit.
+// Many programs and routes must not make a Estimator grow without limit.
 func TestLearnerMemoryIsBounded(t *testing.T) {
-	l := NewLearner()
+	l := NewEstimator()
 	for index := range 10 * maxPrograms {
 		turn := newTurn(fmt.Sprint("p", index), 1, time.Second)
 		turn.Route = fmt.Sprint("r", index)
--- a/internal/standing/order.go
+++ b/internal/standing/order.go
@@ -84,13 +84,13 @@
 	}
 }
 
-// Band is the range of worker priorities, First to Last inclusive, that requests of one urgency share.
+// PriorityRange is the range of worker priorities, First to Last inclusive, that requests of one urgency share.
 // Workers run lower numbers first.
-type Band struct{ First, Last int }
+type PriorityRange struct{ First, Last int }
 
 // Priority returns the worker priority within the band for a program's request. A band with fewer
 // priorities than classes maps several classes to the same priority.
-func (b Band) Priority(program Program) int {
+func (b PriorityRange) Priority(program Program) int {
 	class := Classify(program)
 	width := b.Last - b.First + 1
 	step := 0
--- a/internal/standing/order_test.go
+++ b/internal/standing/order_test.go
@@ -90,7 +90,7 @@
 func TestPriorityStaysInBand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := rapid.IntRange(0, 9).Draw(t, "first")
-		band := Band{First: first, Last: rapid.IntRange(first, 9).Draw(t, "last")}
+		band := PriorityRange{First: first, Last: rapid.IntRange(first, 9).Draw(t, "last")}
 		a, b := drawProgram(t, "a"), drawProgram(t, "b")
 		b.Urgency = a.Urgency
 		for _, program := range []Program{a, b} {
@@ -105,7 +105,7 @@
 
 // Even a band of two priorities must separate new programs from those in progress.
 func TestNarrowBandSeparatesNewPrograms(t *testing.T) {
-	band := Band{First: 0, Last: 1}
+	band := PriorityRange{First: 0, Last: 1}
 	require.Equal(t, 0, band.Priority(newProgram(nil)))
 	require.Equal(t, 1, band.Priority(newProgram(notStarted)))
 	require.Equal(t, 0, band.Priority(newProgram(late)))
--- a/internal/store/expiry.go
+++ b/internal/store/expiry.go
@@ -23,9 +23,9 @@
 	return append(value, payload...)
 }
 
-// CutExpiry splits a value into its expiry time and its payload. It fails with ErrNoExpiry if
+// SplitExpiry splits a value into its expiry time and its payload. It fails with ErrNoExpiry if
 // the value is too short.
-func CutExpiry(value []byte) (expires time.Time, payload []byte, err error) {
+func SplitExpiry(value []byte) (expires time.Time, payload []byte, err error) {
 	if len(value) < expiryBytes {
 		return time.Time{}, nil, ErrNoExpiry
 	}
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -27,12 +27,12 @@
 	maxConclusiveTime = 120 * time.Millisecond
 )
 
-// ErrPartClosed is an ErrNotDone returned without a call to the table, since recent calls to
+// ErrPartUnavailable is an ErrNotApplied returned without a call to the table, since recent calls to
 // the part failed.
-var ErrPartClosed = fmt.Errorf("recent calls to this part of the table failed: %w", ErrNotDone)
+var ErrPartUnavailable = fmt.Errorf("recent calls to this part of the table failed: %w", ErrNotApplied)
 
 // Gate is a circuit breaker around a Store. After a failure of a part, calls to it fail with
-// ErrPartClosed for a short time, so that callers use another part. After consecutive
+// ErrPartUnavailable for a short time, so that callers use another part. After consecutive
 // failures of many parts the whole gate closes: callers wait until it opens or their
 // context ends, while the gate probes the table (see probe). An open gate lets calls
 // through, a closed gate blocks them. Watch is not guarded: its callers make one call at a
@@ -40,7 +40,7 @@
 type Gate struct {
 	Store
 	logger   log.Interface
-	latency  wait.Estimate // of calls to the table
+	latency  wait.LatencyEstimate // of calls to the table
 	mutex    sync.Mutex
 	closedAt time.Time
 	failures int // consecutive failures of different parts; see closePart
@@ -68,9 +68,9 @@
 	patienceFactor = 2
 )
 
-// Patience implements Paced. It follows the observed latency of the table.
+// Patience implements LatencyTracker. It follows the observed latency of the table.
 func (g *Gate) Patience() time.Duration {
-	return min(max(patienceFactor*g.latency.Longest(0, maxPatience), minPatience), maxPatience)
+	return min(max(patienceFactor*g.latency.Timeout(0, maxPatience), minPatience), maxPatience)
 }
 
 // partPause is the pause during which calls to a failed part are rejected.
@@ -87,9 +87,9 @@
 	return g.opened != nil || g.failures >= suspectThreshold
 }
 
-// Lost reports whether the table is unreachable. For a Gate it is the same as Suspect, since
+// Unreachable reports whether the table is unreachable. For a Gate it is the same as Suspect, since
 // there is no other path to the table.
-func (g *Gate) Lost() bool { return g.Suspect() }
+func (g *Gate) Unreachable() bool { return g.Suspect() }
 
 // NewGate returns an open gate around table. It logs when it closes and opens.
 func NewGate(table Store, logger log.Interface) *Gate {
@@ -98,7 +98,7 @@
 
 // Commit implements Store.
 func (g *Gate) Commit(ctx context.Context, transaction Transaction) (Version, error) {
-	first := transaction.First()
+	first := transaction.FirstKey()
 	if err := g.enter(ctx, first); err != nil {
 		return 0, err
 	}
@@ -122,7 +122,7 @@
 	return page, err
 }
 
-// enter waits until the call may be made, and fails with ErrNotDone otherwise. While it waits
+// enter waits until the call may be made, and fails with ErrNotApplied otherwise. While it waits
 // or the table is suspect, it probes the table with reads at key.
 func (g *Gate) enter(ctx context.Context, key Key) error {
 	opened, err := g.state(key.Part)
@@ -138,7 +138,7 @@
 		g.probe(key)
 		select {
 		case <-ctx.Done():
-			return errors.Join(ErrNotDone, ctx.Err())
+			return errors.Join(ErrNotApplied, ctx.Err())
 		case <-opened:
 		case <-tick.C:
 		}
@@ -148,7 +148,7 @@
 }
 
 // state returns a channel that is closed when the gate opens, if the whole gate is closed.
-// Otherwise it returns ErrPartClosed if calls to the part are paused.
+// Otherwise it returns ErrPartUnavailable if calls to the part are paused.
 func (g *Gate) state(part string) (opened chan struct{}, err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -156,32 +156,32 @@
 		return g.opened, nil
 	}
 	if failed, ok := g.parts[part]; ok && time.Now().Before(failed.until) {
-		return nil, ErrPartClosed
+		return nil, ErrPartUnavailable
 	}
 	return nil, nil
 }
 
 // leave records the result of a call that started at begun. Calls that the caller canceled, or
 // that timed out before the usual latency (at most maxConclusiveTime), are ignored, and so is
-// ErrOldConnection. ErrThrottled counts as a success, since it shows that the table and the part
+// ErrStaleConnection. ErrThrottled counts as a success, since it shows that the table and the part
 // respond.
 func (g *Gate) leave(ctx context.Context, part string, begun time.Time, err error) {
 	took := time.Since(begun)
-	if Answered(err) {
+	if IsDefinite(err) {
 		g.latency.Observe(took)
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	switch {
-	case Answered(err):
+	case IsDefinite(err):
 		delete(g.parts, part)
 		g.open("call")
 	case errors.Is(err, ErrThrottled):
 		delete(g.parts, part)
 		g.open("refusal")
-	case errors.Is(err, ErrOldConnection): // not a failure of the table
+	case errors.Is(err, ErrStaleConnection): // not a failure of the table
 	case errors.Is(ctx.Err(), context.Canceled):
-	case ctx.Err() != nil && took < g.latency.Longest(0, maxConclusiveTime):
+	case ctx.Err() != nil && took < g.latency.Timeout(0, maxConclusiveTime):
 	case g.closePart(part):
 		g.failures++
 		g.close(err)
--- a/internal/store/hedge.go
+++ b/internal/store/hedge.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// Paced is a Store that tracks its usual latency.
-type Paced interface {
+// LatencyTracker is a Store that tracks its usual latency.
+type LatencyTracker interface {
 	// Patience returns how long to wait for a response before sending another attempt.
 	Patience() time.Duration
 }
 
-// defaultPatience applies to stores that are not Paced.
+// defaultPatience applies to stores that are not LatencyTracker.
 const defaultPatience = 60 * time.Millisecond
 
 // hedgeDelays are the delays before the additional attempts of a hedged commit, each counted
 // from the attempt before, as multiples of the store's patience.
 var hedgeDelays = []time.Duration{1, 4, 8}
 
-// PatienceWith returns how long to wait for a response from table before another attempt. The
+// PatienceAtLeast returns how long to wait for a response from table before another attempt. The
 // result is never less than least.
-func PatienceWith(table Store, least time.Duration) time.Duration {
+func PatienceAtLeast(table Store, least time.Duration) time.Duration {
 	return max(least, patienceOf(table))
 }
 
 func patienceOf(table Store) time.Duration {
-	if paced, ok := table.(Paced); ok {
+	if paced, ok := table.(LatencyTracker); ok {
 		return paced.Patience()
 	}
 	return defaultPatience
@@ -43,7 +43,7 @@
 // sends the same transaction again on another connection, and returns the first conclusive
 // result. ErrPartClosed is conclusive. After ErrThrottled it backs off, and gives up if the
 // deadline of ctx comes before the next attempt and no attempt is in flight. It also gives up
-// when ctx ends. The error is ErrNotDone only if no attempt can have had an effect.
+// when ctx ends. The error is ErrNotApplied only if no attempt can have had an effect.
 //
 // Since several attempts may reach the table, the caller must be able to recognize its own
 // write in the rows of a Conflict.
@@ -106,7 +106,7 @@
 		case result := <-h.results:
 			h.inFlight--
 			h.note(result)
-			if Answered(result.err) {
+			if IsDefinite(result.err) {
 				return result.version, result.err
 			}
 			if result.conclusive() {
@@ -151,13 +151,13 @@
 	return notDone(err, !h.uncertain && h.inFlight == 0)
 }
 
-// notDone returns err as an ErrNotDone if certain, and otherwise as an error that is not an
-// ErrNotDone.
+// notDone returns err as an ErrNotApplied if certain, and otherwise as an error that is not an
+// ErrNotApplied.
 func notDone(err error, certain bool) error {
 	switch {
 	case certain:
-		return errors.Join(ErrNotDone, err)
-	case !errors.Is(err, ErrNotDone):
+		return errors.Join(ErrNotApplied, err)
+	case !errors.Is(err, ErrNotApplied):
 		return err
 	}
 	return fmt.Errorf("the transaction may have had an effect: %s", err)
@@ -170,9 +170,9 @@
 }
 
 // uncertain reports whether it is unknown if the attempt had an effect.
-func (r commitResult) uncertain() bool { return !Answered(r.err) && !errors.Is(r.err, ErrNotDone) }
+func (r commitResult) uncertain() bool { return !IsDefinite(r.err) && !errors.Is(r.err, ErrNotApplied) }
 
 // conclusive reports whether the commit should fail without another attempt.
 func (r commitResult) conclusive() bool {
-	return errors.Is(r.err, ErrPartClosed)
+	return errors.Is(r.err, ErrPartUnavailable)
 }
--- a/internal/store/oldconnection_test.go
+++ b/internal/store/oldconnection_test.go
@@ -13,12 +13,12 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-// oldConnections is a table whose reads all fail with ErrOldConnection.
+// oldConnections is a table whose reads all fail with ErrStaleConnection.
 type oldConnections struct{ *storetest.Table }
 
 // Range implements store.Store.
 func (oldConnections) Range(context.Context, string, string, string, string, int) (store.Page, error) {
-	return store.Page{}, store.ErrOldConnection
+	return store.Page{}, store.ErrStaleConnection
 }
 
 // Calls that fail on old connections must not trip the breaker: the next call is made at
@@ -29,7 +29,7 @@
 		gate := store.NewGate(oldConnections{table}, &log.Logger{Handler: discard.New()})
 		for part := range 20 {
 			_, err := gate.Range(t.Context(), "t", string(rune('a'+part)), "", "", 0)
-			require.ErrorIs(t, err, store.ErrOldConnection)
+			require.ErrorIs(t, err, store.ErrStaleConnection)
 		}
 		require.False(t, gate.Suspect())
 		_, err := gate.Commit(t.Context(), store.Transaction{Put: []store.Row{{Key: store.Key{Table: "t", Part: "a", Name: "k"}}}})
--- a/internal/store/probe.go
+++ b/internal/store/probe.go
@@ -57,7 +57,7 @@
 
 // probeTimeout returns the timeout of a probe.
 func (g *Gate) probeTimeout() time.Duration {
-	return max(minProbeTimeout, probeTimeoutFactor*g.latency.Longest(0, maxProbeTimeout/probeTimeoutFactor))
+	return max(minProbeTimeout, probeTimeoutFactor*g.latency.Timeout(0, maxProbeTimeout/probeTimeoutFactor))
 }
 
 // beginProbe reports whether a probe is due, and if so counts it as sent.
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -26,11 +26,11 @@
 // outage is a kind of outage of a table. begin starts it for the parts that affected accepts.
 type outage struct {
 	name  string
-	begin func(table *storetest.Distant, latency time.Duration, affected func(part string) bool)
+	begin func(table *storetest.SlowTable, latency time.Duration, affected func(part string) bool)
 }
 
-func faultOf(fault storetest.Fault) func(*storetest.Distant, time.Duration, func(string) bool) {
-	return func(table *storetest.Distant, _ time.Duration, affected func(string) bool) {
+func faultOf(fault storetest.Fault) func(*storetest.SlowTable, time.Duration, func(string) bool) {
+	return func(table *storetest.SlowTable, _ time.Duration, affected func(string) bool) {
 		table.SetFault(func(part string, _ bool) storetest.Fault {
 			if affected(part) {
 				return fault
@@ -41,10 +41,10 @@
 }
 
 var outages = []outage{
-	{"slow", func(table *storetest.Distant, latency time.Duration, _ func(string) bool) {
-		table.SetTakes(100 * latency)
+	{"slow", func(table *storetest.SlowTable, latency time.Duration, _ func(string) bool) {
+		table.SetLatency(100 * latency)
 	}},
-	{"silent", faultOf(storetest.Silent)},
+	{"silent", faultOf(storetest.RequestLost)},
 	{"busy", faultOf(storetest.Refused)},
 }
 
@@ -83,24 +83,24 @@
 					continue // the fake slows down all parts
 				}
 				t.Run(fmt.Sprint(latency, " ", outage.name, " ", name), func(t *testing.T) {
-					testRecovery(t, latency, func(table *storetest.Distant) { outage.begin(table, latency, affected) })
+					testRecovery(t, latency, func(table *storetest.SlowTable) { outage.begin(table, latency, affected) })
 				})
 			}
 		}
 	}
 }
 
-func testRecovery(t *testing.T, latency time.Duration, begin func(*storetest.Distant)) {
+func testRecovery(t *testing.T, latency time.Duration, begin func(*storetest.SlowTable)) {
 	const healthy, duration, watched, parts = time.Second, 4500 * time.Millisecond, 3 * time.Second, 16
 	synctest.Test(t, func(t *testing.T) {
-		table := storetest.NewDistant(latency)
+		table := storetest.NewSlowTable(latency)
 		gate := store.NewGate(table, &log.Logger{Handler: discard.New()})
 		ended := time.Now().Add(healthy + duration)
 		ctx, cancel := context.WithDeadline(t.Context(), ended.Add(recoverWithin+watched))
 		defer cancel()
 		time.AfterFunc(healthy, func() { begin(table) })
 		time.AfterFunc(healthy+duration, func() {
-			table.SetTakes(latency)
+			table.SetLatency(latency)
 			table.SetFault(nil)
 		})
 		failures := make(chan error, 10_000)
@@ -118,7 +118,7 @@
 // Calls with a timeout shorter than the table's latency must not trip the breaker.
 func TestShortTimeoutsDoNotTripTheGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := store.NewGate(storetest.NewDistant(30*time.Millisecond), &log.Logger{Handler: discard.New()})
+		gate := store.NewGate(storetest.NewSlowTable(30*time.Millisecond), &log.Logger{Handler: discard.New()})
 		read := func(part string, within time.Duration) error {
 			ctx, cancel := context.WithTimeout(t.Context(), within)
 			defer cancel()
@@ -141,11 +141,11 @@
 // Probes of a table that does not respond must stay few, and stop when no caller waits.
 func TestProbeRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := storetest.NewDistant(time.Millisecond)
+		table := storetest.NewSlowTable(time.Millisecond)
 		calls := make(chan struct{}, 10_000)
 		table.SetFault(func(string, bool) storetest.Fault {
 			calls <- struct{}{}
-			return storetest.Silent
+			return storetest.RequestLost
 		})
 		gate := store.NewGate(table, &log.Logger{Handler: discard.New()})
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
@@ -163,7 +163,7 @@
 // retried soon.
 func TestPatienceOfFastTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		gate := store.NewGate(storetest.NewDistant(time.Millisecond), &log.Logger{Handler: discard.New()})
+		gate := store.NewGate(storetest.NewSlowTable(time.Millisecond), &log.Logger{Handler: discard.New()})
 		for range 100 {
 			_, err := gate.Commit(t.Context(), store.Transaction{Put: []store.Row{{Key: key}}})
 			require.NoError(t, err)
@@ -175,7 +175,7 @@
 // Once a table is slow, calls must not be hedged before its usual latency.
 func TestSlowCallIsNotHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := storetest.NewDistant(12 * time.Millisecond)
+		table := storetest.NewSlowTable(12 * time.Millisecond)
 		gate := store.NewGate(table, &log.Logger{Handler: discard.New()})
 		commit := func() {
 			_, err := store.CommitHedged(t.Context(), gate, store.Transaction{Put: []store.Row{{Key: key}}})
@@ -183,7 +183,7 @@
 			require.True(t, err == nil || errors.As(err, &conflict))
 		}
 		commit()
-		table.SetTakes(250 * time.Millisecond)
+		table.SetLatency(250 * time.Millisecond)
 		for range 3 {
 			commit()
 		}
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -10,18 +10,18 @@
 	"github.com/apex/log"
 )
 
-// Relays makes calls to the table through other nodes. Its errors are those of a Store;
-// ErrNotDone also means that no other node was available.
-type Relays interface {
+// Relayer makes calls to the table through other nodes. Its errors are those of a Store;
+// ErrNotApplied also means that no other node was available.
+type Relayer interface {
 	// Commit is Store.Commit through another node.
 	Commit(ctx context.Context, transaction Transaction) (Version, error)
 	// Range is Store.Range through another node.
 	Range(ctx context.Context, table, part, from, to string, limit int) (Page, error)
 }
 
-// ErrNoRelay means that a call may not be relayed because of its content. Other calls may
+// ErrNotRelayable means that a call may not be relayed because of its content. Other calls may
 // still be relayed.
-var ErrNoRelay = fmt.Errorf("the call may not be relayed through another node because of its content: %w", ErrNotDone)
+var ErrNotRelayable = fmt.Errorf("the call may not be relayed through another node because of its content: %w", ErrNotApplied)
 
 const (
 	// suspectThreshold is the number of consecutive failures of different parts after which
@@ -40,16 +40,16 @@
 	relayThrottledAfter = 8
 )
 
-// Relayed is a Store that falls back to relaying calls through other nodes: the platform may
+// RelayedStore is a Store that falls back to relaying calls through other nodes: the platform may
 // reject, throttle or cut off some nodes while it serves the others.
 //
 // A call is made directly. It is also relayed if the direct path fails, does not respond or
 // failed recently; the first definite result is returned. Throttled calls are relayed only
 // after many in a row, since the rate limit normally applies to all nodes alike. Both
 // attempts may take effect, so callers must recognize their own writes, as for CommitHedged.
-type Relayed struct {
+type RelayedStore struct {
 	*Gate
-	relays Relays
+	relays Relayer
 	logger log.Interface
 
 	mutex  sync.Mutex
@@ -62,19 +62,19 @@
 
 // NewRelayed returns a Store that calls the table through gate, and through relays where that
 // fails. It logs when relaying starts and stops working.
-func NewRelayed(gate *Gate, relays Relays, logger log.Interface) *Relayed {
-	return &Relayed{Gate: gate, relays: relays, logger: logger}
+func NewRelayed(gate *Gate, relays Relayer, logger log.Interface) *RelayedStore {
+	return &RelayedStore{Gate: gate, relays: relays, logger: logger}
 }
 
-// Lost reports whether the last calls failed both directly and through other nodes.
-func (r *Relayed) Lost() bool {
+// Unreachable reports whether the last calls failed both directly and through other nodes.
+func (r *RelayedStore) Unreachable() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return !r.active && r.Suspect()
 }
 
 // Commit implements Store.
-func (r *Relayed) Commit(ctx context.Context, transaction Transaction) (Version, error) {
+func (r *RelayedStore) Commit(ctx context.Context, transaction Transaction) (Version, error) {
 	return callBothPaths(ctx, r, func(ctx context.Context) (Version, error) {
 		return r.Gate.Commit(ctx, transaction)
 	}, func(ctx context.Context) (Version, error) {
@@ -83,7 +83,7 @@
 }
 
 // Range implements Store.
-func (r *Relayed) Range(ctx context.Context, table, part, from, to string, limit int) (Page, error) {
+func (r *RelayedStore) Range(ctx context.Context, table, part, from, to string, limit int) (Page, error) {
 	return callBothPaths(ctx, r, func(ctx context.Context) (Page, error) {
 		return r.Gate.Range(ctx, table, part, from, to, limit)
 	}, func(ctx context.Context) (Page, error) {
@@ -100,7 +100,7 @@
 
 // callBothPaths makes a call directly and, if needed, also through another node. It returns
 // the first definite result.
-func callBothPaths[T any](ctx context.Context, r *Relayed, direct, relay func(context.Context) (T, error)) (T, error) {
+func callBothPaths[T any](ctx context.Context, r *RelayedStore, direct, relay func(context.Context) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan pathResult[T], 2)
@@ -137,7 +137,7 @@
 				r.recordRelay(ctx, result.err)
 			}
 			helps := result.relayed || r.recordDirect(result.err)
-			if Answered(result.err) {
+			if IsDefinite(result.err) {
 				return result.value, result.err
 			}
 			failure = leastCertain(failure, result.err)
@@ -155,7 +155,7 @@
 // leastCertain returns the error of a call that failed by both paths: the error of the path by
 // which it may have had an effect, if any, otherwise the first.
 func leastCertain(first, second error) error {
-	if first == nil || errors.Is(first, ErrNotDone) && !errors.Is(second, ErrNotDone) {
+	if first == nil || errors.Is(first, ErrNotApplied) && !errors.Is(second, ErrNotApplied) {
 		return second
 	}
 	return first
@@ -163,11 +163,11 @@
 
 // recordDirect records the result of a direct call, and reports whether relaying the call may
 // help.
-func (r *Relayed) recordDirect(err error) (helps bool) {
+func (r *RelayedStore) recordDirect(err error) (helps bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch {
-	case Answered(err):
+	case IsDefinite(err):
 		r.throttled = 0
 	case errors.Is(err, ErrThrottled):
 		r.throttled++
@@ -177,7 +177,7 @@
 }
 
 // mayRelay reports whether relaying is not paused.
-func (r *Relayed) mayRelay() bool {
+func (r *RelayedStore) mayRelay() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return !time.Now().Before(r.until)
@@ -185,13 +185,13 @@
 
 // recordRelay records the result of a relayed call. Calls that were canceled, timed out or may
 // not be relayed are ignored.
-func (r *Relayed) recordRelay(ctx context.Context, err error) {
+func (r *RelayedStore) recordRelay(ctx context.Context, err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if !Answered(err) && ctx.Err() != nil || errors.Is(err, ErrNoRelay) {
+	if !IsDefinite(err) && ctx.Err() != nil || errors.Is(err, ErrNotRelayable) {
 		return
 	}
-	if was := r.active; was != Answered(err) {
+	if was := r.active; was != IsDefinite(err) {
 		r.active = !was
 		r.logger.WithField("relayed", r.active).Info("relaying of table calls through other nodes started (relayed=true) or stopped (relayed=false) working; it stays the fallback for failed direct calls")
 	}
--- a/internal/store/relay_test.go
+++ b/internal/store/relay_test.go
@@ -16,20 +16,20 @@
 )
 
 // paths is a direct and a relayed path to one table, each with its own fault. It implements
-// store.Relays, the relayed path.
+// store.Relayer, the relayed path.
 type paths struct {
 	table         *storetest.Table
 	direct, relay storetest.Fault
 	relayed       int // relayed calls
 }
 
-// Commit implements store.Relays.
+// Commit implements store.Relayer.
 func (p *paths) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	p.relayed++
 	return withFault(ctx, p.relay, func(ctx context.Context) (store.Version, error) { return p.table.Commit(ctx, transaction) })
 }
 
-// Range implements store.Relays.
+// Range implements store.Relayer.
 func (p *paths) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	p.relayed++
 	return withFault(ctx, p.relay, func(ctx context.Context) (store.Page, error) { return p.table.Range(ctx, table, part, from, to, limit) })
@@ -58,18 +58,18 @@
 	var none T
 	switch fault {
 	case storetest.Refused:
-		return none, store.ErrNotDone
+		return none, store.ErrNotApplied
 	case storetest.Throttled:
 		return none, store.ErrThrottled
-	case storetest.Broken:
-		return none, storetest.ErrBroken
-	case storetest.Applied:
+	case storetest.ConnectionReset:
+		return none, storetest.ErrConnectionReset
+	case storetest.AppliedThenReset:
 		_, _ = call(ctx)
-		return none, storetest.ErrBroken
-	case storetest.Silent:
+		return none, storetest.ErrConnectionReset
+	case storetest.RequestLost:
 		<-ctx.Done()
 		return none, ctx.Err()
-	case storetest.Lost:
+	case storetest.ResponseLost:
 		_, _ = call(ctx)
 		<-ctx.Done()
 		return none, ctx.Err()
@@ -77,13 +77,13 @@
 	return call(ctx)
 }
 
-// newRelayed returns a Relayed that uses both paths.
-func newRelayed(p *paths) *store.Relayed {
+// newRelayed returns a RelayedStore that uses both paths.
+func newRelayed(p *paths) *store.RelayedStore {
 	logger := &log.Logger{Handler: discard.New()}
 	return store.NewRelayed(store.NewGate(directPath{Store: p.table, paths: p}, logger), p, logger)
 }
 
-var failures = []storetest.Fault{storetest.Refused, storetest.Broken, storetest.Applied, storetest.Silent, storetest.Lost}
+var failures = []storetest.Fault{storetest.Refused, storetest.ConnectionReset, storetest.AppliedThenReset, storetest.RequestLost, storetest.ResponseLost}
 
 // A node whose direct path fails must read and write through other nodes without much
 // delay, and must recognize its own write if both paths made it.
@@ -149,21 +149,21 @@
 	}
 }
 
-// A call that may have taken effect by one path must not fail with ErrNotDone, whatever the
+// A call that may have taken effect by one path must not fail with ErrNotApplied, whatever the
 // result of the other path.
 func TestUncertainResultIsKept(t *testing.T) {
-	for _, faults := range [][2]storetest.Fault{{storetest.Broken, storetest.Refused}, {storetest.Refused, storetest.Broken}} {
+	for _, faults := range [][2]storetest.Fault{{storetest.ConnectionReset, storetest.Refused}, {storetest.Refused, storetest.ConnectionReset}} {
 		synctest.Test(t, func(t *testing.T) {
 			table := newRelayed(&paths{table: storetest.New(), direct: faults[0], relay: faults[1]})
 			_, err := table.Commit(t.Context(), write("v", 0))
 			require.Error(t, err)
-			require.NotErrorIs(t, err, store.ErrNotDone)
+			require.NotErrorIs(t, err, store.ErrNotApplied)
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
 		table := newRelayed(&paths{table: storetest.New(), direct: storetest.Refused, relay: storetest.Refused})
 		_, err := table.Commit(t.Context(), write("v", 0))
-		require.ErrorIs(t, err, store.ErrNotDone)
+		require.ErrorIs(t, err, store.ErrNotApplied)
 	})
 }
 
@@ -172,7 +172,7 @@
 func TestRelayingStopsAfterRecovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &paths{table: storetest.New()}
-		distant := storetest.NewDistant(33 * time.Millisecond)
+		distant := storetest.NewSlowTable(33 * time.Millisecond)
 		logger := &log.Logger{Handler: discard.New()}
 		table := store.NewRelayed(store.NewGate(distant, logger), p, logger)
 		read := func() {
@@ -199,7 +199,7 @@
 func TestRelayingAfterHighLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &paths{table: storetest.New()}
-		distant := storetest.NewDistant(400 * time.Millisecond)
+		distant := storetest.NewSlowTable(400 * time.Millisecond)
 		logger := &log.Logger{Handler: discard.New()}
 		table := store.NewRelayed(store.NewGate(distant, logger), p, logger)
 		read := func(part int, within time.Duration) error {
@@ -211,7 +211,7 @@
 		for part := range 8 {
 			require.NoError(t, read(part, time.Second))
 		}
-		distant.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		distant.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		for part := range 8 {
 			_ = read(part, callerTimeout)
 		}
@@ -227,15 +227,15 @@
 	refused bool
 }
 
-// Commit implements store.Relays.
+// Commit implements store.Relayer.
 func (p *unrelayablePaths) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	if p.refused {
-		return 0, store.ErrNoRelay
+		return 0, store.ErrNotRelayable
 	}
 	return p.paths.Commit(ctx, transaction)
 }
 
-// ErrNoRelay for one call must not pause the relaying of other calls.
+// ErrNotRelayable for one call must not pause the relaying of other calls.
 func TestNoRelayDoesNotPauseRelaying(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &unrelayablePaths{paths: &paths{table: storetest.New(), direct: storetest.Refused}, refused: true}
@@ -243,7 +243,7 @@
 		table := store.NewRelayed(store.NewGate(directPath{Store: p.table, paths: p.paths}, logger), p, logger)
 		for range 5 {
 			_, err := table.Commit(t.Context(), write("v", 0))
-			require.ErrorIs(t, err, store.ErrNotDone)
+			require.ErrorIs(t, err, store.ErrNotApplied)
 		}
 		p.refused = false
 		_, err := table.Commit(t.Context(), write("v", 0))
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -45,9 +45,9 @@
 	Remove     []Key
 }
 
-// First returns the key of the transaction's first row, whose part counts as the
+// FirstKey returns the key of the transaction's first row, whose part counts as the
 // transaction's part. It is the zero Key if the transaction is empty.
-func (t Transaction) First() Key {
+func (t Transaction) FirstKey() Key {
 	switch {
 	case len(t.Put) > 0:
 		return t.Put[0].Key
@@ -59,9 +59,9 @@
 	return Key{}
 }
 
-// Across reports whether the transaction's rows belong to more than one part.
-func (t Transaction) Across() bool {
-	part := t.First().Part
+// CrossPart reports whether the transaction's rows belong to more than one part.
+func (t Transaction) CrossPart() bool {
+	part := t.FirstKey().Part
 	return slices.ContainsFunc(t.Conditions, func(c Condition) bool { return c.Part != part }) ||
 		slices.ContainsFunc(t.Put, func(r Row) bool { return r.Part != part }) ||
 		slices.ContainsFunc(t.Remove, func(k Key) bool { return k.Part != part })
@@ -77,7 +77,7 @@
 // Store is the transactional table. All methods are safe for concurrent use.
 type Store interface {
 	// Commit applies the transaction. It fails with *Conflict if a condition does not hold,
-	// and with ErrNotDone if the transaction certainly had no effect. After any other error
+	// and with ErrNotApplied if the transaction certainly had no effect. After any other error
 	// the transaction may have been applied, or may still be applied later if its
 	// conditions hold then.
 	Commit(ctx context.Context, transaction Transaction) (Version, error)
@@ -85,23 +85,23 @@
 	// An empty to means no upper bound; limit 0 means the table's own limit.
 	Range(ctx context.Context, table, part, from, to string, limit int) (Page, error)
 	// Watch waits for changes to a table after the given version, and returns them, or a Page
-	// without rows if there are none within wait. It fails with ErrHistoryGone if the table no
+	// without rows if there are none within wait. It fails with ErrHistoryCompacted if the table no
 	// longer keeps those changes.
 	Watch(ctx context.Context, table string, after Version, wait time.Duration) (Page, error)
 }
 
 var (
-	// ErrNotDone means that the call had no effect and never will have one.
-	ErrNotDone = errors.New("the call to the table had no effect; try again later")
-	// ErrThrottled is an ErrNotDone: the table rejected the call because of its rate limit,
+	// ErrNotApplied means that the call had no effect and never will have one.
+	ErrNotApplied = errors.New("the call to the table had no effect; try again later")
+	// ErrThrottled is an ErrNotApplied: the table rejected the call because of its rate limit,
 	// which all nodes and parts share. A retry after a backoff may succeed.
-	ErrThrottled = fmt.Errorf("the rate limit of the table is exceeded: %w", ErrNotDone)
-	// ErrOldConnection is wrapped by errors of calls whose established connection stopped
+	ErrThrottled = fmt.Errorf("the rate limit of the table is exceeded: %w", ErrNotApplied)
+	// ErrStaleConnection is wrapped by errors of calls whose established connection stopped
 	// responding. It does not indicate that the table is down: the next call uses a new
 	// connection.
-	ErrOldConnection = errors.New("the connection to the table stopped responding; retry on a new connection")
-	// ErrHistoryGone means that the table no longer keeps the requested changes.
-	ErrHistoryGone = errors.New("the table no longer keeps the requested changes; read all rows again, then watch from their version")
+	ErrStaleConnection = errors.New("the connection to the table stopped responding; retry on a new connection")
+	// ErrHistoryCompacted means that the table no longer keeps the requested changes.
+	ErrHistoryCompacted = errors.New("the table no longer keeps the requested changes; read all rows again, then watch from their version")
 )
 
 // Conflict is the error of a transaction whose conditions do not hold. Rows holds the
@@ -113,8 +113,8 @@
 	return fmt.Sprintf("the transaction's conditions do not hold (%d current rows returned); retry with the current rows", len(c.Rows))
 }
 
-// Answered reports whether err is a definite result from the table: nil, or a *Conflict.
-func Answered(err error) bool {
+// IsDefinite reports whether err is a definite result from the table: nil, or a *Conflict.
+func IsDefinite(err error) bool {
 	var conflict *Conflict
 	return err == nil || errors.As(err, &conflict)
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -30,7 +30,7 @@
 // A hedged commit must succeed soon although its first attempt fails, and leave its write
 // recognizable.
 func TestHedgedCommitSurvivesFailedAttempt(t *testing.T) {
-	for fault := storetest.Refused; fault <= storetest.Applied; fault++ {
+	for fault := storetest.Refused; fault <= storetest.AppliedThenReset; fault++ {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			var calls atomic.Int32
@@ -57,7 +57,7 @@
 func TestHedgedCommitEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		table.SetFault(func(string, bool) storetest.Fault { return storetest.Silent })
+		table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := store.CommitHedged(ctx, table, write("v", 0))
@@ -113,11 +113,11 @@
 // Values must keep their expiry and payload, and values too short for an expiry are rejected.
 func TestExpiry(t *testing.T) {
 	expires := time.UnixMilli(1_780_000_000_123)
-	got, payload, err := store.CutExpiry(store.WithExpiry(expires, []byte("x")))
+	got, payload, err := store.SplitExpiry(store.WithExpiry(expires, []byte("x")))
 	require.NoError(t, err)
 	require.True(t, expires.Equal(got))
 	require.Equal(t, "x", string(payload))
-	_, _, err = store.CutExpiry([]byte("short"))
+	_, _, err = store.SplitExpiry([]byte("short"))
 	require.ErrorIs(t, err, store.ErrNoExpiry)
 }
 
@@ -141,7 +141,7 @@
 			return err
 		}
 		for range 100 {
-			require.ErrorIs(t, read("bad"), store.ErrNotDone)
+			require.ErrorIs(t, read("bad"), store.ErrNotApplied)
 			require.NoError(t, read("good"))
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -175,9 +175,9 @@
 	})
 }
 
-// A hedged commit must fail with ErrNotDone only if no attempt can have had an effect.
+// A hedged commit must fail with ErrNotApplied only if no attempt can have had an effect.
 func TestHedgedCommitNotDoneIsCertain(t *testing.T) {
-	for first := storetest.Refused; first <= storetest.Applied; first++ {
+	for first := storetest.Refused; first <= storetest.AppliedThenReset; first++ {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			var calls atomic.Int32
@@ -191,7 +191,7 @@
 			defer cancel()
 			_, err := store.CommitHedged(ctx, table, write("v", 0))
 			require.Error(t, err)
-			require.Equal(t, first == storetest.Refused, errors.Is(err, store.ErrNotDone), "fault %d: %v", first, err)
+			require.Equal(t, first == storetest.Refused, errors.Is(err, store.ErrNotApplied), "fault %d: %v", first, err)
 		})
 	}
 }
--- a/internal/store/storetest/table.go
+++ b/internal/store/storetest/table.go
@@ -19,18 +19,18 @@
 
 // The faults of a call.
 const (
-	None      Fault = iota
-	Refused         // not applied; fails with store.ErrNotDone
-	Silent          // not applied; no response
-	Lost            // applied; no response
-	Late            // no response; Release applies it if its conditions hold then
-	Broken          // not applied; the connection breaks
-	Applied         // applied; the connection breaks
-	Throttled       // not applied; fails with store.ErrThrottled
+	None             Fault = iota
+	Refused                // not applied; fails with store.ErrNotApplied
+	RequestLost            // not applied; no response
+	ResponseLost           // applied; no response
+	AppliedLate            // no response; Release applies it if its conditions hold then
+	ConnectionReset        // not applied; the connection breaks
+	AppliedThenReset       // applied; the connection breaks
+	Throttled              // not applied; fails with store.ErrThrottled
 )
 
-// ErrBroken is the error of a call whose connection broke before the response.
-var ErrBroken = errors.New("connection reset")
+// ErrConnectionReset is the error of a call whose connection broke before the response.
+var ErrConnectionReset = errors.New("connection reset")
 
 // Table is an in-memory store.Store. The zero value is not usable; see New.
 type Table struct {
@@ -84,22 +84,22 @@
 func (t *Table) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	switch t.faultOf(transaction) {
 	case Refused:
-		return 0, store.ErrNotDone
+		return 0, store.ErrNotApplied
 	case Throttled:
 		return 0, store.ErrThrottled
-	case Broken:
-		return 0, ErrBroken
-	case Silent:
+	case ConnectionReset:
+		return 0, ErrConnectionReset
+	case RequestLost:
 		<-ctx.Done()
 		return 0, ctx.Err()
-	case Lost:
+	case ResponseLost:
 		_, _ = t.apply(transaction)
 		<-ctx.Done()
 		return 0, ctx.Err()
-	case Applied:
+	case AppliedThenReset:
 		_, _ = t.apply(transaction)
-		return 0, ErrBroken
-	case Late:
+		return 0, ErrConnectionReset
+	case AppliedLate:
 		t.mutex.Lock()
 		t.late = append(t.late, transaction)
 		t.mutex.Unlock()
@@ -111,8 +111,8 @@
 
 // faultOf returns the fault of a transaction: that of its first part with a fault.
 func (t *Table) faultOf(transaction store.Transaction) Fault {
-	fault := t.fault(transaction.First().Part, true)
-	if !transaction.Across() {
+	fault := t.fault(transaction.FirstKey().Part, true)
+	if !transaction.CrossPart() {
 		return fault
 	}
 	for _, part := range slices.Sorted(maps.Keys(partsOf(transaction))) {
@@ -123,9 +123,9 @@
 	return fault
 }
 
-// Operate applies a transaction without injected faults, as a write by another client of the
+// CommitWithoutFaults applies a transaction without injected faults, as a write by another client of the
 // table.
-func (t *Table) Operate(transaction store.Transaction) error {
+func (t *Table) CommitWithoutFaults(transaction store.Transaction) error {
 	_, err := t.apply(transaction)
 	return err
 }
@@ -186,12 +186,12 @@
 func (t *Table) failRead(ctx context.Context, part string) error {
 	switch t.fault(part, false) {
 	case Refused:
-		return store.ErrNotDone
+		return store.ErrNotApplied
 	case Throttled:
 		return store.ErrThrottled
-	case Broken, Applied:
-		return ErrBroken
-	case Silent, Lost, Late:
+	case ConnectionReset, AppliedThenReset:
+		return ErrConnectionReset
+	case RequestLost, ResponseLost, AppliedLate:
 		<-ctx.Done()
 		return ctx.Err()
 	default:
@@ -245,7 +245,7 @@
 		t.mutex.Lock()
 		if after < t.dropped {
 			t.mutex.Unlock()
-			return store.Page{}, store.ErrHistoryGone
+			return store.Page{}, store.ErrHistoryCompacted
 		}
 		page := store.Page{Version: t.version}
 		for _, row := range t.history {
@@ -268,18 +268,18 @@
 	}
 }
 
-// Forget drops the history of changes, so that watches after an earlier version fail
-// with store.ErrHistoryGone.
-func (t *Table) Forget() {
+// DropHistory drops the history of changes, so that watches after an earlier version fail
+// with store.ErrHistoryCompacted.
+func (t *Table) DropHistory() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.history = nil
 	t.dropped = t.version
 }
 
-// Release applies the transactions with fault Late, in the order chosen by pick, which returns
+// ApplyLate applies the transactions with fault AppliedLate, in the order chosen by pick, which returns
 // the index of the next of count transactions.
-func (t *Table) Release(pick func(count int) int) {
+func (t *Table) ApplyLate(pick func(count int) int) {
 	t.mutex.Lock()
 	waiting := t.late
 	t.late = nil
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -19,8 +19,8 @@
 // Backoff computes the pauses between attempts of a call that the table throttles:
 // exponential with jitter. The zero value is ready to use. It is not safe for concurrent use.
 type Backoff struct {
-	// Longest bounds the mean pause; 0 means 400 ms, which suits a call for a single caller.
-	Longest time.Duration
+	// MaxPause bounds the mean pause; 0 means 400 ms, which suits a call for a single caller.
+	MaxPause time.Duration
 
 	pause time.Duration
 }
@@ -30,7 +30,7 @@
 
 // Next returns the pause before the next attempt, and lengthens the one after it.
 func (b *Backoff) Next() time.Duration {
-	b.pause = min(max(2*b.pause, minThrottlePause), cmp.Or(b.Longest, maxThrottlePause))
+	b.pause = min(max(2*b.pause, minThrottlePause), cmp.Or(b.MaxPause, maxThrottlePause))
 	return b.pause/2 + rand.N(b.pause)
 }
 
@@ -41,7 +41,7 @@
 	if !deadlineAllows(ctx, pause) {
 		return ErrThrottled
 	}
-	return wait.For(ctx, pause)
+	return wait.Sleep(ctx, pause)
 }
 
 // deadlineAllows reports whether the deadline of ctx, if any, is later than the end of a pause
--- a/internal/store/throttle_test.go
+++ b/internal/store/throttle_test.go
@@ -45,17 +45,17 @@
 	})
 }
 
-// A commit whose first attempt may have had an effect must not fail with ErrNotDone because
+// A commit whose first attempt may have had an effect must not fail with ErrNotApplied because
 // later ones are throttled.
 func TestThrottledHedgeKeepsUncertainResult(t *testing.T) {
-	for _, first := range []storetest.Fault{storetest.Broken, storetest.Silent, storetest.Lost, storetest.Late} {
+	for _, first := range []storetest.Fault{storetest.ConnectionReset, storetest.RequestLost, storetest.ResponseLost, storetest.AppliedLate} {
 		synctest.Test(t, func(t *testing.T) {
 			table, _ := throttled(first)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			_, err := store.CommitHedged(ctx, table, write("v", 0))
 			require.Error(t, err)
-			require.NotErrorIs(t, err, store.ErrNotDone, "fault %d", first)
+			require.NotErrorIs(t, err, store.ErrNotApplied, "fault %d", first)
 		})
 	}
 }
--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -51,28 +51,28 @@
 
 // Run scans at random intervals until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) {
-	if wait.For(ctx, initialDelay+rand.N(meanInterval)) != nil {
+	if wait.Sleep(ctx, initialDelay+rand.N(meanInterval)) != nil {
 		return
 	}
 	for {
 		table := s.options.Tables[rand.IntN(len(s.options.Tables))]
 		partition := table.Parts[rand.IntN(len(table.Parts))]
-		removed, err := s.Part(ctx, table.Name, partition)
+		removed, err := s.SweepPartition(ctx, table.Name, partition)
 		entry := s.options.Logger.WithFields(log.Fields{"table": table.Name, "part": partition, "removed": removed})
 		if err != nil && ctx.Err() == nil {
 			entry.WithError(err).Warn("sweep failed; expired rows stay until a later sweep")
 		} else if removed > 0 {
 			entry.Info("deleted expired rows")
 		}
-		if wait.For(ctx, meanInterval/2+rand.N(meanInterval)) != nil {
+		if wait.Sleep(ctx, meanInterval/2+rand.N(meanInterval)) != nil {
 			return
 		}
 	}
 }
 
-// Part deletes the expired rows of one partition and returns their number. On an error, removed
+// SweepPartition deletes the expired rows of one partition and returns their number. On an error, removed
 // counts the rows deleted before it.
-func (s *Sweeper) Part(ctx context.Context, table, partition string) (removed int, err error) {
+func (s *Sweeper) SweepPartition(ctx context.Context, table, partition string) (removed int, err error) {
 	for from := ""; ; {
 		page, err := s.read(ctx, table, partition, from)
 		if err != nil {
@@ -102,7 +102,7 @@
 	before := time.Now().Add(-clockSkewMargin)
 	var transaction store.Transaction
 	for _, row := range rows {
-		expires, _, err := store.CutExpiry(row.Value)
+		expires, _, err := store.SplitExpiry(row.Value)
 		if err == nil && expires.After(before) {
 			continue
 		}
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -111,10 +111,10 @@
 	return registry
 }
 
-// Follow records the keys of an earlier registry that this one lacks, with the version of this
+// RecordRemovedKeys records the keys of an earlier registry that this one lacks, with the version of this
 // one. It returns how many keys were removed and how many were added. It must be called before
 // the registry is used concurrently.
-func (r *Registry) Follow(earlier *Registry, version int64) (removed, added int) {
+func (r *Registry) RecordRemovedKeys(earlier *Registry, version int64) (removed, added int) {
 	if r == nil || earlier == nil {
 		return 0, 0
 	}
@@ -141,8 +141,8 @@
 	return removed, added
 }
 
-// Former returns which tenant held a removed key, and since which version the key is gone.
-func (r *Registry) Former(key Key) (RemovedKey, bool) {
+// RemovedKey returns which tenant held a removed key, and since which version the key is gone.
+func (r *Registry) RemovedKey(key Key) (RemovedKey, bool) {
 	if r == nil {
 		return RemovedKey{}, false
 	}
@@ -150,8 +150,8 @@
 	return known, ok
 }
 
-// Doubled returns the number of keys that several tenants list.
-func (r *Registry) Doubled() int {
+// SharedKeys returns the number of keys that several tenants list.
+func (r *Registry) SharedKeys() int {
 	if r == nil {
 		return 0
 	}
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -34,7 +34,7 @@
 	})
 	require.Nil(t, registry.ByKey(KeyOf("shared")))
 	require.Equal(t, "one", registry.ByKey(KeyOf("own")).Name, "a key listed twice by its tenant stays valid")
-	require.Equal(t, 1, registry.Doubled())
+	require.Equal(t, 1, registry.SharedKeys())
 }
 
 func TestFollowRecordsRemovedKeys(t *testing.T) {
@@ -47,18 +47,18 @@
 	}
 	first := NewRegistry([]Entry{entry("stalls", "a", "b")})
 	second := NewRegistry([]Entry{entry("stalls", "b", "c")})
-	removed, added := second.Follow(first, 2)
+	removed, added := second.RecordRemovedKeys(first, 2)
 	require.Equal(t, []int{1, 1}, []int{removed, added})
 	third := NewRegistry([]Entry{entry("stalls", "c")})
-	third.Follow(second, 5)
+	third.RecordRemovedKeys(second, 5)
 	for key, version := range map[string]int64{"a": 2, "b": 5} {
-		former, ok := third.Former(KeyOf(key))
+		former, ok := third.RemovedKey(KeyOf(key))
 		require.True(t, ok)
 		require.Equal(t, RemovedKey{Tenant: "stalls", Version: version}, former)
 	}
 	fourth := NewRegistry([]Entry{entry("stalls", "a", "c")})
-	fourth.Follow(third, 6)
-	_, ok := fourth.Former(KeyOf("a"))
+	fourth.RecordRemovedKeys(third, 6)
+	_, ok := fourth.RemovedKey(KeyOf("a"))
 	require.False(t, ok, "the key was added again")
 }
 
--- a/internal/wait/estimate.go
+++ b/internal/wait/estimate.go
@@ -13,9 +13,9 @@
 	deviationFactor = 4
 )
 
-// Estimate tracks the mean and the deviation of an operation's duration and derives
+// LatencyEstimate tracks the mean and the deviation of an operation's duration and derives
 // a timeout from them. The zero value is ready to use. It is safe for concurrent use.
-type Estimate struct {
+type LatencyEstimate struct {
 	mutex     sync.Mutex
 	observed  bool
 	mean      time.Duration
@@ -23,7 +23,7 @@
 }
 
 // Observe adds the duration of one operation.
-func (e *Estimate) Observe(took time.Duration) {
+func (e *LatencyEstimate) Observe(took time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if !e.observed {
@@ -35,9 +35,9 @@
 	e.mean += time.Duration(meanGain * float64(took-e.mean))
 }
 
-// Longest returns the longest usual duration, the mean plus four deviations, limited
+// Timeout returns the longest usual duration, the mean plus four deviations, limited
 // to the range from least to most. Without observations it returns least.
-func (e *Estimate) Longest(least, most time.Duration) time.Duration {
+func (e *LatencyEstimate) Timeout(least, most time.Duration) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return min(max(e.mean+deviationFactor*e.deviation, least), most)
--- a/internal/wait/estimate_test.go
+++ b/internal/wait/estimate_test.go
@@ -11,8 +11,8 @@
 // The timeout must adapt to slower and faster operations and stay within its bounds.
 func TestEstimateAdaptsWithinBounds(t *testing.T) {
 	const least, most = 100 * time.Millisecond, 800 * time.Millisecond
-	var estimate Estimate
-	require.Equal(t, least, estimate.Longest(least, most), "no observations")
+	var estimate LatencyEstimate
+	require.Equal(t, least, estimate.Timeout(least, most), "no observations")
 	random := rand.New(rand.NewPCG(1, 1))
 	for name, test := range map[string]struct{ from, to, atLeast, atMost time.Duration }{
 		"fast":       {5 * time.Millisecond, 15 * time.Millisecond, least, least},
@@ -23,7 +23,7 @@
 		for range 200 {
 			estimate.Observe(test.from + time.Duration(random.Int64N(int64(test.to-test.from))))
 		}
-		longest := estimate.Longest(least, most)
+		longest := estimate.Timeout(least, most)
 		require.GreaterOrEqual(t, longest, test.atLeast, name)
 		require.LessOrEqual(t, longest, test.atMost, name)
 	}
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -9,9 +9,9 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// For sleeps for d and returns nil. If ctx ends first it returns the context's error
+// Sleep sleeps for d and returns nil. If ctx ends first it returns the context's error
 // at once.
-func For(ctx context.Context, d time.Duration) error {
+func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/wait/wait_test.go
+++ b/internal/wait/wait_test.go
@@ -9,15 +9,15 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// For must return nil after the full time and the context's error as soon as that ends.
+// Sleep must return nil after the full time and the context's error as soon as that ends.
 func TestForSleepsUntilDoneOrCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		assert.NoError(t, For(t.Context(), time.Minute))
+		assert.NoError(t, Sleep(t.Context(), time.Minute))
 		assert.Equal(t, time.Minute, time.Since(start))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		assert.ErrorIs(t, For(ctx, time.Minute), context.DeadlineExceeded)
+		assert.ErrorIs(t, Sleep(ctx, time.Minute), context.DeadlineExceeded)
 		assert.Equal(t, time.Minute+time.Second, time.Since(start))
 	})
 }
--- a/internal/wait/ways.go
+++ b/internal/wait/ways.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// Ways holds an Estimate per key, such as the zone of a remote process. Keys are never
+// LatencyEstimates holds an LatencyEstimate per key, such as the zone of a remote process. Keys are never
 // removed. The zero value is ready to use. It is safe for concurrent use.
-type Ways struct {
+type LatencyEstimates struct {
 	mutex     sync.Mutex
-	estimates map[string]*Estimate
+	estimates map[string]*LatencyEstimate
 }
 
 // Observe adds the duration of one operation under a key.
-func (w *Ways) Observe(key string, took time.Duration) { w.estimate(key).Observe(took) }
+func (w *LatencyEstimates) Observe(key string, took time.Duration) { w.estimate(key).Observe(took) }
 
-// Longest returns the longest usual duration under a key, limited to the range from least
+// Timeout returns the longest usual duration under a key, limited to the range from least
 // to most. For a key without observations it returns least.
-func (w *Ways) Longest(key string, least, most time.Duration) time.Duration {
-	return w.estimate(key).Longest(least, most)
+func (w *LatencyEstimates) Timeout(key string, least, most time.Duration) time.Duration {
+	return w.estimate(key).Timeout(least, most)
 }
 
-// estimate returns the Estimate of a key and adds it if needed.
-func (w *Ways) estimate(key string) *Estimate {
+// estimate returns the LatencyEstimate of a key and adds it if needed.
+func (w *LatencyEstimates) estimate(key string) *LatencyEstimate {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	estimate, ok := w.estimates[key]
 	if !ok {
 		if w.estimates == nil {
-			w.estimates = map[string]*Estimate{}
+			w.estimates = map[string]*LatencyEstimate{}
 		}
-		estimate = new(Estimate)
+		estimate = new(LatencyEstimate)
 		w.estimates[key] = estimate
 	}
 	return estimate
 }
 
-// Patience returns the timeout for a response of a process, limited to the range from least
-// to most. A nil Patience is valid; see Of.
-type Patience func(process string, least, most time.Duration) time.Duration
+// TimeoutFunc returns the timeout for a response of a process, limited to the range from least
+// to most. A nil TimeoutFunc is valid; see Of.
+type TimeoutFunc func(process string, least, most time.Duration) time.Duration
 
-// Of returns the timeout for a response of a process. For a nil Patience it is least.
-func (p Patience) Of(process string, least, most time.Duration) time.Duration {
+// For returns the timeout for a response of a process. For a nil TimeoutFunc it is least.
+func (p TimeoutFunc) For(process string, least, most time.Duration) time.Duration {
 	if p == nil {
 		return least
 	}
--- a/internal/warmup/borrower.go
+++ b/internal/warmup/borrower.go
@@ -29,16 +29,16 @@
 	// Owner returns the owner of a slot. ok is false if the owner is unknown or has just
 	// failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// Heard records that the owner of a slot answered, and Missed that the process that was
+	// RecordAnswer records that the owner of a slot answered, and Missed that the process that was
 	// asked did not answer as the owner.
-	Heard(slot int)
-	Missed(slot int, asked budget.Holder)
+	RecordAnswer(slot int)
+	RecordNoAnswer(slot int, asked budget.Holder)
 }
 
 // Peers sends calls to other nodes.
 type Peers interface {
-	// LendCold asks the owner of a worker's slot for a permit.
-	LendCold(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
+	// RequestColdPermit asks the owner of a worker's slot for a permit.
+	RequestColdPermit(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
 // Outcome is the result of asking an owner for a permit for a cold worker.
@@ -46,28 +46,28 @@
 
 // Outcomes of a call to an owner.
 const (
-	OutcomeLent   Outcome = "lent"   // a permit was issued
-	OutcomeEmpty  Outcome = "empty"  // the owner may issue none now
-	OutcomeSilent Outcome = "silent" // no process answered that may issue permits
+	OutcomeGranted     Outcome = "lent"   // a permit was issued
+	OutcomeExhausted   Outcome = "empty"  // the owner may issue none now
+	OutcomeUnavailable Outcome = "silent" // no process answered that may issue permits
 )
 
-// BorrowerOptions configures a Borrower.
-type BorrowerOptions struct {
+// ClientOptions configures a Client.
+type ClientOptions struct {
 	Self   budget.Holder
 	Slots  Slots
 	Owners Owners
 	Peers  Peers
-	// Patience estimates the response times of other nodes. With nil, the shortest timeouts
+	// ResponseTimes estimates the response times of other nodes. With nil, the shortest timeouts
 	// are used.
-	Patience wait.Patience
-	Lender   *Lender // of this process; used for slots that it owns
-	// Count receives the outcome of each call, for metrics.
-	Count func(Outcome)
+	ResponseTimes wait.TimeoutFunc
+	Allocator     *Allocator // of this process; used for slots that it owns
+	// OnOutcome receives the outcome of each call, for metrics.
+	OnOutcome func(Outcome)
 }
 
-// Borrower obtains permits for requests to cold workers. It implements forward.Allowance.
-type Borrower struct {
-	options BorrowerOptions
+// Client obtains permits for requests to cold workers. It implements forward.WarmupLimiter.
+type Client struct {
+	options ClientOptions
 
 	mutex  sync.Mutex
 	denied map[denialKey]time.Time // expiry times of cached refusals
@@ -79,71 +79,71 @@
 	begins bool
 }
 
-var _ forward.Allowance = (*Borrower)(nil)
+var _ forward.WarmupLimiter = (*Client)(nil)
 
-// NewBorrower returns a borrower without cached refusals.
-func NewBorrower(options BorrowerOptions) *Borrower {
-	return &Borrower{options: options, denied: map[denialKey]time.Time{}}
+// NewClient returns a borrower without cached refusals.
+func NewClient(options ClientOptions) *Client {
+	return &Client{options: options, denied: map[denialKey]time.Time{}}
 }
 
-// Borrow implements forward.Allowance. While a refusal is cached for the worker, it returns the
+// Acquire implements forward.WarmupLimiter. While a refusal is cached for the worker, it returns the
 // remaining delay without a call.
-func (b *Borrower) Borrow(ctx context.Context, ask forward.ColdRequest) forward.Loan {
+func (b *Client) Acquire(ctx context.Context, ask forward.WarmupRequest) forward.WarmupPermit {
 	asked := time.Now()
-	kind := denialKey{worker: ask.Worker, begins: ask.Begins}
+	kind := denialKey{worker: ask.Worker, begins: ask.FirstTurn}
 	if wait := b.deniedFor(kind, asked); wait > 0 {
-		return forward.Loan{Wait: wait}
+		return forward.WarmupPermit{RetryAfter: wait}
 	}
-	answer, reached := b.ask(ctx, Request{Worker: ask.Worker, Zone: ask.Zone, Service: ask.Service, Begins: ask.Begins})
+	answer, reached := b.ask(ctx, Request{Worker: ask.Worker, Zone: ask.Zone, Service: ask.Service, Begins: ask.FirstTurn})
 	switch {
 	case !reached:
-		b.options.Count(OutcomeSilent)
-		return forward.Loan{Wait: unavailableWait}
+		b.options.OnOutcome(OutcomeUnavailable)
+		return forward.WarmupPermit{RetryAfter: unavailableWait}
 	case !answer.Lent:
-		b.options.Count(OutcomeEmpty)
+		b.options.OnOutcome(OutcomeExhausted)
 		b.cacheDenial(kind, answer.Wait)
-		return forward.Loan{Wait: answer.Wait}
+		return forward.WarmupPermit{RetryAfter: answer.Wait}
 	default:
-		b.options.Count(OutcomeLent)
-		return forward.Loan{Until: asked.Add(PermitTTL)}
+		b.options.OnOutcome(OutcomeGranted)
+		return forward.WarmupPermit{ExpiresAt: asked.Add(PermitTTL)}
 	}
 }
 
 // ask asks the owner of a worker's slot for a permit. reached is false if no process answers
 // that owns the slot and may issue permits.
-func (b *Borrower) ask(ctx context.Context, request Request) (answer Answer, reached bool) {
+func (b *Client) ask(ctx context.Context, request Request) (answer Answer, reached bool) {
 	slot := b.options.Slots.slotOf(request.Worker, request.Zone)
 	owner, ok := b.options.Owners.Owner(slot)
 	if !ok {
 		return Answer{}, false
 	}
 	if owner.Process == b.options.Self.Process {
-		answer := b.options.Lender.Answer(request)
+		answer := b.options.Allocator.Answer(request)
 		return answer, answer.Able
 	}
-	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(owner.Process, minOwnerTimeout, maxOwnerTimeout))
+	limited, cancel := context.WithTimeout(ctx, b.options.ResponseTimes.For(owner.Process, minOwnerTimeout, maxOwnerTimeout))
 	defer cancel()
-	answer, err := b.options.Peers.LendCold(limited, owner, request)
+	answer, err := b.options.Peers.RequestColdPermit(limited, owner, request)
 	if err != nil && ctx.Err() != nil {
 		return Answer{}, false
 	}
 	if err != nil || !answer.Owner {
-		b.options.Owners.Missed(slot, owner)
+		b.options.Owners.RecordNoAnswer(slot, owner)
 		return Answer{}, false
 	}
-	b.options.Owners.Heard(slot)
+	b.options.Owners.RecordAnswer(slot)
 	return answer, answer.Able
 }
 
 // deniedFor returns how long a refusal is still cached; 0 or less if none is.
-func (b *Borrower) deniedFor(kind denialKey, now time.Time) time.Duration {
+func (b *Client) deniedFor(kind denialKey, now time.Time) time.Duration {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.denied[kind].Sub(now)
 }
 
 // cacheDenial caches a refusal for at most maxDenialTTL, and drops expired ones.
-func (b *Borrower) cacheDenial(kind denialKey, wait time.Duration) {
+func (b *Client) cacheDenial(kind denialKey, wait time.Duration) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := time.Now()
--- a/internal/warmup/cluster_test.go
+++ b/internal/warmup/cluster_test.go
@@ -18,7 +18,7 @@
 
 // cluster is a set of nodes that issue and request permits for one cold worker.
 type cluster struct {
-	bearing Bearing
+	bearing ColdCapacity
 
 	mutex   sync.Mutex
 	owner   *node // of the worker's slot, in the store
@@ -32,8 +32,8 @@
 type node struct {
 	cluster  *cluster
 	process  string
-	borrower *Borrower
-	lender   *Lender
+	borrower *Client
+	lender   *Allocator
 
 	dead      bool
 	isolated  bool      // partitioned from other nodes
@@ -48,7 +48,7 @@
 	knownOwner *node // owner of the slot in the last state that the node read
 }
 
-func newTestCluster(nodes int, bearing Bearing) *cluster {
+func newTestCluster(nodes int, bearing ColdCapacity) *cluster {
 	c := &cluster{bearing: bearing, nodes: make([]*node, nodes)}
 	for index := range nodes {
 		c.start(index)
@@ -62,9 +62,9 @@
 	defer c.mutex.Unlock()
 	c.claims++
 	n := &node{cluster: c, process: fmt.Sprint("p", c.claims)}
-	n.lender = NewLender(n, Slots{}, func(string) Bearing { return c.bearing })
-	n.borrower = NewBorrower(BorrowerOptions{
-		Self: budget.Holder{Process: n.process, Address: n.process}, Owners: n, Peers: n, Lender: n.lender, Count: func(Outcome) {},
+	n.lender = NewAllocator(n, Slots{}, func(string) ColdCapacity { return c.bearing })
+	n.borrower = NewClient(ClientOptions{
+		Self: budget.Holder{Process: n.process, Address: n.process}, Owners: n, Peers: n, Allocator: n.lender, OnOutcome: func(Outcome) {},
 	})
 	if before := c.nodes[index]; before != nil {
 		before.dead = true
@@ -79,7 +79,7 @@
 	defer c.mutex.Unlock()
 	c.claims++
 	before := c.owner
-	n.unsettled = before != nil && time.Since(before.since) <= LentFor
+	n.unsettled = before != nil && time.Since(before.since) <= UnsettledPeriod
 	c.owner, n.knownOwner = n, n
 	n.leaseNumber, n.since, n.renewed = c.claims, since, time.Now()
 }
@@ -119,8 +119,8 @@
 func (n *node) Lease(int) (directory.Lease, bool) {
 	n.cluster.mutex.Lock()
 	defer n.cluster.mutex.Unlock()
-	lease := directory.Lease{Number: n.leaseNumber, Since: n.since, Until: n.renewed.Add(directory.LongestLease)}
-	lease.Before.All = n.unsettled
+	lease := directory.Lease{Number: n.leaseNumber, Since: n.since, Until: n.renewed.Add(directory.MaxLeaseDuration)}
+	lease.Prior.All = n.unsettled
 	return lease, n.knownOwner == n
 }
 
@@ -134,14 +134,14 @@
 	return budget.Holder{Process: n.knownOwner.process, Address: n.knownOwner.process}, true
 }
 
-// Heard implements Owners.
-func (n *node) Heard(int) {}
+// RecordAnswer implements Owners.
+func (n *node) RecordAnswer(int) {}
 
-// Missed implements Owners.
-func (n *node) Missed(int, budget.Holder) {}
+// RecordNoAnswer implements Owners.
+func (n *node) RecordNoAnswer(int, budget.Holder) {}
 
-// LendCold implements Peers.
-func (n *node) LendCold(_ context.Context, owner budget.Holder, request Request) (Answer, error) {
+// RequestColdPermit implements Peers.
+func (n *node) RequestColdPermit(_ context.Context, owner budget.Holder, request Request) (Answer, error) {
 	time.Sleep(2 * time.Millisecond)
 	n.cluster.mutex.Lock()
 	index := slices.IndexFunc(n.cluster.nodes, func(other *node) bool { return other.process == owner.Address })
@@ -163,17 +163,17 @@
 
 // send has a node send one request to the worker if it gets a permit. The request arrives
 // after delay.
-func (c *cluster) send(index int, delay time.Duration) forward.Loan {
+func (c *cluster) send(index int, delay time.Duration) forward.WarmupPermit {
 	c.mutex.Lock()
 	n := c.nodes[index]
 	c.mutex.Unlock()
 	n.waitWhilePaused()
-	loan := n.borrower.Borrow(context.Background(), forward.ColdRequest{Worker: "w", Service: "s"})
+	loan := n.borrower.Acquire(context.Background(), forward.WarmupRequest{Worker: "w", Service: "s"})
 	n.waitWhilePaused()
 	if n.isDead() {
-		return forward.Loan{}
+		return forward.WarmupPermit{}
 	}
-	if !time.Now().Before(loan.Until) {
+	if !time.Now().Before(loan.ExpiresAt) {
 		c.set(func() { c.refused++ })
 		return loan
 	}
@@ -222,7 +222,7 @@
 				c.claim(c.nodes[index], time.Now())
 			}
 		case 1, 2: // another node claims the slot while its owner may be alive
-			c.claim(n, time.Now().Add(directory.LongestLease))
+			c.claim(n, time.Now().Add(directory.MaxLeaseDuration))
 		case 3:
 			c.set(func() { c.owner.paused = time.Now().Add(time.Duration(random.IntN(7000)) * time.Millisecond) })
 		case 4:
--- a/internal/warmup/doc.go
+++ b/internal/warmup/doc.go
@@ -26,9 +26,9 @@
 	// Window is how long a permit counts. Two requests that arrive within countingPeriod were
 	// issued permits at most this far apart.
 	Window = countingPeriod + PermitTTL + maxSendDelay
-	// LentFor is how long a slot with a new owner is unsettled: earlier owners may still issue
+	// UnsettledPeriod is how long a slot with a new owner is unsettled: earlier owners may still issue
 	// permits until their leases end, and those count for Window.
-	LentFor = directory.LongestLease + Window
+	UnsettledPeriod = directory.MaxLeaseDuration + Window
 )
 
 const (
@@ -43,16 +43,16 @@
 	newProgramPart = 0.75
 )
 
-// Bearing is the request rate that a cold worker of a service can handle, and the tolerated
+// ColdCapacity is the request rate that a cold worker of a service can handle, and the tolerated
 // excess over it.
-type Bearing struct {
+type ColdCapacity struct {
 	PerSecond float64 // requests; 0: cold workers are not limited
 	Overage   float64 // bound on arrivals in a second, as a multiple of PerSecond; 0: no bound unless Slack is set
 	Slack     float64 // requests added to that bound
 }
 
 // maxLent returns how many permits may count at any time; at least 1.
-func (b Bearing) maxLent() int {
+func (b ColdCapacity) maxLent() int {
 	limit := b.PerSecond * Window.Seconds()
 	if bound := b.PerSecond*b.Overage + b.Slack; bound > 0 {
 		limit = min(limit, lendablePart*bound)
@@ -62,4 +62,4 @@
 
 // unpermitted returns the assumed number of requests without a permit in flight to a worker
 // that has just turned cold, from nodes that still treat it as warm.
-func (b Bearing) unpermitted() int { return int(b.PerSecond * propagationDelay.Seconds()) }
+func (b ColdCapacity) unpermitted() int { return int(b.PerSecond * propagationDelay.Seconds()) }
--- a/internal/warmup/lender.go
+++ b/internal/warmup/lender.go
@@ -36,13 +36,13 @@
 	Lease(slot int) (directory.Lease, bool)
 }
 
-// Lender issues permits for cold workers whose slots this process owns. It is safe for
+// Allocator issues permits for cold workers whose slots this process owns. It is safe for
 // concurrent use.
-type Lender struct {
+type Allocator struct {
 	leases Leases
 	slots  Slots
 	// bearing returns the capacity of a cold worker of a service in the current configuration.
-	bearing func(service string) Bearing
+	bearing func(service string) ColdCapacity
 
 	mutex     sync.Mutex
 	accounts  map[string]*account // by worker
@@ -56,16 +56,16 @@
 	lastUsed time.Time
 }
 
-// NewLender returns a lender that has issued no permits.
-func NewLender(leases Leases, slots Slots, bearing func(service string) Bearing) *Lender {
-	return &Lender{leases: leases, slots: slots, bearing: bearing, accounts: map[string]*account{}, lastSweep: time.Now()}
+// NewAllocator returns a lender that has issued no permits.
+func NewAllocator(leases Leases, slots Slots, bearing func(service string) ColdCapacity) *Allocator {
+	return &Allocator{leases: leases, slots: slots, bearing: bearing, accounts: map[string]*account{}, lastSweep: time.Now()}
 }
 
 // Slots assigns each worker to a slot of its own region, so that the owner is close to the
 // nodes that send to the worker. All nodes compute the same slot.
 type Slots struct {
 	Layout directory.Layout
-	Places *locality.Map
+	Places *locality.ZoneMap
 }
 
 // slotOf returns the slot of a worker in a zone.
@@ -74,7 +74,7 @@
 }
 
 // Answer issues a permit, or returns when to retry.
-func (l *Lender) Answer(request Request) Answer {
+func (l *Allocator) Answer(request Request) Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	now := time.Now()
@@ -108,15 +108,15 @@
 // lent until its lease ended.
 func lendingStart(lease directory.Lease) time.Time {
 	begin := lease.Since.Add(Window)
-	if lease.Before.All {
-		begin = begin.Add(directory.LongestLease)
+	if lease.Prior.All {
+		begin = begin.Add(directory.MaxLeaseDuration)
 	}
 	return begin
 }
 
 // accountFor returns the account of a worker under a lease. A new account starts with the
 // requests in flight from nodes that still treat the worker as warm.
-func (l *Lender) accountFor(worker string, lease directory.Lease, bearing Bearing, now time.Time) *account {
+func (l *Allocator) accountFor(worker string, lease directory.Lease, bearing ColdCapacity, now time.Time) *account {
 	l.sweep(now)
 	known, ok := l.accounts[worker]
 	if !ok || known.lease != lease.Number {
@@ -129,7 +129,7 @@
 }
 
 // sweep drops the accounts of workers that were not asked for lately, as they are warm or gone.
-func (l *Lender) sweep(now time.Time) {
+func (l *Allocator) sweep(now time.Time) {
 	if now.Sub(l.lastSweep) < 2*Window {
 		return
 	}
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -15,9 +15,9 @@
 	"github.com/cloverwheel/cloverwheel/internal/forward"
 )
 
-var testBearing = Bearing{PerSecond: 24, Overage: 1.5, Slack: 5}
+var testBearing = ColdCapacity{PerSecond: 24, Overage: 1.5, Slack: 5}
 
-func bound(b Bearing) float64 { return b.PerSecond*b.Overage + b.Slack }
+func bound(b ColdCapacity) float64 { return b.PerSecond*b.Overage + b.Slack }
 
 // Guards against exceeding a worker's bound while owners crash, pause, are partitioned from
 // nodes or from the store, and overlap. All nodes ignore at first that the worker is cold, and
@@ -25,7 +25,7 @@
 func TestBoundHoldsDuringFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		bearing := Bearing{PerSecond: rapid.Float64Range(5, 40).Draw(rt, "per second"), Overage: 1.5, Slack: 5}
+		bearing := ColdCapacity{PerSecond: rapid.Float64Range(5, 40).Draw(rt, "per second"), Overage: 1.5, Slack: 5}
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			c := newTestCluster(3+random.IntN(8), bearing)
@@ -102,9 +102,9 @@
 		c := newTestCluster(1, testBearing)
 		time.Sleep(2 * time.Second)
 		c.set(func() { c.nodes[0].storeDown = true })
-		time.Sleep(directory.LongestLease)
+		time.Sleep(directory.MaxLeaseDuration)
 		require.False(t, c.nodes[0].lender.Answer(Request{Worker: "w", Service: "s"}).Able)
-		require.Equal(t, unavailableWait, c.send(0, 0).Wait, "no process may issue permits")
+		require.Equal(t, unavailableWait, c.send(0, 0).RetryAfter, "no process may issue permits")
 		c.stop()
 	})
 }
@@ -115,8 +115,8 @@
 		c := newTestCluster(2, testBearing)
 		time.Sleep(2 * time.Second)
 		c.set(func() { c.nodes[0].paused = time.Now().Add(time.Second) })
-		loan := c.nodes[1].borrower.Borrow(context.Background(), forward.ColdRequest{Worker: "w", Service: "s"})
-		require.False(t, time.Now().Before(loan.Until))
+		loan := c.nodes[1].borrower.Acquire(context.Background(), forward.WarmupRequest{Worker: "w", Service: "s"})
+		require.False(t, time.Now().Before(loan.ExpiresAt))
 		c.stop()
 	})
 }
@@ -127,19 +127,19 @@
 		c := newTestCluster(2, testBearing)
 		time.Sleep(2 * time.Second)
 		loan := c.send(1, 0)
-		for !loan.Until.IsZero() {
+		for !loan.ExpiresAt.IsZero() {
 			loan = c.send(1, 0)
 		}
-		require.Positive(t, loan.Wait)
-		time.Sleep(loan.Wait)
-		require.False(t, c.send(1, 0).Until.IsZero())
+		require.Positive(t, loan.RetryAfter)
+		time.Sleep(loan.RetryAfter)
+		require.False(t, c.send(1, 0).ExpiresAt.IsZero())
 		c.stop()
 	})
 }
 
 func TestNoPermitsForUnlimitedService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newTestCluster(1, Bearing{})
+		c := newTestCluster(1, ColdCapacity{})
 		time.Sleep(2 * time.Second)
 		require.False(t, c.nodes[0].lender.Answer(Request{Worker: "w", Service: "s"}).Able)
 		c.stop()
--- a/internal/worker/execute.go
+++ b/internal/worker/execute.go
@@ -119,7 +119,7 @@
 // engine has forgotten it, or the retry budget is used up.
 func (o *owner) rejoin(ctx context.Context, job *Job, open *stream, cause error) (engine.Outcome, error) {
 	for pauses := wait.NewBackoff(firstPause, longestPause); o.retries.spend(); {
-		if wait.For(ctx, pauses.NextBackOff()) != nil {
+		if wait.Sleep(ctx, pauses.NextBackOff()) != nil {
 			break
 		}
 		o.service.metrics.retries.Inc()
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -95,7 +95,7 @@
 		e.mutex.Lock()
 		step := e.step
 		e.mutex.Unlock()
-		if wait.For(ctx, step) != nil {
+		if wait.Sleep(ctx, step) != nil {
 			return engine.Outcome{}, fault.New(fault.Unavailable, "the stream broke", "resume it").WithRan(fault.RanUnknown)
 		}
 		word := fmt.Sprintf("%d ", offset)
--- a/internal/worker/loops.go
+++ b/internal/worker/loops.go
@@ -85,7 +85,7 @@
 		if fenced && learnt && o.calls() == 0 {
 			interval = o.service.options.IdlePoll
 		}
-		if wait.For(ctx, interval) != nil {
+		if wait.Sleep(ctx, interval) != nil {
 			return
 		}
 	}
--- a/internal/worker/owner.go
+++ b/internal/worker/owner.go
@@ -100,7 +100,7 @@
 			return true
 		}
 		o.log.WithError(err).Warn("worker not claimed")
-		if wait.For(ctx, pauses.NextBackOff()) != nil {
+		if wait.Sleep(ctx, pauses.NextBackOff()) != nil {
 			return false
 		}
 	}
