--- a/internal/budget/book.go
+++ b/internal/budget/book.go
@@ -158,7 +158,7 @@
 		if errors.As(err, &reported) {
 			return nil, err
 		}
-		return nil, fault.Newf(fault.Unavailable, "retry after the given time",
+		return nil, fault.Newf(fault.Unavailable, "retry after the delay in Retry-After",
 			"cannot read the program's budget: %v", err)
 	}
 	defer func() { <-account.sharesLock }()
--- a/internal/forward/auth.go
+++ b/internal/forward/auth.go
@@ -40,7 +40,7 @@
 	}
 	x.configAge = age
 	if !fresh {
-		return nil, fault.Newf(fault.StaleConfiguration, "retry after the given delay",
+		return nil, fault.Newf(fault.StaleConfiguration, "retry after the delay in Retry-After",
 			"this node cannot tell whether the key is still valid: configuration version %d was last confirmed to be the newest %d ms ago",
 			configuration.Version, age.Milliseconds()).WithRetryAfter(staleRetryAfter + rand.N(staleRetryAfter/2))
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -167,7 +167,7 @@
 func (x *exchange) serve(ctx context.Context) *fault.Error {
 	configuration := x.Configuration()
 	if configuration == nil {
-		return fault.New(fault.Unavailable, "this node has not loaded a configuration yet", "retry after the given delay").WithRetryAfter(noConfigRetryAfter)
+		return fault.New(fault.Unavailable, "this node has not loaded a configuration yet", "retry after the delay in Retry-After").WithRetryAfter(noConfigRetryAfter)
 	}
 	x.route = configuration.Match(x.request.Host, x.request.Path)
 	if x.route == nil {
@@ -271,10 +271,10 @@
 	}
 	refusal := fault.From(err)
 	if x.declines > 0 {
-		refusal = fault.Newf(fault.Overloaded, "retry after the given delay", "all workers of service %q are at capacity", x.service)
+		refusal = fault.Newf(fault.Overloaded, "retry after the delay in Retry-After", "all workers of service %q are at capacity", x.service)
 	}
 	if x.coldRetryAfter > 0 {
-		refusal = fault.Newf(fault.Overloaded, "retry after the given delay",
+		refusal = fault.Newf(fault.Overloaded, "retry after the delay in Retry-After",
 			"service %q has no warm worker with free capacity, and its cold workers are at their warm-up limit", x.service)
 	}
 	if x.attempts.any() {
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -57,7 +57,7 @@
 // exhaustedError returns the final answer when the request may not be sent again.
 func (x *exchange) exhaustedError() *fault.Error {
 	if !x.attempts.any() {
-		return x.noWorkerError(fault.Newf(fault.Unavailable, "retry after the given delay", "no worker of service %q can be reached", x.service))
+		return x.noWorkerError(fault.Newf(fault.Unavailable, "retry after the delay in Retry-After", "no worker of service %q can be reached", x.service))
 	}
 	return fault.New(fault.EngineFailed, "the worker failed before the answer was complete", "send the request again if it may be repeated").WithRan(fault.RanUnknown)
 }
--- a/internal/forward/program.go
+++ b/internal/forward/program.go
@@ -43,7 +43,7 @@
 	if s.verdict.Admitted {
 		return nil
 	}
-	return fault.Newf(fault.Overloaded, "retry after the given delay",
+	return fault.Newf(fault.Overloaded, "retry after the delay in Retry-After",
 		"service %q is overloaded and a new program would miss its deadline (%s)", x.service, s.verdict.Reason).
 		WithRetryAfter(s.verdict.RetryAfter)
 }
--- a/internal/forward/turn.go
+++ b/internal/forward/turn.go
@@ -181,7 +181,7 @@
 		}
 		return typed.WithRetryAfter(retry)
 	}
-	return fault.Newf(fault.Unavailable, "retry after the given delay",
+	return fault.Newf(fault.Unavailable, "retry after the delay in Retry-After",
 		"the turn's history cannot be read: %v", err).WithRetryAfter(retry)
 }
 
