--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 // Reason is why a program was admitted or refused. Its values are metric labels and log fields.
@@ -42,7 +42,7 @@
 // Request is the input of an admission decision: the program of a turn and the state of the queue that
 // it would join.
 type Request struct {
-	Program standing.Program
+	Program scheduling.Program
 	// TimeLeft is the time until the caller's timeout for this turn.
 	TimeLeft time.Duration
 	// PendingRetries is the number of refused programs whose retry time has not come yet.
@@ -106,7 +106,7 @@
 
 // admittedShare returns the share of programs with this slack that is admitted: none at 0 or less, all
 // at 1 or more.
-func admittedShare(program standing.Program, load Load) float64 {
+func admittedShare(program scheduling.Program, load Load) float64 {
 	expectedWait := float64(load.ExpectedWait(program.Turns))
 	if expectedWait <= 0 {
 		return 1
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 // overloaded returns a load at which each turn queues for wait.
@@ -17,11 +17,11 @@
 	return Load{Others: waits, New: waits}
 }
 
-func newProgram(key string) standing.Program {
-	return standing.Program{Key: key, Begins: true, Timed: true, Finish: 1500 * time.Millisecond, Needs: time.Second, Turns: 4}
+func newProgram(key string) scheduling.Program {
+	return scheduling.Program{Key: key, Begins: true, Timed: true, Finish: 1500 * time.Millisecond, Needs: time.Second, Turns: 4}
 }
 
-func ask(program standing.Program) Request {
+func ask(program scheduling.Program) Request {
 	return Request{Program: program, TimeLeft: 3 * time.Second, AdmitRate: 10, PendingRetries: 4}
 }
 
@@ -34,7 +34,7 @@
 
 // A program without a deadline cannot miss it, so it must not be refused.
 func TestProgramWithoutDeadlineIsAdmitted(t *testing.T) {
-	require.Equal(t, ReasonNoDeadline, Decide(ask(standing.Program{Key: "p", Begins: true}), overloaded(time.Second)).Reason)
+	require.Equal(t, ReasonNoDeadline, Decide(ask(scheduling.Program{Key: "p", Begins: true}), overloaded(time.Second)).Reason)
 }
 
 // A program that will be late in any case must not take capacity from others, but may use spare capacity.
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -6,7 +6,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 const (
@@ -49,7 +49,7 @@
 // when a refused program is to retry. It also returns the inputs of the decision; Program.Returns is
 // set in them if the program retries on time. If a turn of the program has run before, Load is empty
 // and Request holds only the program and the time left.
-func (g *Controller) Decide(service string, program standing.Program, timeLeft time.Duration, now time.Time) (Verdict, Request, Load) {
+func (g *Controller) Decide(service string, program scheduling.Program, timeLeft time.Duration, now time.Time) (Verdict, Request, Load) {
 	ask := Request{Program: program, TimeLeft: timeLeft}
 	if !program.Begins {
 		return Decide(ask, Load{}), ask, Load{}
@@ -80,10 +80,10 @@
 
 // Sent records that a program's turn is sent to a worker; unloaded is how long such a turn takes without
 // queueing. The caller must pass the result to First or Ended.
-func (g *Controller) Sent(service string, program standing.Program, unloaded UnloadedTime, now time.Time) *PendingTurn {
+func (g *Controller) Sent(service string, program scheduling.Program, unloaded UnloadedTime, now time.Time) *PendingTurn {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	newProgram := standing.Classify(program) == standing.ClassNew
+	newProgram := scheduling.Classify(program) == scheduling.ClassNew
 	sending := &PendingTurn{window: g.window(queue{service, program.Urgency}), sent: now, unloaded: unloaded, newProgram: newProgram}
 	sending.window.pending[sending] = struct{}{}
 	sending.window.unloadedTime = unloaded.Total
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 // Parameters of the simulated deployment: nodes and workers, and the sub-agents and retries of
@@ -70,7 +70,7 @@
 
 // simNode is a node; nodes share no state.
 type simNode struct {
-	learner *standing.Estimator
+	learner *scheduling.Estimator
 	gate    *Controller
 }
 
@@ -103,8 +103,8 @@
 	sends       int // earlier sends by the caller
 	tries       int // earlier tries of the current send
 	node        *simNode
-	turn        standing.Turn
-	state       standing.Program
+	turn        scheduling.Turn
+	state       scheduling.Program
 	priority    int
 	firstSentAt time.Duration // first try of the current send
 	sentAt      time.Duration // current try
@@ -133,7 +133,7 @@
 func newSimulation(seed uint64, admission bool) *simulation {
 	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), admission: admission}
 	for range simNodes {
-		s.nodes = append(s.nodes, &simNode{learner: standing.NewEstimator(), gate: NewGate(nil)})
+		s.nodes = append(s.nodes, &simNode{learner: scheduling.NewEstimator(), gate: NewGate(nil)})
 	}
 	for range simWorkers {
 		s.workers = append(s.workers, &simWorker{})
@@ -208,7 +208,7 @@
 	}
 	turn.node = s.nodes[(len(program.name)*7+int(hashRank(program.name)*simNodes)+turn.tries+turn.sends)%simNodes]
 	turn.sentAt = s.now
-	turn.turn = standing.Turn{
+	turn.turn = scheduling.Turn{
 		Route: program.kind.name, Program: program.name, Line: turn.line, Urgency: program.kind.urgency,
 		Begins: turn.line == "main" && turn.position == 1, Number: turn.position,
 		HasFinish: true, TimeToFinish: max(0, program.budget-(s.now-program.beganAt)),
@@ -224,7 +224,7 @@
 	}
 	turn.state = state
 	first := 2 * program.kind.urgency
-	turn.priority = standing.PriorityRange{First: first, Last: first + 3}.Priority(state)
+	turn.priority = scheduling.PriorityRange{First: first, Last: first + 3}.Priority(state)
 	s.dispatch(turn)
 }
 
@@ -234,7 +234,7 @@
 		s.refusedWithRoom++
 	}
 	turn.program.refused++
-	turn.node.learner.End(turn.turn, standing.Outcome{Failed: true}, s.clock())
+	turn.node.learner.End(turn.turn, scheduling.Outcome{Failed: true}, s.clock())
 	s.retry(turn, after)
 }
 
@@ -314,7 +314,7 @@
 	default:
 		turn.endWithoutEvent(s.clock())
 		turn.node.gate.Declined("models", turn.program.kind.urgency, s.clock())
-		turn.node.learner.End(turn.turn, standing.Outcome{Failed: true}, s.clock())
+		turn.node.learner.End(turn.turn, scheduling.Outcome{Failed: true}, s.clock())
 		s.retry(turn, time.Duration(120+s.random.IntN(120))*time.Millisecond)
 	}
 }
@@ -337,7 +337,7 @@
 	})
 	s.schedule(turn.work, func() {
 		worker.running--
-		took := standing.Outcome{Total: s.now - turn.sentAt, FirstEvent: waited + simFirstEvent, Tokens: 1}
+		took := scheduling.Outcome{Total: s.now - turn.sentAt, FirstEvent: waited + simFirstEvent, Tokens: 1}
 		turn.node.learner.End(turn.turn, took, s.clock())
 		s.startQueued(worker)
 		s.turnEnded(turn)
@@ -354,7 +354,7 @@
 			return
 		}
 		next.endWithoutEvent(s.clock())
-		next.node.learner.End(next.turn, standing.Outcome{Failed: true, Total: s.now - next.sentAt}, s.clock())
+		next.node.learner.End(next.turn, scheduling.Outcome{Failed: true, Total: s.now - next.sentAt}, s.clock())
 		next.tries = simTries
 		s.retry(next, 0)
 	}
--- a/internal/backend/accessors.go
+++ b/internal/backend/accessors.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
 // ID returns the worker's ID in the worker list.
@@ -43,7 +43,7 @@
 
 // Available reports whether a worker may get any request that its region may serve: it is neither draining
 // nor cold, and its zone is not evacuated.
-func (r *Registry) Available(worker *Worker) bool { return r.Check(worker, nil) == permit.Allowed }
+func (r *Registry) Available(worker *Worker) bool { return r.Check(worker, nil) == eligibility.Allowed }
 
 // RoundTripTo returns the estimated round trip to a zone; 0 for the node's own zone.
 func (r *Registry) RoundTripTo(zone string) time.Duration { return r.roundTrips.RoundTrip(zone) }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/cloverwheel/cloverwheel/internal/fault"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // newTestRegistry returns a registry of zone z with workers w0, w1 ... of service s. zones are the
@@ -232,7 +232,7 @@
 					<-ctx.Done()
 					return nil, ctx.Err()
 				}
-				if err := wait.Sleep(ctx, dialTime); err != nil {
+				if err := timing.Sleep(ctx, dialTime); err != nil {
 					return nil, err
 				}
 				connection, _ := net.Pipe()
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -6,10 +6,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
-	"github.com/cloverwheel/cloverwheel/internal/place"
+	"github.com/cloverwheel/cloverwheel/internal/placement"
 )
 
 // Query describes the request to place.
@@ -73,16 +73,16 @@
 	}
 	workers := r.shortlist(query)
 	now := r.options.Now()
-	candidates := make([]place.Candidate, 0, len(workers))
+	candidates := make([]placement.Candidate, 0, len(workers))
 	slowness := make([]float64, 0, len(workers))
 	for _, worker := range workers {
 		verdict := r.Check(worker, query.Regions)
-		if verdict.Refused() || verdict == permit.NeedsWarmupPlace && query.WarmOnly {
+		if verdict.Refused() || verdict == eligibility.NeedsWarmupPlace && query.WarmOnly {
 			continue
 		}
 		candidate := worker.candidate(query, now)
 		candidate.RoundTrip = r.RoundTrip(worker)
-		if verdict == permit.NeedsWarmupPlace {
+		if verdict == eligibility.NeedsWarmupPlace {
 			candidate.Wait += coldPenalty
 		}
 		candidates = append(candidates, candidate)
@@ -93,12 +93,12 @@
 	for index, worker := range query.Exclude {
 		exclude[index] = id.Worker(worker)
 	}
-	decision, err := place.Choose(place.Query{
+	decision, err := placement.Choose(placement.Query{
 		Tokens:  query.Prompt + query.Output,
 		Home:    id.Worker(r.homeInRegion(query)),
 		Exclude: exclude,
 		Key:     query.Key,
-	}, candidates, place.Policy{Name: place.ExpectedCompletion}, nil)
+	}, candidates, placement.Policy{Name: placement.ExpectedCompletion}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -111,16 +111,16 @@
 }
 
 // Check decides whether a request that may be served in the given regions may be sent to a worker now.
-func (r *Registry) Check(worker *Worker, regions locality.Regions) permit.Verdict {
-	return permit.Check(permit.Request{Regions: regions}, r.permitFacts(worker))
+func (r *Registry) Check(worker *Worker, regions locality.Regions) eligibility.Verdict {
+	return eligibility.Check(eligibility.Request{Regions: regions}, r.permitFacts(worker))
 }
 
 // permitFacts returns the facts about a worker that decide whether requests may be sent to it.
-func (r *Registry) permitFacts(worker *Worker) permit.Worker {
+func (r *Registry) permitFacts(worker *Worker) eligibility.Worker {
 	// Must be read before cold: a zone's workers are marked cold before its evacuation ends, so a zone
 	// that has just reopened is not seen with warm workers.
 	evacuated := r.options.Evacuated(worker.zone)
-	return permit.Worker{
+	return eligibility.Worker{
 		Region:    r.options.Places.Region(worker.zone),
 		Draining:  worker.Record().Draining,
 		Evacuated: evacuated,
@@ -236,11 +236,11 @@
 }
 
 // candidate returns the worker's estimates for a request, without those that need the registry.
-func (w *Worker) candidate(query Query, now time.Time) place.Candidate {
+func (w *Worker) candidate(query Query, now time.Time) placement.Candidate {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	unshared := query.Prompt - query.Shared
-	candidate := place.Candidate{
+	candidate := placement.Candidate{
 		Worker:       id.Worker(w.key),
 		Zone:         w.record.Zone,
 		Healthy:      !now.Before(w.avoidUntil) && !w.ejected(now),
@@ -274,7 +274,7 @@
 // preferConnected makes a plain request prefer workers with an open, idle connection. Model calls are
 // spread over all workers instead: if they stayed on the few connected workers, long prompts would
 // evict each other from the cache.
-func (w *Worker) preferConnected(candidate *place.Candidate) {
+func (w *Worker) preferConnected(candidate *placement.Candidate) {
 	candidate.Connected = w.pool != nil && w.pool.HasIdle()
 	if !candidate.Connected {
 		candidate.Wait += newConnectionPenalty
@@ -284,7 +284,7 @@
 // normalizeTokenTimes sets the candidates' times to decode. Token times within slowTokenTimeRatio of
 // the median count as equal, so that noise does not draw all requests to one worker. Where slowness is
 // not 0, all nodes together have measured it, and it replaces this node's own token time.
-func normalizeTokenTimes(candidates []place.Candidate, slowness []float64, output int) {
+func normalizeTokenTimes(candidates []placement.Candidate, slowness []float64, output int) {
 	steps := make([]time.Duration, 0, len(candidates))
 	for index, candidate := range candidates {
 		if candidate.TokenTime > 0 && slowness[index] == 0 {
--- a/internal/backend/experience.go
+++ b/internal/backend/experience.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 const (
@@ -151,7 +151,7 @@
 }
 
 // takeSample returns and resets the unreported observations; ok is false if there are none.
-func (w *Worker) takeSample(now time.Time) (sample experience.Sample, ok bool) {
+func (w *Worker) takeSample(now time.Time) (sample outlier.Sample, ok bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	known := w.unreported
@@ -159,7 +159,7 @@
 	if known.since.IsZero() || now.Sub(known.since) > sampleTTL {
 		return sample, false
 	}
-	sample = experience.Sample{
+	sample = outlier.Sample{
 		Worker: w.key, Requests: known.requests, Failures: known.failures,
 		Silences: known.silences, Paced: known.tokenSamples,
 	}
@@ -171,9 +171,9 @@
 
 // TakeSamples returns the observations of a service's workers since the last call. Observations older
 // than sampleTTL are dropped.
-func (r *Registry) TakeSamples(service string) []experience.Sample {
+func (r *Registry) TakeSamples(service string) []outlier.Sample {
 	now := r.options.Now()
-	var samples []experience.Sample
+	var samples []outlier.Sample
 	for worker := range r.unreported.take(service) {
 		if sample, ok := worker.takeSample(now); ok {
 			samples = append(samples, sample)
@@ -183,7 +183,7 @@
 }
 
 // ApplyVerdicts applies verdicts that combine the observations of all nodes.
-func (r *Registry) ApplyVerdicts(verdicts []experience.Verdict) {
+func (r *Registry) ApplyVerdicts(verdicts []outlier.Verdict) {
 	now := r.options.Now()
 	for _, received := range verdicts {
 		worker, ok := r.byKey(received.Worker)
@@ -198,7 +198,7 @@
 }
 
 // noteVerdict replaces the worker's verdict. Out-of-range values are limited.
-func (w *Worker) noteVerdict(received experience.Verdict, now time.Time) {
+func (w *Worker) noteVerdict(received outlier.Verdict, now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if received.Clear() && !w.verdict.receivedAt.IsZero() {
@@ -265,7 +265,7 @@
 		return (query.Retryable || trial.until.Sub(now) <= trialTTL-spareOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
 			(query.Home == "" || query.Home == worker.key) &&
 			!slices.Contains(query.Exclude, worker.key) &&
-			r.Check(worker, query.Regions) == permit.Allowed && worker.triable(now)
+			r.Check(worker, query.Regions) == eligibility.Allowed && worker.triable(now)
 	})
 }
 
--- a/internal/backend/experience_test.go
+++ b/internal/backend/experience_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 // clockedRegistry is a registry with a manual clock.
@@ -38,7 +38,7 @@
 	worker.RecordTokenTime(2 * time.Millisecond)
 	worker.RecordTokenTime(4 * time.Millisecond)
 	registry.get("other").RecordSuccess()
-	require.Equal(t, []experience.Sample{{
+	require.Equal(t, []outlier.Sample{{
 		Worker: "w1", Requests: 3, Failures: 2, Silences: 1, Pace: 3 * time.Millisecond, Paced: 2,
 	}}, registry.TakeSamples("s"))
 	require.Empty(t, registry.TakeSamples("s"))
@@ -55,7 +55,7 @@
 	removed := registry.get("w1")
 	registry.Remove("w1")
 	removed.RecordFailure(registry.now)
-	require.Equal(t, []experience.Sample{{Worker: "w0", Requests: 1}}, registry.TakeSamples("s"))
+	require.Equal(t, []outlier.Sample{{Worker: "w0", Requests: 1}}, registry.TakeSamples("s"))
 	registry.get("w0").RecordSuccess()
 	registry.advance(sampleTTL + 1)
 	require.Empty(t, registry.TakeSamples("s"))
@@ -78,7 +78,7 @@
 
 // Guards against verdicts that have no effect, outlive their time or cannot be revoked.
 func TestVerdictsDivertRequests(t *testing.T) {
-	for name, verdict := range map[string]experience.Verdict{
+	for name, verdict := range map[string]outlier.Verdict{
 		"ejected": {Until: time.Second},
 		"slow":    {Slow: 5},
 		"costly":  {Cost: 100 * time.Millisecond},
@@ -86,15 +86,15 @@
 		t.Run(name, func(t *testing.T) {
 			registry := newClockedRegistry(4)
 			verdict.Worker = "w1"
-			registry.ApplyVerdicts([]experience.Verdict{verdict, {Worker: "unknown", Until: time.Second}})
+			registry.ApplyVerdicts([]outlier.Verdict{verdict, {Worker: "unknown", Until: time.Second}})
 			require.Zero(t, registry.chosen(t, nil)["w1"])
 			require.Equal(t, verdict.Until > 0, registry.get("w1").Ejected(registry.now))
 			registry.advance(maxVerdictTTL)
 			require.False(t, registry.get("w1").Ejected(registry.now))
 			require.Positive(t, registry.chosen(t, nil)["w1"], "the verdict has expired")
-			registry.ApplyVerdicts([]experience.Verdict{verdict})
+			registry.ApplyVerdicts([]outlier.Verdict{verdict})
 			require.Zero(t, registry.chosen(t, nil)["w1"])
-			registry.ApplyVerdicts([]experience.Verdict{{Worker: "w1"}})
+			registry.ApplyVerdicts([]outlier.Verdict{{Worker: "w1"}})
 			require.Positive(t, registry.chosen(t, nil)["w1"], "the verdict was revoked")
 		})
 	}
@@ -103,20 +103,20 @@
 // Guards against refusing requests when all workers are ejected.
 func TestEjectedWorkersAreUsedAsLastResort(t *testing.T) {
 	registry := newClockedRegistry(2)
-	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w0", Until: time.Second}, {Worker: "w1", Until: time.Second}})
+	registry.ApplyVerdicts([]outlier.Verdict{{Worker: "w0", Until: time.Second}, {Worker: "w1", Until: time.Second}})
 	require.Len(t, registry.chosen(t, nil), 2)
 }
 
 // A fresh verdict must override this node's newer observations; an old one must not.
 func TestNewerObservationOverridesOldVerdict(t *testing.T) {
 	registry := newClockedRegistry(4)
-	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
+	registry.ApplyVerdicts([]outlier.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
 	registry.advance(time.Millisecond)
 	registry.get("w1").RecordSuccess()
 	require.Zero(t, registry.chosen(t, nil)["w1"])
 	registry.advance(verdictPrecedence)
 	require.Positive(t, registry.chosen(t, nil)["w1"])
-	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
+	registry.ApplyVerdicts([]outlier.Verdict{{Worker: "w1", Until: maxVerdictTTL}})
 	require.Zero(t, registry.chosen(t, nil)["w1"])
 	registry.advance(verdictPrecedence)
 	require.Zero(t, registry.chosen(t, nil)["w1"], "there is no newer observation")
@@ -127,31 +127,31 @@
 	registry := newClockedRegistry(4)
 	slowed("w3")(registry.Registry)
 	require.Zero(t, registry.chosen(t, nil)["w3"])
-	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w3", Slow: 5}})
-	registry.ApplyVerdicts([]experience.Verdict{{Worker: "w3"}})
+	registry.ApplyVerdicts([]outlier.Verdict{{Worker: "w3", Slow: 5}})
+	registry.ApplyVerdicts([]outlier.Verdict{{Worker: "w3"}})
 	require.Positive(t, registry.chosen(t, nil)["w3"])
 }
 
 // Guards against trials that reach the worker more than once or by an unsuitable request.
 func TestTrialIsHandedOutOnce(t *testing.T) {
 	registry := newClockedRegistry(4)
-	trial := experience.Verdict{Worker: "w1", Until: maxVerdictTTL, Trial: true}
-	registry.ApplyVerdicts([]experience.Verdict{trial})
+	trial := outlier.Verdict{Worker: "w1", Until: maxVerdictTTL, Trial: true}
+	registry.ApplyVerdicts([]outlier.Verdict{trial})
 	spare := func(q *Query) { q.Retryable = true }
 	require.Zero(t, registry.chosen(t, nil)["w1"], "a request that cannot be retried makes no trial")
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Home = true, "w2" })["w1"])
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Only = true, []string{"w2"} })["w1"])
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Exclude = true, []string{"w1"} })["w1"])
 	require.Equal(t, 1, registry.chosen(t, spare)["w1"])
-	registry.ApplyVerdicts([]experience.Verdict{trial})
+	registry.ApplyVerdicts([]outlier.Verdict{trial})
 	registry.advance(trialTTL)
 	require.Zero(t, registry.chosen(t, spare)["w1"], "the trial has expired")
-	registry.ApplyVerdicts([]experience.Verdict{trial})
+	registry.ApplyVerdicts([]outlier.Verdict{trial})
 	begins := func(q *Query) { q.FirstTurn = true }
 	require.Zero(t, registry.chosen(t, begins)["w1"], "requests that can be retried come first")
 	registry.advance(spareOnlyPeriod)
 	require.Equal(t, 1, registry.chosen(t, begins)["w1"])
-	registry.ApplyVerdicts([]experience.Verdict{trial})
+	registry.ApplyVerdicts([]outlier.Verdict{trial})
 	draining("w1")(registry.Registry)
 	require.Zero(t, registry.chosen(t, spare)["w1"])
 }
@@ -159,7 +159,7 @@
 // Verdicts come from another process, so out-of-range values must be bounded.
 func TestVerdictsAreBounded(t *testing.T) {
 	registry := newClockedRegistry(4)
-	registry.ApplyVerdicts([]experience.Verdict{
+	registry.ApplyVerdicts([]outlier.Verdict{
 		{Worker: "w0", Until: time.Hour, Cost: time.Hour, Slow: math.Inf(1)},
 		{Worker: "w1", Until: -time.Hour, Cost: -time.Hour, Slow: math.NaN()},
 	})
--- a/internal/backend/latency.go
+++ b/internal/backend/latency.go
@@ -1,11 +1,11 @@
 package backend
 
-import "github.com/cloverwheel/cloverwheel/internal/wait"
+import "github.com/cloverwheel/cloverwheel/internal/timing"
 
 // LatencyEstimates holds the latency estimates of a service: how long its workers usually send nothing.
 type LatencyEstimates struct {
-	First wait.LatencyEstimate // from the request to the first chunk of its answer
-	Next  wait.LatencyEstimate // between two chunks
+	First timing.LatencyEstimate // from the request to the first chunk of its answer
+	Next  timing.LatencyEstimate // between two chunks
 }
 
 // LatencyEstimates returns the estimates for a service, creating them on first use.
--- a/internal/backend/reconnect.go
+++ b/internal/backend/reconnect.go
@@ -6,7 +6,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -60,7 +60,7 @@
 // reconnect attempts to open a connection until it succeeds, the worker is draining or removed, or
 // ctx ends. The worker is avoided meanwhile.
 func (r *Registry) reconnect(ctx context.Context, worker *Worker) {
-	for wait.Sleep(ctx, reconnectInterval) == nil && !worker.Leaving() {
+	for timing.Sleep(ctx, reconnectInterval) == nil && !worker.Leaving() {
 		limited, cancel := context.WithTimeout(ctx, reconnectTimeout)
 		err := worker.Pool().Probe(limited)
 		cancel()
--- a/internal/backend/region.go
+++ b/internal/backend/region.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
 // CrossRegionReason is why a request goes to a worker of another region.
@@ -61,7 +61,7 @@
 func (r *Registry) anyFree(workers []*Worker, query Query) bool {
 	now := r.options.Now()
 	return slices.ContainsFunc(workers, func(w *Worker) bool {
-		return w.free(now) && !slices.Contains(query.Exclude, w.key) && r.Check(w, query.Regions) == permit.Allowed
+		return w.free(now) && !slices.Contains(query.Exclude, w.key) && r.Check(w, query.Regions) == eligibility.Allowed
 	})
 }
 
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -10,9 +10,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 	"github.com/cloverwheel/cloverwheel/internal/httpconn"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
 // Options configures a Registry.
@@ -26,8 +26,8 @@
 	Cold        func(service string) (less bool, start time.Duration)
 	Node        string // name of this node; it decides which workers the node prefers
 	DialTimeout time.Duration
-	Guard       silence.Guard // detects unresponsive connections to workers
-	OnDial      func()        // counts new connections to workers
+	Guard       deadconn.Guard // detects unresponsive connections to workers
+	OnDial      func()         // counts new connections to workers
 	// OnRoundTrip is called when the estimated round trip to a zone changes; may be nil.
 	OnRoundTrip func(zone string, roundTrip time.Duration)
 	OnReconnect func() // counts the attempts to connect to an unreachable worker; may be nil
--- a/internal/backend/simulation_test.go
+++ b/internal/backend/simulation_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 const (
@@ -56,7 +56,7 @@
 	at, start := time.Duration(0), time.Unix(1000, 0)
 	clock := func() time.Time { return start.Add(at) }
 	got := result{ejected: map[string]bool{}}
-	board := experience.New(func(change experience.Change) {
+	board := outlier.New(func(change outlier.Change) {
 		if change.Ejected {
 			got.ejected[change.Worker] = true
 		}
--- a/internal/backend/warmth_test.go
+++ b/internal/backend/warmth_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/cloverwheel/cloverwheel/internal/permit"
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 )
 
 // newColdRegistry returns a registry with a manual clock and one worker, w0, of a service whose cold
@@ -32,9 +32,9 @@
 // Guards against overloading a cold worker, and against limiting it after its cold start.
 func TestWorkerIsColdUntilColdStartEnds(t *testing.T) {
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1, ColdRemaining: 2 * time.Second})
-	require.Equal(t, permit.NeedsWarmupPlace, registry.Check(worker, nil))
+	require.Equal(t, eligibility.NeedsWarmupPlace, registry.Check(worker, nil))
 	advance(2 * time.Second)
-	require.Equal(t, permit.Allowed, registry.Check(worker, nil))
+	require.Equal(t, eligibility.Allowed, registry.Check(worker, nil))
 }
 
 // Guards against ignoring a later entry that announces a cold start.
@@ -83,7 +83,7 @@
 		registry.ZoneReopened("z", 10)
 		return false
 	}
-	require.Equal(t, permit.NeedsWarmupPlace, registry.Check(worker, nil))
+	require.Equal(t, eligibility.NeedsWarmupPlace, registry.Check(worker, nil))
 }
 
 // Guards against replacing a longer cold start by the default one.
@@ -146,9 +146,9 @@
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
 	advance(registry.warmthTTL + time.Millisecond)
 	require.True(t, registry.Warmth(worker).Expired)
-	require.Equal(t, permit.NeedsWarmupPlace, registry.Check(worker, nil))
+	require.Equal(t, eligibility.NeedsWarmupPlace, registry.Check(worker, nil))
 	registry.ListConfirmed()
-	require.Equal(t, permit.Allowed, registry.Check(worker, nil), "the list was confirmed without changes")
+	require.Equal(t, eligibility.Allowed, registry.Check(worker, nil), "the list was confirmed without changes")
 }
 
 // Guards against limiting a worker that has just reported that it is warm.
@@ -156,7 +156,7 @@
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
 	advance(registry.warmthTTL + time.Millisecond)
 	registry.ApplyHealth(worker, 0, registry.options.Now())
-	require.Equal(t, permit.Allowed, registry.Check(worker, nil))
+	require.Equal(t, eligibility.Allowed, registry.Check(worker, nil))
 }
 
 // Guards against health checks for every request, or while the information is current.
--- a/internal/backend/zones.go
+++ b/internal/backend/zones.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
 // withOpenZones removes the workers of zones that are evacuated or outside the request's regions. The
@@ -24,18 +24,18 @@
 }
 
 // zoneVerdict decides whether a request that may be served in the given regions may go to a zone.
-func (r *Registry) zoneVerdict(zone string, regions locality.Regions) permit.Verdict {
-	return permit.Check(permit.Request{Regions: regions}, permit.Worker{
+func (r *Registry) zoneVerdict(zone string, regions locality.Regions) eligibility.Verdict {
+	return eligibility.Check(eligibility.Request{Regions: regions}, eligibility.Worker{
 		Region:    r.options.Places.Region(zone),
 		Evacuated: r.options.Evacuated(zone),
 	})
 }
 
 // WhyClosed returns why no worker of a service may get a request that may be served in the given regions,
-// and which zones would accept it if they were not evacuated. The verdict is permit.Allowed if some
+// and which zones would accept it if they were not evacuated. The verdict is eligibility.Allowed if some
 // worker's zone accepts the request or if the service has no workers. Draining workers do not count. If
 // only is not empty, just the workers with these keys are considered.
-func (r *Registry) WhyClosed(service string, regions locality.Regions, only []string) (why permit.Verdict, evacuated []string) {
+func (r *Registry) WhyClosed(service string, regions locality.Regions, only []string) (why eligibility.Verdict, evacuated []string) {
 	workers := r.Workers(service)
 	for _, worker := range workers {
 		if len(only) > 0 && !slices.Contains(only, worker.key) {
@@ -46,11 +46,11 @@
 		case worker.Record().Draining:
 			continue
 		case !verdict.Refused():
-			return permit.Allowed, nil
-		case verdict == permit.Evacuated && !slices.Contains(evacuated, worker.zone):
+			return eligibility.Allowed, nil
+		case verdict == eligibility.Evacuated && !slices.Contains(evacuated, worker.zone):
 			evacuated = append(evacuated, worker.zone)
 		}
-		if why != permit.Evacuated {
+		if why != eligibility.Evacuated {
 			why = verdict
 		}
 	}
--- a/internal/backend/zones_test.go
+++ b/internal/backend/zones_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
 // evacuatedFunc returns an Options.Evacuated for the given zones.
@@ -54,7 +54,7 @@
 	_, err := registry.Choose(Query{Service: "s"})
 	require.Error(t, err)
 	why, _ := registry.WhyClosed("s", nil, nil)
-	require.Equal(t, permit.Evacuated, why)
+	require.Equal(t, eligibility.Evacuated, why)
 }
 
 // Guards against missing the only worker of an allowed region among many others.
@@ -77,16 +77,16 @@
 		evacuated []string
 		regions   locality.Regions
 		only      []string
-		why       permit.Verdict
+		why       eligibility.Verdict
 		zones     []string
 	}{
 		{name: "open"},
 		{name: "one zone of three", evacuated: []string{"z"}},
-		{name: "all zones", evacuated: []string{"x", "y", "z"}, why: permit.Evacuated, zones: []string{"x", "y", "z"}},
-		{name: "all of the region", evacuated: []string{"y", "z"}, regions: locality.Regions{"one"}, why: permit.Evacuated, zones: []string{"y", "z"}},
-		{name: "no worker in the region", regions: locality.Regions{"third"}, why: permit.OutsideRegions},
-		{name: "no region", regions: locality.Regions{}, why: permit.OutsideRegions},
-		{name: "all allowed workers", evacuated: []string{"z"}, only: []string{"w0"}, why: permit.Evacuated, zones: []string{"z"}},
+		{name: "all zones", evacuated: []string{"x", "y", "z"}, why: eligibility.Evacuated, zones: []string{"x", "y", "z"}},
+		{name: "all of the region", evacuated: []string{"y", "z"}, regions: locality.Regions{"one"}, why: eligibility.Evacuated, zones: []string{"y", "z"}},
+		{name: "no worker in the region", regions: locality.Regions{"third"}, why: eligibility.OutsideRegions},
+		{name: "no region", regions: locality.Regions{}, why: eligibility.OutsideRegions},
+		{name: "all allowed workers", evacuated: []string{"z"}, only: []string{"w0"}, why: eligibility.Evacuated, zones: []string{"z"}},
 		{name: "an unknown zone", evacuated: []string{"nowhere"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -103,5 +103,5 @@
 	now := time.Now()
 	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 0)
 	why, _ := registry.WhyClosed("s", nil, nil)
-	require.Equal(t, permit.Allowed, why)
+	require.Equal(t, eligibility.Allowed, why)
 }
--- a/internal/budget/book.go
+++ b/internal/budget/book.go
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -33,7 +33,7 @@
 	Peers Peers // nil: no other node is asked for tokens
 	// Patience adapts the timeout of a request to the latency observed to that process.
 	// Nil means that no latency is known.
-	Patience wait.TimeoutFunc
+	Patience timing.TimeoutFunc
 	// Vantage is the location of this process. Processes in the same region are asked
 	// first.
 	Vantage locality.Location
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -7,7 +7,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -69,7 +69,7 @@
 	if errors.Is(err, store.ErrThrottled) {
 		return throttled.Wait(ctx)
 	}
-	return wait.Sleep(ctx, retryPause)
+	return timing.Sleep(ctx, retryPause)
 }
 
 // isFinal reports whether retrying cannot change the result.
--- a/internal/budget/latency_test.go
+++ b/internal/budget/latency_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // delayedPeers delays each request.
@@ -21,7 +21,7 @@
 
 // HandOver implements Peers.
 func (d delayedPeers) HandOver(ctx context.Context, address string, request HandOverRequest) (HandOverAnswer, error) {
-	if err := wait.Sleep(ctx, d.delay); err != nil {
+	if err := timing.Sleep(ctx, d.delay); err != nil {
 		return HandOverAnswer{}, err
 	}
 	return d.Peers.HandOver(ctx, address, request)
--- a/internal/room/account_test.go
+++ b/internal/capacity/account_test.go
@@ -1,4 +1,4 @@
-package room
+package capacity
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 var testStart = time.Unix(1000, 0)
@@ -280,7 +280,7 @@
 	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 1})
 	full := Running{Worker: "w", Requests: 2}
 	scheduler.ApplyReport(runningReport("busy", 1, full), now)
-	programs := map[string]standing.Program{
+	programs := map[string]scheduling.Program{
 		"calm":    {Timed: true, Finish: 3 * time.Second},
 		"pressed": {Timed: true, Finish: 100 * time.Millisecond, Needs: 50 * time.Millisecond},
 		"lost":    {Timed: true, Finish: 10 * time.Millisecond, Needs: 500 * time.Millisecond},
@@ -329,10 +329,10 @@
 		require.True(t, held)
 	}
 	start := now
-	enqueue("begins", 1, Ask{Program: standing.Program{Timed: true, Finish: 100 * time.Millisecond}})
+	enqueue("begins", 1, Ask{Program: scheduling.Program{Timed: true, Finish: 100 * time.Millisecond}})
 	for sequence := uint64(2); ; sequence += 2 {
 		now = now.Add(20 * time.Millisecond)
-		enqueue("stays", sequence, Ask{Home: "w", Fresh: 1000, Program: standing.Program{Timed: true, Finish: 50 * time.Millisecond}})
+		enqueue("stays", sequence, Ask{Home: "w", Fresh: 1000, Program: scheduling.Program{Timed: true, Finish: 50 * time.Millisecond}})
 		resolved := scheduler.ApplyReport(runningReport("busy", sequence, Running{Worker: "w", Requests: 1}), now)
 		require.Len(t, resolved, 1)
 		if resolved[0].Query.From == "begins" {
--- a/internal/room/find.go
+++ b/internal/capacity/find.go
@@ -1,11 +1,11 @@
-package room
+package capacity
 
 import (
 	"context"
 	"time"
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 const (
@@ -26,7 +26,7 @@
 	Fresh   int      // tokens that any other worker has to read
 	Tokens  int      // maximum number of tokens in memory
 	Exclude []string // keys of workers that may not get it
-	Program standing.Program
+	Program scheduling.Program
 	// MaxWait is the maximum time to wait for capacity.
 	MaxWait time.Duration
 	// Allows reports whether the request may be served in a zone.
--- a/internal/room/keeper.go
+++ b/internal/capacity/keeper.go
@@ -1,4 +1,4 @@
-package room
+package capacity
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/apex/log"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 const (
@@ -24,9 +24,9 @@
 // Experience merges the nodes' samples of worker behavior into verdicts.
 type Experience interface {
 	// Add adds a node's samples of a group's workers.
-	Add(group Group, from string, samples []experience.Sample, now time.Time)
+	Add(group Group, from string, samples []outlier.Sample, now time.Time)
 	// Verdicts returns the merged verdicts on a group's workers.
-	Verdicts(group Group, now time.Time) []experience.Verdict
+	Verdicts(group Group, now time.Time) []outlier.Verdict
 }
 
 // CoordinatorOptions configures a Coordinator.
@@ -90,7 +90,7 @@
 }
 
 // mergeSamples adds a node's samples and returns the merged verdicts on the group's workers.
-func (k *Coordinator) mergeSamples(report Report, now time.Time) []experience.Verdict {
+func (k *Coordinator) mergeSamples(report Report, now time.Time) []outlier.Verdict {
 	if k.options.Experience == nil {
 		return nil
 	}
@@ -102,9 +102,9 @@
 
 // withoutAvoided removes the workers that have an active verdict against them, unless none would be
 // left.
-func withoutAvoided(members []Member, verdicts []experience.Verdict) []Member {
+func withoutAvoided(members []Member, verdicts []outlier.Verdict) []Member {
 	avoided := func(member Member) bool {
-		return slices.ContainsFunc(verdicts, func(verdict experience.Verdict) bool {
+		return slices.ContainsFunc(verdicts, func(verdict outlier.Verdict) bool {
 			return verdict.Worker == member.Worker && verdict.Until > 0
 		})
 	}
--- a/internal/room/queue.go
+++ b/internal/capacity/queue.go
@@ -1,11 +1,11 @@
-package room
+package capacity
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // startDeadline returns the time by which a program's request has to start. Queries are ordered by this
 // absolute time, so that later arrivals cannot starve a waiting one.
-func startDeadline(program standing.Program, now time.Time) time.Time {
+func startDeadline(program scheduling.Program, now time.Time) time.Time {
 	slack, known := program.Slack()
 	switch {
 	case !known:
--- a/internal/room/reporter.go
+++ b/internal/capacity/reporter.go
@@ -1,4 +1,4 @@
-package room
+package capacity
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 	"github.com/apex/log"
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
-	"github.com/cloverwheel/cloverwheel/internal/experience"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -61,9 +61,9 @@
 // nodes.
 type Learner interface {
 	// TakeSamples returns the samples of a service's workers since the last call.
-	TakeSamples(service string) []experience.Sample
+	TakeSamples(service string) []outlier.Sample
 	// NoteVerdicts replaces the known verdicts.
-	NoteVerdicts(verdicts []experience.Verdict)
+	NoteVerdicts(verdicts []outlier.Verdict)
 }
 
 // ClientOptions configures a Client.
@@ -74,7 +74,7 @@
 	Peers   Peers
 	Workers GroupResolver
 	// Patience is the observed response times of other nodes; nil: unknown.
-	Patience wait.TimeoutFunc
+	Patience timing.TimeoutFunc
 	Keeper   *Coordinator // the keeper of this process
 	// Learner is optional.
 	Learner Learner
@@ -101,7 +101,7 @@
 	*NodeLoad
 	keeper    string // process that received the last request
 	reporting bool   // a report without a query is in flight
-	samples   []experience.Sample
+	samples   []outlier.Sample
 }
 
 // NewClient returns a Client without running requests. Run has to be started.
@@ -314,7 +314,7 @@
 
 // collectSamples returns the samples of a group's workers that have not been sent yet. Samples of
 // other groups of the service stay until their next report, up to targetGroupSize per group.
-func (r *Client) collectSamples(group Group) []experience.Sample {
+func (r *Client) collectSamples(group Group) []outlier.Sample {
 	if r.options.Learner == nil {
 		return nil
 	}
--- a/internal/room/room.go
+++ b/internal/capacity/room.go
@@ -1,4 +1,4 @@
-// Package room tracks the load of workers across all nodes and assigns requests to workers that have
+// Package capacity tracks the load of workers across all nodes and assigns requests to workers that have
 // free capacity.
 //
 // The workers of a service in a zone are divided into groups. Each group has a keeper: the owner of a
@@ -9,13 +9,13 @@
 // Load reports only improve placement; correctness does not depend on them. A keeper holds them in
 // memory, a new keeper rebuilds them from the next reports, and a node that gets no answer in time
 // chooses a worker from local knowledge.
-package room
+package capacity
 
 import (
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 // Running is the load that one node's requests put on a worker.
@@ -43,7 +43,7 @@
 	// Declined are the keys of workers that declined a request since the previous report.
 	Declined []string
 	// Learnt are the node's samples of worker behavior that it has not sent before.
-	Learnt []experience.Sample
+	Learnt []outlier.Sample
 }
 
 // Request is a message to a keeper: a report and, optionally, a query for a worker.
@@ -59,7 +59,7 @@
 
 // Ask describes a request that needs a worker.
 type Ask struct {
-	Program standing.Program
+	Program scheduling.Program
 	Home    string   // key of the worker that holds its context; empty: none
 	Fresh   int      // tokens that any other worker has to read
 	Tokens  int      // maximum number of tokens in memory
@@ -103,7 +103,7 @@
 	// HeldFor is how long the keeper held this query; 0 if it was answered at once.
 	HeldFor time.Duration
 	// Avoid are the current verdicts on the group's workers, merged from the samples of all nodes.
-	Avoid []experience.Verdict
+	Avoid []outlier.Verdict
 }
 
 // Reason explains a keeper's decision. It is a metric label.
--- a/internal/room/tally.go
+++ b/internal/capacity/tally.go
@@ -1,4 +1,4 @@
-package room
+package capacity
 
 import (
 	"slices"
--- a/internal/room/world_test.go
+++ b/internal/capacity/world_test.go
@@ -1,4 +1,4 @@
-package room
+package capacity
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 	"github.com/cloverwheel/cloverwheel/internal/directory"
-	"github.com/cloverwheel/cloverwheel/internal/experience"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // testCluster is a set of nodes in one zone with workers known to all of them. Nodes 0 and 1 own the
@@ -133,7 +133,7 @@
 	if unknown {
 		return Answer{}, fault.New(fault.Invalid, "unknown peer method", "run the same version on all nodes")
 	}
-	if err := wait.Sleep(ctx, n.cluster.hop); err != nil {
+	if err := timing.Sleep(ctx, n.cluster.hop); err != nil {
 		return Answer{}, err
 	}
 	index := slices.IndexFunc(n.cluster.nodes, func(other *testNode) bool { return other.self == keeper })
@@ -141,7 +141,7 @@
 		return Answer{}, errors.New("no such node")
 	}
 	answer := n.cluster.nodes[index].keeper.Answer(ctx, request)
-	if err := wait.Sleep(ctx, n.cluster.hop); err != nil {
+	if err := timing.Sleep(ctx, n.cluster.hop); err != nil {
 		return Answer{}, err
 	}
 	return answer, nil
@@ -398,10 +398,10 @@
 // sampleRecorder implements Experience and Learner. It returns verdicts once it has received a sample.
 type sampleRecorder struct {
 	mutex    sync.Mutex
-	pending  []experience.Sample  // returned by TakeSamples
-	learnt   []experience.Sample  // received by Learn
-	verdicts []experience.Verdict // received by NoteVerdicts
-	avoid    []experience.Verdict // returned by Verdicts
+	pending  []outlier.Sample  // returned by TakeSamples
+	learnt   []outlier.Sample  // received by Learn
+	verdicts []outlier.Verdict // received by NoteVerdicts
+	avoid    []outlier.Verdict // returned by Verdicts
 }
 
 func (s *sampleRecorder) withLock(what func()) {
@@ -410,13 +410,13 @@
 	what()
 }
 
-func (s *sampleRecorder) Add(_ Group, _ string, samples []experience.Sample, _ time.Time) {
+func (s *sampleRecorder) Add(_ Group, _ string, samples []outlier.Sample, _ time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.learnt = append(s.learnt, samples...)
 }
 
-func (s *sampleRecorder) Verdicts(Group, time.Time) []experience.Verdict {
+func (s *sampleRecorder) Verdicts(Group, time.Time) []outlier.Verdict {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.learnt) == 0 {
@@ -425,7 +425,7 @@
 	return s.avoid
 }
 
-func (s *sampleRecorder) TakeSamples(string) []experience.Sample {
+func (s *sampleRecorder) TakeSamples(string) []outlier.Sample {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	taken := s.pending
@@ -433,7 +433,7 @@
 	return taken
 }
 
-func (s *sampleRecorder) NoteVerdicts(verdicts []experience.Verdict) {
+func (s *sampleRecorder) NoteVerdicts(verdicts []outlier.Verdict) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.verdicts = verdicts
@@ -443,9 +443,9 @@
 // verdicts that do not reach the nodes, and assigning requests to a worker to be avoided.
 func TestSamplesAndVerdictsTravelWithReports(t *testing.T) {
 	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
-		c.merged.withLock(func() { c.merged.avoid = []experience.Verdict{{Worker: "w3", Until: time.Minute}} })
+		c.merged.withLock(func() { c.merged.avoid = []outlier.Verdict{{Worker: "w3", Until: time.Minute}} })
 		node := &c.nodes[2].samples
-		node.withLock(func() { node.pending = []experience.Sample{{Worker: "w3", Requests: 9, Failures: 9}} })
+		node.withLock(func() { node.pending = []outlier.Sample{{Worker: "w3", Requests: 9, Failures: 9}} })
 		c.nodes[2].beginRequests(14) // w2 and w3 have capacity
 		c.nodes[3].beginRequests(1)
 		settle()
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -18,7 +18,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/gateway/wire"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // The defaults of Options.
@@ -154,7 +154,7 @@
 		if elsewhere(failure) {
 			c.current.Add(1)
 		}
-		if wait.Sleep(ctx, max(delays.NextBackOff(), jittered(failure.RetryAfter))) != nil {
+		if timing.Sleep(ctx, max(delays.NextBackOff(), jittered(failure.RetryAfter))) != nil {
 			return failure
 		}
 	}
--- a/internal/client/stream.go
+++ b/internal/client/stream.go
@@ -15,7 +15,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/gateway/wire"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // maxEvent bounds one event of a stream, in bytes.
@@ -48,7 +48,7 @@
 	var found error
 	delays := newDelays()
 	for tries := 1; c.mayHaveRun(ctx, err) && tries < c.options.Attempts; tries++ {
-		if tries > 1 && wait.Sleep(ctx, delays.NextBackOff()) != nil {
+		if tries > 1 && timing.Sleep(ctx, delays.NextBackOff()) != nil {
 			break
 		}
 		s.answer.Resumes++
--- a/internal/config/cluster_test.go
+++ b/internal/config/cluster_test.go
@@ -19,7 +19,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/shard"
 	"github.com/cloverwheel/cloverwheel/internal/template"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // fakeTable is the platform's table in memory, with faults.
@@ -38,7 +38,7 @@
 	t.mutex.Lock()
 	latency, down := t.latency, t.down
 	t.mutex.Unlock()
-	if wait.Sleep(ctx, latency) != nil || down {
+	if timing.Sleep(ctx, latency) != nil || down {
 		return fault.New(fault.Unavailable, "table down", "wait")
 	}
 	return nil
@@ -172,7 +172,7 @@
 		if err == nil || fault.From(err).Ran != fault.RanNo || !(fault.Is(err, fault.NotLeader) || fault.Is(err, fault.Unavailable)) {
 			return err
 		}
-		if wait.Sleep(ctx, 50*time.Millisecond) != nil {
+		if timing.Sleep(ctx, 50*time.Millisecond) != nil {
 			return fault.New(fault.Unavailable, "no leader found", "try again")
 		}
 	}
--- a/internal/config/spread.go
+++ b/internal/config/spread.go
@@ -8,7 +8,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/member"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -40,7 +40,7 @@
 	for len(missing) > 0 {
 		missing = s.push(ctx, s.toPush(), missing)
 		missing = stillThere(s.options.Members(), missing)
-		if s.Current().Version > head || len(missing) == 0 || wait.Sleep(ctx, pushRetry) != nil {
+		if s.Current().Version > head || len(missing) == 0 || timing.Sleep(ctx, pushRetry) != nil {
 			break
 		}
 	}
--- a/internal/silence/guard.go
+++ b/internal/deadconn/guard.go
@@ -1,4 +1,4 @@
-package silence
+package deadconn
 
 import (
 	"errors"
--- a/internal/silence/limits.go
+++ b/internal/deadconn/limits.go
@@ -1,7 +1,7 @@
-// Package silence detects dead TCP connections, whose peer or network path is gone without a
+// Package deadconn detects dead TCP connections, whose peer or network path is gone without a
 // close. It makes the kernel break connections whose bytes stay unacknowledged (TCP_USER_TIMEOUT)
 // and probe idle ones (keep-alive). A slow peer isn't affected, since its kernel acknowledges.
-package silence
+package deadconn
 
 import "time"
 
--- a/internal/silence/socket_other.go
+++ b/internal/deadconn/socket_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package silence
+package deadconn
 
 import (
 	"errors"
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -21,7 +21,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -75,7 +75,7 @@
 	Self  budget.Holder
 	Peers Peers
 	// Patience gives the response times observed per process; nil if not measured.
-	Patience wait.TimeoutFunc
+	Patience timing.TimeoutFunc
 	// Vantage is the location of this node, which owns slots of its own region only.
 	Vantage locality.Location
 	// PermitDuration is how long a loan stays in effect. Once a process has owned a slot for longer,
--- a/internal/directory/slots.go
+++ b/internal/directory/slots.go
@@ -13,7 +13,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // Table is the name of the store table that holds the slots.
@@ -107,13 +107,13 @@
 	if d.refresh(ctx) == nil {
 		d.reclaim(ctx)
 	}
-	if wait.Sleep(ctx, rand.N(startJitter)) != nil {
+	if timing.Sleep(ctx, rand.N(startJitter)) != nil {
 		return
 	}
 	for ctx.Err() == nil {
 		if err := d.refresh(ctx); err != nil {
 			d.options.Logger.WithError(err).WithField("revision", uint64(d.newestRevision())).Warn("failed to read the directory slots; will retry")
-			_ = wait.Sleep(ctx, retryDelay/2+rand.N(retryDelay))
+			_ = timing.Sleep(ctx, retryDelay/2+rand.N(retryDelay))
 			continue
 		}
 		d.probeOtherRegion(ctx)
@@ -122,7 +122,7 @@
 		if d.claimOne(ctx) {
 			pause = claimInterval
 		}
-		if wait.Sleep(ctx, minRefreshInterval) != nil {
+		if timing.Sleep(ctx, minRefreshInterval) != nil {
 			return
 		}
 		timer := time.NewTimer(pause/2 + rand.N(pause))
--- a/internal/dispatch/fakeservices_test.go
+++ b/internal/dispatch/fakeservices_test.go
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/ledger"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/program"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 	"github.com/cloverwheel/cloverwheel/internal/worker"
 )
 
@@ -166,7 +166,7 @@
 		if breakAt > 0 && i >= breakAt {
 			return fault.New(fault.Unavailable, "connection lost", "try again").WithRan(fault.RanUnknown)
 		}
-		if !f.world.instant && wait.Sleep(ctx, time.Until(start.Add(time.Duration(i+1)*tokenTime))) != nil {
+		if !f.world.instant && timing.Sleep(ctx, time.Until(start.Add(time.Duration(i+1)*tokenTime))) != nil {
 			return fault.New(fault.Unavailable, "cancelled", "try again").WithRan(fault.RanUnknown)
 		}
 		if err := send(worker.Event{Chunk: &engine.Chunk{Offset: i, Tokens: 1, Text: f.words[i]}}); err != nil {
--- a/internal/dispatch/leadership.go
+++ b/internal/dispatch/leadership.go
@@ -9,7 +9,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/program"
 	"github.com/cloverwheel/cloverwheel/internal/shard"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // leadership is one period in which this node leads one shard. Everything that
@@ -264,7 +264,7 @@
 			l.wakeSettler()
 			return
 		}
-		if wait.Sleep(l.ctx, retryPause) != nil {
+		if timing.Sleep(l.ctx, retryPause) != nil {
 			return
 		}
 	}
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/outside"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/template"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 func TestRefusalsDidNotRunAndMayBeRetried(t *testing.T) {
@@ -232,7 +232,7 @@
 			calls := 0
 			w.tools = func(ctx context.Context, _ outside.ToolRequest) (string, error) {
 				calls++
-				_ = wait.Sleep(ctx, tokenTime*5)
+				_ = timing.Sleep(ctx, tokenTime*5)
 				return "40 bob", ctx.Err()
 			}
 			got := callThenMove(w, askTool("p", tool))
--- a/internal/dispatch/moved.go
+++ b/internal/dispatch/moved.go
@@ -7,7 +7,7 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"github.com/cloverwheel/cloverwheel/internal/fault"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // ownerSearch bounds the attempts of a call that were refused only because
@@ -32,14 +32,14 @@
 	now := time.Now()
 	if s.refusals == 0 {
 		s.until = now.Add(patience)
-		s.waits = wait.NewBackoff(retryPause, maxRetryPause)
+		s.waits = timing.NewBackoff(retryPause, maxRetryPause)
 	}
 	s.refusals++
 	return now.Before(s.until)
 }
 
 // wait lets the ownership settle.
-func (s *ownerSearch) wait(ctx context.Context) { _ = wait.Sleep(ctx, s.waits.NextBackOff()) }
+func (s *ownerSearch) wait(ctx context.Context) { _ = timing.Sleep(ctx, s.waits.NextBackOff()) }
 
 // forCaller hides a code that a gateway would take for its own search of a
 // leader.
--- a/internal/dispatch/notices.go
+++ b/internal/dispatch/notices.go
@@ -8,7 +8,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/program"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 	"github.com/cloverwheel/cloverwheel/internal/worker"
 )
 
@@ -24,9 +24,9 @@
 func notify[Notice any](l *leadership, name id.Worker, method string, notice Notice) {
 	d := l.dispatcher
 	d.spawn(func() {
-		waits := wait.NewBackoff(retryPause, maxRetryPause)
+		waits := timing.NewBackoff(retryPause, maxRetryPause)
 		for range noticeTries {
-			if notifyOnce(l.ctx, d, name, method, notice) == nil || wait.Sleep(l.ctx, waits.NextBackOff()) != nil {
+			if notifyOnce(l.ctx, d, name, method, notice) == nil || timing.Sleep(l.ctx, waits.NextBackOff()) != nil {
 				return
 			}
 		}
--- a/internal/dispatch/prepare.go
+++ b/internal/dispatch/prepare.go
@@ -11,7 +11,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/ledger"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/program"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 	"github.com/cloverwheel/cloverwheel/internal/worker"
 )
 
@@ -79,7 +79,7 @@
 		Model:   m.call.Model, Adapter: m.call.Adapter, Prefix: work.Prefix,
 		MaxTokens: maxTokens, Profile: m.profile(work),
 	}
-	waits := wait.NewBackoff(retryPause, maxRetryPause)
+	waits := timing.NewBackoff(retryPause, maxRetryPause)
 	for {
 		location, err := d.Placer.Place(ctx, query, m.exclude)
 		if err == nil {
@@ -90,7 +90,7 @@
 			return location, problem
 		}
 		m.exclude = nil // the one that failed may be the only one
-		if wait.Sleep(ctx, waits.NextBackOff()) != nil {
+		if timing.Sleep(ctx, waits.NextBackOff()) != nil {
 			return location, problem
 		}
 	}
--- a/internal/dispatch/rejoin.go
+++ b/internal/dispatch/rejoin.go
@@ -9,7 +9,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 	"github.com/cloverwheel/cloverwheel/internal/worker"
 )
 
@@ -32,7 +32,7 @@
 	v := m.rejoin(ctx, errNoOutcome)
 	v.inherited = m.call.Position != m.leadership.position
 	if v.outcome == nil && v.inherited && m.call.Repeatable && m.stream().tokens() == 0 {
-		_ = wait.Sleep(ctx, callersReturn)
+		_ = timing.Sleep(ctx, callersReturn)
 	}
 	return v
 }
@@ -47,7 +47,7 @@
 		window /= repeatableShare
 	}
 	s := m.stream()
-	waits := wait.NewBackoff(retryPause, maxRetryPause)
+	waits := timing.NewBackoff(retryPause, maxRetryPause)
 	until := time.Now().Add(window)
 	for {
 		had := s.tokens()
@@ -59,7 +59,7 @@
 			until = time.Now().Add(window)
 			waits.Reset()
 		}
-		if !time.Now().Before(until) || wait.Sleep(ctx, waits.NextBackOff()) != nil {
+		if !time.Now().Before(until) || timing.Sleep(ctx, waits.NextBackOff()) != nil {
 			return verdict{problem: lost(cause)}
 		}
 	}
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -10,7 +10,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/program"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // Pauses between repeated attempts.
@@ -86,7 +86,7 @@
 
 // run takes one call after another until none is ready.
 func (r *runner) run() {
-	waits := wait.NewBackoff(retryPause, maxRetryPause)
+	waits := timing.NewBackoff(retryPause, maxRetryPause)
 	for {
 		call, view, ready := r.next()
 		switch {
@@ -96,7 +96,7 @@
 		case r.runCall(call, view):
 			waits.Reset()
 		default:
-			_ = wait.Sleep(r.leadership.ctx, waits.NextBackOff())
+			_ = timing.Sleep(r.leadership.ctx, waits.NextBackOff())
 		}
 	}
 }
@@ -190,13 +190,13 @@
 // recorded or the leadership ends, since a repeated outcome changes nothing.
 func (r *runner) conclude(command program.Command) bool {
 	l := r.leadership
-	waits := wait.NewBackoff(retryPause, maxRetryPause)
+	waits := timing.NewBackoff(retryPause, maxRetryPause)
 	for {
 		_, err := l.propose(l.ctx, command)
 		if err == nil {
 			return true
 		}
-		if fault.Is(err, fault.NotLeader) || wait.Sleep(l.ctx, waits.NextBackOff()) != nil {
+		if fault.Is(err, fault.NotLeader) || timing.Sleep(l.ctx, waits.NextBackOff()) != nil {
 			return false
 		}
 	}
--- a/internal/dispatch/settle.go
+++ b/internal/dispatch/settle.go
@@ -11,7 +11,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/ledger"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/program"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -42,7 +42,7 @@
 			return
 		case <-l.settle:
 		}
-		if wait.Sleep(l.ctx, settleDelay) != nil {
+		if timing.Sleep(l.ctx, settleDelay) != nil {
 			return
 		}
 		l.settleRound()
--- a/internal/permit/permit.go
+++ b/internal/eligibility/permit.go
@@ -1,7 +1,7 @@
-// Package permit decides whether a request may be sent to a worker. Every send is checked: first
+// Package eligibility decides whether a request may be sent to a worker. Every send is checked: first
 // tries, retries and resumed streams. The decision is a pure function of its inputs; any further
 // restriction belongs here as another input.
-package permit
+package eligibility
 
 import "github.com/cloverwheel/cloverwheel/internal/locality"
 
--- a/internal/permit/permit_test.go
+++ b/internal/eligibility/permit_test.go
@@ -1,4 +1,4 @@
-package permit
+package eligibility
 
 import (
 	"testing"
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -18,7 +18,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/httpconn"
 	"github.com/cloverwheel/cloverwheel/internal/route"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // workersInOrder adds as many workers as there are scripts. The worker asked first runs the first
@@ -115,7 +115,7 @@
 					f := newFixture(t, turnRoute(change))
 					f.workersInOrder(func(ctx context.Context, _ Call) (*Answer, error) {
 						pauses := readerFunc(func([]byte) (int, error) {
-							return 0, cmp.Or(wait.Sleep(ctx, pause), io.EOF)
+							return 0, cmp.Or(timing.Sleep(ctx, pause), io.EOF)
 						})
 						return answer(http.StatusOK, true, io.MultiReader(strings.NewReader(events(2)), pauses, strings.NewReader(event(3)))), nil
 					}, streams(3, 0))
@@ -174,7 +174,7 @@
 		f := newFixture(t, plainRoute(route.Safe, 1))
 		f.reachable, f.missEvery = true, 2
 		f.worker("w", func(ctx context.Context, _ Call) (*Answer, error) {
-			if err := wait.Sleep(ctx, 7*safeSilence/2); err != nil {
+			if err := timing.Sleep(ctx, 7*safeSilence/2); err != nil {
 				return nil, err
 			}
 			return answer(http.StatusOK, false, strings.NewReader("ok")), nil
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
 // evacuatedRetryAfter is the retry delay for a service whose zones are all evacuated; up to half
@@ -36,11 +36,11 @@
 	why, evacuated := x.options.Workers.WhyClosed(service, x.allowedRegions(), only)
 	var refusal *fault.Error
 	switch why {
-	case permit.Evacuated:
+	case eligibility.Evacuated:
 		refusal = fault.Newf(fault.ZoneEvacuated, "retry once the operator has ended one of these evacuations",
 			"all permitted workers of service %q are in evacuated zones (%s)", service, strings.Join(evacuated, ", ")).
 			WithRetryAfter(evacuatedRetryAfter + rand.N(evacuatedRetryAfter/2))
-	case permit.OutsideRegions:
+	case eligibility.OutsideRegions:
 		refusal = fault.Newf(fault.OutsideRegions, "ask the operator to add workers there or to allow more regions",
 			"service %q has no workers in the regions that the route and the tenant both allow (%s)", service, strings.Join(x.allowedRegions(), ", "))
 	default:
--- a/internal/forward/capacity.go
+++ b/internal/forward/capacity.go
@@ -8,8 +8,8 @@
 	"github.com/apex/log"
 
 	"github.com/cloverwheel/cloverwheel/internal/backend"
-	"github.com/cloverwheel/cloverwheel/internal/room"
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/capacity"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 // Capacity finds workers with free capacity.
@@ -17,9 +17,9 @@
 	// Reserve reserves a slot at a worker if capacity is short, and waits until one is free. The
 	// result has no Place if capacity is not short or no slot was found; the caller then chooses
 	// a worker by local knowledge.
-	Reserve(ctx context.Context, wanted room.PlacementRequest) room.Placement
+	Reserve(ctx context.Context, wanted capacity.PlacementRequest) capacity.Placement
 	// Begin counts a request at a worker; nil if the worker's capacity is not tracked.
-	Begin(service, worker string, tokens int) *room.Reservation
+	Begin(service, worker string, tokens int) *capacity.Reservation
 }
 
 const (
@@ -68,8 +68,8 @@
 
 // capacityRequest describes the request for the capacity search, which may take as long as
 // longest.
-func (x *exchange) capacityRequest(longest time.Duration) room.PlacementRequest {
-	return room.PlacementRequest{
+func (x *exchange) capacityRequest(longest time.Duration) capacity.PlacementRequest {
+	return capacity.PlacementRequest{
 		Service: x.service,
 		Key:     x.affinityKey(),
 		Home:    x.home,
@@ -83,8 +83,8 @@
 }
 
 // currentProgram describes the state of the request's program.
-func (x *exchange) currentProgram() standing.Program {
-	program := standing.Program{
+func (x *exchange) currentProgram() scheduling.Program {
+	program := scheduling.Program{
 		Key:     x.request.Program,
 		Urgency: x.route.Priority,
 		Begins:  x.home == "",
@@ -115,13 +115,13 @@
 // addCapacityFields adds to the request's log line how its worker was found.
 func (x *exchange) addCapacityFields(fields log.Fields) {
 	found := x.placement
-	if found.Source == "" || found.Source == room.SourceUntracked {
+	if found.Source == "" || found.Source == capacity.SourceUntracked {
 		return
 	}
 	fields["room"] = string(found.Source)
 	fields["room_group"] = found.Group.String()
 	fields["room_busy"] = float64(int(100*found.Busy)) / 100
-	if found.Source == room.SourceLocal {
+	if found.Source == capacity.SourceLocal {
 		fields["room_age_ms"] = found.Age.Milliseconds()
 		return
 	}
--- a/internal/forward/capacity_test.go
+++ b/internal/forward/capacity_test.go
@@ -14,29 +14,29 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
+	"github.com/cloverwheel/cloverwheel/internal/capacity"
 	"github.com/cloverwheel/cloverwheel/internal/evacuation"
-	"github.com/cloverwheel/cloverwheel/internal/room"
 	"github.com/cloverwheel/cloverwheel/internal/route"
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
 // localCapacity tracks the capacity of service s within the node's own process.
 type localCapacity struct {
-	reporter *room.Client
+	reporter *capacity.Client
 	f        *fixture
 }
 
-var localGroup = room.Group{Service: "s", Zone: "z"}
+var localGroup = capacity.Group{Service: "s", Zone: "z"}
 
 // withCapacity adds capacity tracking to a fixture, with two slots per worker.
 func withCapacity(f *fixture) *localCapacity {
 	o := &localCapacity{f: f}
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
-	slots := &room.KeeperResolver{Owners: o}
-	keeper := room.NewCoordinator(room.CoordinatorOptions{Process: "z/n/1", Slots: slots, Members: o.members, OnAnswer: func(room.Outcome, room.Reason) {}, Logger: logger})
-	o.reporter = room.NewClient(room.ClientOptions{
+	slots := &capacity.KeeperResolver{Owners: o}
+	keeper := capacity.NewCoordinator(capacity.CoordinatorOptions{Process: "z/n/1", Slots: slots, Members: o.members, OnAnswer: func(capacity.Outcome, capacity.Reason) {}, Logger: logger})
+	o.reporter = capacity.NewClient(capacity.ClientOptions{
 		Self: budget.Holder{Process: "z/n/1"}, Zone: "z", Slots: slots, Workers: o, Keeper: keeper,
-		OnFind: func(room.Placement) {}, OnReport: func(bool) {}, Logger: logger,
+		OnFind: func(capacity.Placement) {}, OnReport: func(bool) {}, Logger: logger,
 	})
 	f.forwarder.options.Capacity = o.reporter
 	return o
@@ -47,18 +47,20 @@
 }
 func (o *localCapacity) RequestRefresh() {}
 
-func (o *localCapacity) members(room.Group) (members []room.Member, ok bool) {
+func (o *localCapacity) members(capacity.Group) (members []capacity.Member, ok bool) {
 	for _, worker := range o.f.workers.WorkersInZone("s", "z") {
-		members = append(members, room.Member{Worker: worker.Key(), Concurrency: 2})
+		members = append(members, capacity.Member{Worker: worker.Key(), Concurrency: 2})
 	}
 	return members, true
 }
 
-func (o *localCapacity) GroupOf(_, worker string) (room.Group, bool) { return localGroup, worker != "" }
-func (o *localCapacity) GroupIn(_, _, _ string) (room.Group, bool)   { return localGroup, true }
-func (o *localCapacity) OtherZones(_, _ string) []room.RemoteZone    { return nil }
-func (o *localCapacity) InRegion(string) bool                        { return true }
-func (o *localCapacity) Excluded(room.Group) []string                { return nil }
+func (o *localCapacity) GroupOf(_, worker string) (capacity.Group, bool) {
+	return localGroup, worker != ""
+}
+func (o *localCapacity) GroupIn(_, _, _ string) (capacity.Group, bool) { return localGroup, true }
+func (o *localCapacity) OtherZones(_, _ string) []capacity.RemoteZone  { return nil }
+func (o *localCapacity) InRegion(string) bool                          { return true }
+func (o *localCapacity) Excluded(capacity.Group) []string              { return nil }
 
 // fill occupies slots of workers and waits until the keeper has the report.
 func (o *localCapacity) fill(t *testing.T, requests map[string]int) {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -12,13 +12,13 @@
 	"github.com/cloverwheel/cloverwheel/internal/admission"
 	"github.com/cloverwheel/cloverwheel/internal/backend"
 	"github.com/cloverwheel/cloverwheel/internal/budget"
+	"github.com/cloverwheel/cloverwheel/internal/capacity"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/history"
-	"github.com/cloverwheel/cloverwheel/internal/room"
 	"github.com/cloverwheel/cloverwheel/internal/route"
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // Options configures a Forwarder. Workers, Transport, Budgets, History, Metrics and Logger are
@@ -33,7 +33,7 @@
 	// TurnDirectory is the directory of which node ran which turn; nil: there is none.
 	TurnDirectory TurnDirectory
 	// ResponseTimes returns how long other nodes usually take to respond; nil: the lower bounds apply.
-	ResponseTimes wait.TimeoutFunc
+	ResponseTimes timing.TimeoutFunc
 	// ConfigFreshness reports whether the configuration is recent enough to accept keys; nil: always.
 	ConfigFreshness ConfigFreshness
 	// RateLimiter enforces the tenants' rate limits; nil: there are none.
@@ -54,7 +54,7 @@
 	// never.
 	Isolated func() bool
 	// Estimator estimates how long programs take; nil: there are no estimates.
-	Estimator *standing.Estimator
+	Estimator *scheduling.Estimator
 	// Admission decides which programs may start; nil: all may.
 	Admission *admission.Controller
 	Metrics   *Metrics
@@ -128,8 +128,8 @@
 	sends            int                       // number of sends so far
 	sendFailures     []string                  // outcome of each send that failed or was not made, for the log
 	declines         int                       // number of sends that workers declined or had no connection for
-	slot             *room.Reservation         // capacity held at a worker; nil: none
-	placement        room.Placement            // result of the last capacity request
+	slot             *capacity.Reservation     // capacity held at a worker; nil: none
+	placement        capacity.Placement        // result of the last capacity request
 	capacityWait     time.Duration             // total time spent in capacity requests
 	coldAttempts     int                       // permissions requested for cold workers since the exclusions were last reset
 	coldRetryAfter   time.Duration             // until a cold worker may take a request; 0: none was refused
@@ -235,7 +235,7 @@
 			return nil, x.noWorkerError(err)
 		}
 		x.excluded, x.coldAttempts, x.coldRetryAfter = nil, 0, 0
-		_ = wait.Sleep(ctx, selectPollInterval)
+		_ = timing.Sleep(ctx, selectPollInterval)
 	}
 }
 
--- a/internal/forward/presend.go
+++ b/internal/forward/presend.go
@@ -8,9 +8,9 @@
 	"github.com/apex/log"
 
 	"github.com/cloverwheel/cloverwheel/internal/backend"
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
 )
 
 // WarmupLimiter grants requests to cold workers, whose load is limited while they warm up.
@@ -62,7 +62,7 @@
 // is final.
 func (x *exchange) clear(ctx context.Context, worker *backend.Worker) (cleared bool, refusal *fault.Error) {
 	var loan WarmupPermit
-	if x.options.Workers.Check(worker, x.allowedRegions()) == permit.NeedsWarmupPlace {
+	if x.options.Workers.Check(worker, x.allowedRegions()) == eligibility.NeedsWarmupPlace {
 		loan = x.borrowColdRequest(ctx, worker)
 	}
 	if x.clientCtx.Err() != nil {
@@ -72,7 +72,7 @@
 		return false, refusal
 	}
 	verdict := x.options.Workers.Check(worker, x.allowedRegions())
-	if verdict.Refused() || verdict == permit.NeedsWarmupPlace && !loan.valid() {
+	if verdict.Refused() || verdict == eligibility.NeedsWarmupPlace && !loan.valid() {
 		x.options.Metrics.BlockedSends.WithLabelValues(verdict.String()).Inc()
 		x.recordSendFailure(worker, x.blockReason(worker, verdict))
 		x.exclude(worker.Key())
@@ -83,8 +83,8 @@
 
 // blockReason returns why a request may not be sent to a worker. For a cold worker it includes
 // the source and the age of that information.
-func (x *exchange) blockReason(worker *backend.Worker, verdict permit.Verdict) string {
-	if verdict != permit.NeedsWarmupPlace {
+func (x *exchange) blockReason(worker *backend.Worker, verdict eligibility.Verdict) string {
+	if verdict != eligibility.NeedsWarmupPlace {
 		return verdict.String()
 	}
 	known := x.options.Workers.Warmth(worker)
--- a/internal/forward/presend_test.go
+++ b/internal/forward/presend_test.go
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/backend"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/route"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // fakeAllowance grants loans by a function and records the requests.
@@ -144,7 +144,7 @@
 // WarmupLeft implements Prober.
 func (p *fakeProber) WarmupLeft(ctx context.Context, _ *backend.Worker, _ string) (time.Duration, error) {
 	p.asked++
-	if err := wait.Sleep(ctx, p.takes); err != nil {
+	if err := timing.Sleep(ctx, p.takes); err != nil {
 		return 0, err
 	}
 	return p.left, p.err
--- a/internal/forward/program.go
+++ b/internal/forward/program.go
@@ -9,14 +9,14 @@
 	"github.com/cloverwheel/cloverwheel/internal/admission"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/route"
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 // programState is the state of a turn's program, as used for admission and priority.
 type programState struct {
-	turn       standing.Turn
-	current    standing.Program
-	band       standing.PriorityRange
+	turn       scheduling.Turn
+	current    scheduling.Program
+	band       scheduling.PriorityRange
 	known      bool                   // turn, current and band are set
 	sending    *admission.PendingTurn // the last send, until its first event; nil: none is tracked
 	sentAt     time.Time              // time of the last send
@@ -59,7 +59,7 @@
 
 // assessProgram determines the state of the turn's program and its priority band.
 func (x *exchange) assessProgram(configuration *route.Configuration, turnNumber int) {
-	turn := standing.Turn{
+	turn := scheduling.Turn{
 		Route:        x.route.Name,
 		Program:      x.tenant.Scope(x.request.Program),
 		Urgency:      x.route.Priority,
@@ -124,8 +124,8 @@
 }
 
 // turnResult describes the turn's outcome.
-func (x *exchange) turnResult(configuration *route.Configuration, failed bool) standing.Outcome {
-	return standing.Outcome{
+func (x *exchange) turnResult(configuration *route.Configuration, failed bool) scheduling.Outcome {
+	return scheduling.Outcome{
 		Failed:     failed,
 		Total:      time.Since(x.startTime),
 		FirstEvent: x.program.firstEvent,
@@ -151,8 +151,8 @@
 
 // priorityBand returns the range of worker priorities for requests of one urgency to a service.
 // It ends before the band of the next less urgent route.
-func priorityBand(configuration *route.Configuration, service string, urgency int) standing.PriorityRange {
-	shared := standing.PriorityRange{First: min(urgency*priorityStep, lowestPriority), Last: lowestPriority}
+func priorityBand(configuration *route.Configuration, service string, urgency int) scheduling.PriorityRange {
+	shared := scheduling.PriorityRange{First: min(urgency*priorityStep, lowestPriority), Last: lowestPriority}
 	if next, ok := configuration.NextLowerPriority(service, urgency); ok {
 		shared.Last = min(next*priorityStep, lowestPriority+1) - 1
 	}
@@ -179,7 +179,7 @@
 	}
 	program := x.program.current
 	slack, _ := program.Slack()
-	fields["class"] = standing.Classify(program).String()
+	fields["class"] = scheduling.Classify(program).String()
 	fields["slack_ms"] = slack.Milliseconds()
 	fields["needs_ms"] = program.Needs.Milliseconds()
 	fields["turns_left"] = program.Turns
--- a/internal/forward/program_test.go
+++ b/internal/forward/program_test.go
@@ -12,7 +12,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/admission"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/route"
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 // serveTurn serves a turn of a program and returns the priority sent to the worker.
@@ -40,7 +40,7 @@
 		routes = append(routes, other)
 	}
 	f.forwarder.SetConfiguration(route.New(2, routes, []route.Service{{Name: "s", TokensPerEvent: 10}}, route.Limits{}))
-	f.forwarder.options.Estimator = standing.NewEstimator()
+	f.forwarder.options.Estimator = scheduling.NewEstimator()
 }
 
 // Guards against a priority other than the route's for requests without a program deadline.
@@ -84,17 +84,17 @@
 		routes = append(routes, turn)
 	}
 	configuration := route.New(1, routes, nil, route.Limits{})
-	require.Equal(t, standing.PriorityRange{First: 0, Last: 1}, priorityBand(configuration, "s", 0))
-	require.Equal(t, standing.PriorityRange{First: 2, Last: 7}, priorityBand(configuration, "s", 1))
-	require.Equal(t, standing.PriorityRange{First: 8, Last: 9}, priorityBand(configuration, "s", 4))
-	require.Equal(t, standing.PriorityRange{First: 9, Last: 9}, priorityBand(configuration, "s", 12))
-	require.Equal(t, standing.PriorityRange{First: 0, Last: 9}, priorityBand(configuration, "unknown", 0))
+	require.Equal(t, scheduling.PriorityRange{First: 0, Last: 1}, priorityBand(configuration, "s", 0))
+	require.Equal(t, scheduling.PriorityRange{First: 2, Last: 7}, priorityBand(configuration, "s", 1))
+	require.Equal(t, scheduling.PriorityRange{First: 8, Last: 9}, priorityBand(configuration, "s", 4))
+	require.Equal(t, scheduling.PriorityRange{First: 9, Last: 9}, priorityBand(configuration, "s", 12))
+	require.Equal(t, scheduling.PriorityRange{First: 0, Last: 9}, priorityBand(configuration, "unknown", 0))
 }
 
 // overload reports to the gate first turns with long waits for their first event.
 func overload(gate *admission.Controller, urgency int) {
 	idle := admission.UnloadedTime{FirstEvent: 10 * time.Millisecond, Total: 100 * time.Millisecond}
-	program := standing.Program{Begins: true, Urgency: urgency}
+	program := scheduling.Program{Begins: true, Urgency: urgency}
 	for range 10 {
 		gate.FirstEvent(gate.Sent("s", program, idle, time.Now().Add(-5*time.Second)), time.Now())
 	}
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -11,7 +11,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/backend"
 	"github.com/cloverwheel/cloverwheel/internal/eventstream"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -73,7 +73,7 @@
 	if len(x.attempts.counted) == 0 {
 		return
 	}
-	_ = wait.Sleep(ctx, time.Duration(x.sends)*resendDelay)
+	_ = timing.Sleep(ctx, time.Duration(x.sends)*resendDelay)
 }
 
 // tryStream sends the request to one worker. If done, the request is over; otherwise it may be
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -12,7 +12,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/backend"
 	"github.com/cloverwheel/cloverwheel/internal/httpconn"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 var (
@@ -122,7 +122,7 @@
 
 // usualSilence is the usual silence in this part of the answer: before its first data or between
 // later data.
-func (w *watchdog) usualSilence() *wait.LatencyEstimate {
+func (w *watchdog) usualSilence() *timing.LatencyEstimate {
 	if w.answerStarted.Load() {
 		return &w.silences.Next
 	}
--- a/internal/gather/cluster_test.go
+++ b/internal/groupcommit/cluster_test.go
@@ -1,4 +1,4 @@
-package gather
+package groupcommit
 
 import (
 	"context"
@@ -21,7 +21,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -204,7 +204,7 @@
 	var index int
 	_, err := fmt.Sscan(owner.Address, &index)
 	require.NoError(c.t, err)
-	if err := wait.Sleep(ctx, roundTrip/2); err != nil {
+	if err := timing.Sleep(ctx, roundTrip/2); err != nil {
 		return Answer{}, err
 	}
 	c.mutex.Lock()
@@ -230,7 +230,7 @@
 		if replyLost {
 			<-ctx.Done()
 		}
-		return answer, wait.Sleep(ctx, roundTrip/2)
+		return answer, timing.Sleep(ctx, roundTrip/2)
 	case <-ctx.Done():
 		return Answer{}, ctx.Err()
 	}
--- a/internal/gather/doc.go
+++ b/internal/groupcommit/doc.go
@@ -1,4 +1,4 @@
-// Package gather implements group commit: it combines rows from many nodes so that the table
+// Package groupcommit implements group commit: it combines rows from many nodes so that the table
 // receives fewer commits than there are rows. The partitions of a region are divided into groups,
 // and the owner of the group's directory slot commits the group's rows. One commit takes rows of
 // one partition, or of the whole group if the table accepts transactions across partitions. Rows
@@ -10,7 +10,7 @@
 // table is near its commit limit; otherwise it writes them itself at once.
 //
 // The methods of CommitLimit and selectBatch are pure: they read no clock and make no calls.
-package gather
+package groupcommit
 
 import (
 	"time"
--- a/internal/gather/gatherer.go
+++ b/internal/groupcommit/gatherer.go
@@ -1,4 +1,4 @@
-package gather
+package groupcommit
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"github.com/apex/log"
 
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -55,7 +55,7 @@
 // Committer writes the rows of the groups whose slots this process owns.
 type Committer struct {
 	options  CommitterOptions
-	callTime wait.LatencyEstimate // duration of commits
+	callTime timing.LatencyEstimate // duration of commits
 
 	mutex        sync.Mutex
 	pendingBytes int // size of all pending rows
--- a/internal/gather/pick.go
+++ b/internal/groupcommit/pick.go
@@ -1,4 +1,4 @@
-package gather
+package groupcommit
 
 import (
 	"cmp"
--- a/internal/gather/writer.go
+++ b/internal/groupcommit/writer.go
@@ -1,4 +1,4 @@
-package gather
+package groupcommit
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -75,7 +75,7 @@
 	Owners  Owners
 	Peers   Peers
 	// Patience estimates how long other nodes take to answer; nil means unknown.
-	Patience  wait.TimeoutFunc
+	Patience  timing.TimeoutFunc
 	Committer *Committer // this process's own
 	// ThrottledSince reports whether the table has throttled a commit of this node since the given
 	// time.
@@ -154,7 +154,7 @@
 		if outcome == OutcomeLate && attempt < maxLateAttempts {
 			continue
 		}
-		if !retry || wait.Sleep(ctx, retryDelay) != nil {
+		if !retry || timing.Sleep(ctx, retryDelay) != nil {
 			return false
 		}
 	}
--- a/internal/history/failover.go
+++ b/internal/history/failover.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // placeAnswer is the answer of one place.
@@ -61,7 +61,7 @@
 		if err == nil || failed < placeCount {
 			return value, err
 		}
-		if wait.Sleep(ctx, retryPause) != nil {
+		if timing.Sleep(ctx, retryPause) != nil {
 			return none, err
 		}
 	}
--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -18,7 +18,7 @@
 	"syscall"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // ErrNotWritten is in the chain of errors of requests of which no byte was written.
@@ -64,7 +64,7 @@
 	OnProbe     func()      // called by each Reach; may be nil
 	OnBytes     ByteCounter // counts sent and received bytes; may be nil
 	// Guard detects unresponsive connections.
-	Guard silence.Guard
+	Guard deadconn.Guard
 	// TimeoutMeansUnresponsive says that the peer normally answers well within the deadlines of calls. A call
 	// that times out on a previously working connection then marks it as unresponsive.
 	TimeoutMeansUnresponsive bool
--- a/internal/httpconn/unresponsive.go
+++ b/internal/httpconn/unresponsive.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // ErrUnresponsive is in the chain of errors of requests whose connection became unresponsive. The
@@ -50,7 +50,7 @@
 // unresponsive, idle connections that have received nothing since the request was sent may be,
 // too. They are closed, and the next request uses a new connection.
 func (p *Pool) noteFailure(ctx context.Context, c *conn, sent time.Time, err error) error {
-	broken := silence.IsTimeout(err)
+	broken := deadconn.IsTimeout(err)
 	if !broken && !p.unresponsive(ctx, c) {
 		return err
 	}
@@ -82,7 +82,7 @@
 // Read implements io.Reader.
 func (b *body) Read(buffer []byte) (int, error) {
 	count, err := b.ReadCloser.Read(buffer)
-	if silence.IsTimeout(err) {
+	if deadconn.IsTimeout(err) {
 		err = b.pool.noteFailure(context.Background(), b.conn, b.sent, err)
 	}
 	return count, err
@@ -110,7 +110,7 @@
 type watchedConn struct {
 	connection       net.Conn
 	worked           bool
-	acknowledgements silence.Acknowledgements
+	acknowledgements deadconn.Acknowledgements
 }
 
 type watchKey struct{}
--- a/internal/httpconn/unresponsive_test.go
+++ b/internal/httpconn/unresponsive_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // stallingServer is a peer whose open connections can be stalled: it still reads from them
@@ -110,7 +110,7 @@
 func TestUnresponsiveConnectionClosesOtherIdleOnes(t *testing.T) {
 	peer, givenUp := newStallingServer(t), 0
 	p := NewPool(Options{Address: peer.address, DialTimeout: time.Minute, MaxIdle: 4, IdleTimeout: time.Minute, TimeoutMeansUnresponsive: true,
-		Guard: silence.Guard{OnDeadConnection: func() { givenUp++ }}})
+		Guard: deadconn.Guard{OnDeadConnection: func() { givenUp++ }}})
 	fillIdle(t, p, 3)
 	peer.stall()
 	require.ErrorIs(t, requireTimeout(t, p), ErrUnresponsive)
@@ -195,13 +195,13 @@
 	for name, answer := range map[string]string{"before the response": "", "within its body": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok"} {
 		t.Run(name, func(t *testing.T) {
 			givenUp := 0
-			p := NewPool(Options{MaxIdle: 4, IdleTimeout: time.Minute, Guard: silence.Guard{OnDeadConnection: func() { givenUp++ }},
+			p := NewPool(Options{MaxIdle: 4, IdleTimeout: time.Minute, Guard: deadconn.Guard{OnDeadConnection: func() { givenUp++ }},
 				Dial: func(context.Context) (net.Conn, error) {
 					ours, _ := net.Pipe()
 					return brokenConn{ours, bytes.NewReader([]byte(answer))}, nil
 				}})
 			_, err := exchange(t, p)
-			require.True(t, silence.IsTimeout(err))
+			require.True(t, deadconn.IsTimeout(err))
 			require.NotErrorIs(t, err, ErrNotWritten)
 			require.Equal(t, 1, givenUp)
 		})
--- a/internal/ring/ring.go
+++ b/internal/keyspace/ring.go
@@ -1,7 +1,7 @@
-// Package ring picks keys from a long ordered list of names that share a format, so that
+// Package keyspace picks keys from a long ordered list of names that share a format, so that
 // independent processes spread their reads of the list evenly, or agree on a starting point in it.
 // It infers the format from a few names.
-package ring
+package keyspace
 
 import (
 	"strconv"
--- a/internal/ring/ring_test.go
+++ b/internal/keyspace/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package keyspace
 
 import (
 	"fmt"
--- a/internal/ledger/drawer.go
+++ b/internal/ledger/drawer.go
@@ -11,7 +11,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/outside"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -158,7 +158,7 @@
 			d.row, d.known = row, true
 			break
 		}
-		if wait.Sleep(ctx, drawPause) != nil {
+		if timing.Sleep(ctx, drawPause) != nil {
 			return rowState{}, err
 		}
 	}
@@ -191,7 +191,7 @@
 		return true, nil
 	}
 	d.known = false
-	if !fault.Is(err, fault.Conflict) && wait.Sleep(ctx, drawPause) != nil {
+	if !fault.Is(err, fault.Conflict) && timing.Sleep(ctx, drawPause) != nil {
 		return false, err
 	}
 	if _, err := d.read(ctx); err != nil {
--- a/internal/ledger/world_test.go
+++ b/internal/ledger/world_test.go
@@ -18,7 +18,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/shard"
 	"github.com/cloverwheel/cloverwheel/internal/template"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // fakeTable is the platform's table in memory, with faults.
@@ -34,7 +34,7 @@
 	t.mutex.Lock()
 	latency, down := t.latency, t.down
 	t.mutex.Unlock()
-	if wait.Sleep(ctx, latency) != nil || down {
+	if timing.Sleep(ctx, latency) != nil || down {
 		return fault.New(fault.Unavailable, "table down", "wait")
 	}
 	return nil
@@ -101,7 +101,7 @@
 	p.shard.mutex.Lock()
 	latency := p.shard.latency
 	p.shard.mutex.Unlock()
-	if wait.Sleep(ctx, latency) != nil {
+	if timing.Sleep(ctx, latency) != nil {
 		return nil, fault.New(fault.Unavailable, "too late", "try again").WithRan(fault.RanUnknown)
 	}
 	p.shard.mutex.Lock()
--- a/internal/load/action.go
+++ b/internal/load/action.go
@@ -10,7 +10,7 @@
 	"github.com/apex/log"
 
 	"github.com/cloverwheel/cloverwheel/internal/id"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // Action is done to a target while it is under load, such as ending a node. The
@@ -34,7 +34,7 @@
 	var moments []moment
 	ordered := slices.SortedStableFunc(slices.Values(actions), func(a, b Action) int { return cmp.Compare(a.At, b.At) })
 	for _, action := range ordered {
-		if wait.Sleep(ctx, time.Until(began.Add(action.At))) != nil {
+		if timing.Sleep(ctx, time.Until(began.Add(action.At))) != nil {
 			break
 		}
 		moments = append(moments, moment{name: action.Name, at: time.Now()})
--- a/internal/load/runner.go
+++ b/internal/load/runner.go
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/gateway/wire"
 	"github.com/cloverwheel/cloverwheel/internal/id"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 	"github.com/cloverwheel/cloverwheel/internal/workload"
 )
 
@@ -55,7 +55,7 @@
 	moments := make(chan []moment, 1)
 	go func() { moments <- r.act(acting, began, actions) }()
 	for i := range scripts {
-		if wait.Sleep(ctx, time.Until(began.Add(r.scaled(scripts[i].Arrival)))) != nil || !r.enter(ctx) {
+		if timing.Sleep(ctx, time.Until(began.Add(r.scaled(scripts[i].Arrival)))) != nil || !r.enter(ctx) {
 			break
 		}
 		programs.Add(1)
@@ -143,7 +143,7 @@
 			first = err
 		}
 	}
-	if first == nil && wait.Sleep(ctx, r.scaled(turn.Pause)) != nil {
+	if first == nil && timing.Sleep(ctx, r.scaled(turn.Pause)) != nil {
 		first = context.Cause(ctx)
 	}
 	return first
--- a/internal/experience/experience.go
+++ b/internal/outlier/experience.go
@@ -1,11 +1,11 @@
-// Package experience detects unhealthy and slow workers from the request outcomes that all nodes
+// Package outlier detects unhealthy and slow workers from the request outcomes that all nodes
 // report. It merges the reports per worker, ejects workers that fail clearly more requests than
 // the others of their group, and estimates the cost of sending requests to the rest.
 //
 // A single node sends a worker one request every few seconds, too few to detect partial failure or
 // a slowdown quickly; the merged reports of all nodes suffice within a second or two. The package
 // reads no clock and does no I/O: callers pass the current time.
-package experience
+package outlier
 
 import "time"
 
--- a/internal/experience/judge.go
+++ b/internal/outlier/judge.go
@@ -1,4 +1,4 @@
-package experience
+package outlier
 
 import (
 	"cmp"
--- a/internal/peer/memory.go
+++ b/internal/peer/memory.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/cloverwheel/cloverwheel/internal/fault"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // InjectedFault is the fault injected into one message. The zero value injects none.
@@ -116,7 +116,7 @@
 func (t *memoryTransport) deliver(ctx context.Context, to Address, method string) (*Mux, InjectedFault, error) {
 	mux, verdict := t.network.route(t.from, to, method)
 	if verdict.Delay > 0 {
-		if err := wait.Sleep(ctx, verdict.Delay); err != nil {
+		if err := timing.Sleep(ctx, verdict.Delay); err != nil {
 			return nil, verdict, unavailableError(to, fault.RanNo)
 		}
 	}
--- a/internal/peer/node_transport.go
+++ b/internal/peer/node_transport.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // nodeTransport holds the current HTTP transport to one node. All requests to the node share
@@ -56,7 +56,7 @@
 // trackedTransport is an HTTP transport to one node that records activity on its connections.
 type trackedTransport struct {
 	transport *http.Transport
-	guard     silence.Guard
+	guard     deadconn.Guard
 	dialer    net.Dialer
 	quietTime time.Duration // without received data before connections are checked
 	createdAt time.Time
@@ -123,7 +123,7 @@
 type trackedConn struct {
 	net.Conn
 	owner            *trackedTransport
-	acknowledgements silence.Acknowledgements
+	acknowledgements deadconn.Acknowledgements
 	counted          atomic.Bool // its failure was reported to the guard
 }
 
@@ -133,7 +133,7 @@
 	if count > 0 {
 		c.owner.noteReceived()
 	}
-	if silence.IsTimeout(err) && !c.counted.Swap(true) {
+	if deadconn.IsTimeout(err) && !c.counted.Swap(true) {
 		c.owner.guard.ReportDead()
 	}
 	return count, err
--- a/internal/peer/node_transport_test.go
+++ b/internal/peer/node_transport_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // stallingProxy forwards connections to a node until they are stalled: they stay open and carry
@@ -105,7 +105,7 @@
 )
 
 func stallOptions(givenUp *atomic.Int64) Options {
-	return Options{Keys: NewKeys("secret"), DialTimeout: time.Minute, UnresponsiveAfter: quietTime, Guard: silence.Guard{OnDeadConnection: func() { givenUp.Add(1) }}}
+	return Options{Keys: NewKeys("secret"), DialTimeout: time.Minute, UnresponsiveAfter: quietTime, Guard: deadconn.Guard{OnDeadConnection: func() { givenUp.Add(1) }}}
 }
 
 // requireEcho makes a successful call through the proxy.
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -10,7 +10,7 @@
 	"github.com/apex/log/handlers/discard"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // Defaults of Options; sizes are in bytes.
@@ -46,7 +46,7 @@
 
 	Versions Versions // supported protocol versions; zero: SupportedVersions
 
-	Guard silence.Guard // detects unresponsive connections
+	Guard deadconn.Guard // detects unresponsive connections
 
 	Log        log.Interface         // nil discards
 	Registerer prometheus.Registerer // nil registers nothing
--- a/internal/place/place.go
+++ b/internal/placement/place.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"math/rand/v2"
--- a/internal/place/policy.go
+++ b/internal/placement/policy.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 // Name identifies a placement policy. The values appear in settings and reports.
 type Name string
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -13,8 +13,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/forward"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -62,10 +62,10 @@
 	Peers  Peers
 	// ResponseTimes estimates the response times of other nodes. With nil, the shortest timeouts
 	// are used.
-	ResponseTimes wait.TimeoutFunc
+	ResponseTimes timing.TimeoutFunc
 	Allocator     *Allocator // of this process; used for slots that it owns
 	// OnProof receives the proof of freshness in an answer and the time when the call was sent.
-	OnProof func(proof freshness.Proof, sent time.Time)
+	OnProof func(proof staleness.Proof, sent time.Time)
 	// OnOutcome receives the outcome of each call, for metrics.
 	OnOutcome func(Outcome)
 }
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -18,8 +18,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/forward"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
@@ -147,10 +147,10 @@
 			defer c.mutex.Unlock()
 			return c.limit, true
 		},
-		Proof: func() freshness.Proof { return freshness.Proof{} },
+		Proof: func() staleness.Proof { return staleness.Proof{} },
 	})
 	n.borrower = NewClient(ClientOptions{
-		Self: n.self, Layout: layout, Region: vantage.OwnRegion(), Owners: n.directory, Peers: peers, Allocator: n.lender, OnProof: func(freshness.Proof, time.Time) {}, OnOutcome: func(Outcome) {},
+		Self: n.self, Layout: layout, Region: vantage.OwnRegion(), Owners: n.directory, Peers: peers, Allocator: n.lender, OnProof: func(staleness.Proof, time.Time) {}, OnOutcome: func(Outcome) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/cloverwheel/cloverwheel/internal/directory"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
@@ -50,7 +50,7 @@
 	Soon  time.Duration
 	Used  int // permits issued for the share in the last window
 	Most  int // how many may be issued in a window under the owner's lease
-	Proof freshness.Proof
+	Proof staleness.Proof
 }
 
 // Leases looks up the slots that this process owns, and records raised tenants.
@@ -74,7 +74,7 @@
 	// limitOf returns a tenant's limit in the current configuration. ok is false if that is
 	// not known to be fresh enough.
 	limitOf func(tenant string) (tenant.Limit, bool)
-	proof   func() freshness.Proof
+	proof   func() staleness.Proof
 
 	mutex       sync.Mutex
 	accounts    map[shareKey]*shareAccount
@@ -111,7 +111,7 @@
 	// LimitOf returns a tenant's limit; ok is false if it is not known to be fresh enough.
 	LimitOf func(tenant string) (tenant.Limit, bool)
 	// Proof returns the proof of freshness that is sent with each answer.
-	Proof func() freshness.Proof
+	Proof func() staleness.Proof
 }
 
 // NewAllocator returns a lender that has issued no permits.
--- a/internal/quota/lender_test.go
+++ b/internal/quota/lender_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/cloverwheel/cloverwheel/internal/directory"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
@@ -45,7 +45,7 @@
 	return NewAllocator(AllocatorOptions{
 		Leases: leases, Tolerance: testTolerance,
 		LimitOf: func(string) (tenant.Limit, bool) { return limit, true },
-		Proof:   func() freshness.Proof { return freshness.Proof{Revision: 3, Age: time.Second} },
+		Proof:   func() staleness.Proof { return staleness.Proof{Revision: 3, Age: time.Second} },
 	})
 }
 
@@ -92,7 +92,7 @@
 
 func TestAnswerIncludesProof(t *testing.T) {
 	l := newTestLender(&fakeLeases{}, tenant.Limit{PerSecond: 1})
-	require.Equal(t, freshness.Proof{Revision: 3, Age: time.Second}, l.Answer(Request{Tenant: "t"}).Proof)
+	require.Equal(t, staleness.Proof{Revision: 3, Age: time.Second}, l.Answer(Request{Tenant: "t"}).Proof)
 	require.False(t, l.Answer(Request{Tenant: "t", Share: shares}).Owner, "a share that does not exist has no owner")
 }
 
--- a/internal/standing/expectation.go
+++ b/internal/scheduling/expectation.go
@@ -1,4 +1,4 @@
-package standing
+package scheduling
 
 import "time"
 
--- a/internal/standing/guesses.go
+++ b/internal/scheduling/guesses.go
@@ -1,4 +1,4 @@
-package standing
+package scheduling
 
 // minHintGain is the smallest weight of a new observation in the moving averages.
 const minHintGain = 1.0 / 32
--- a/internal/standing/recent.go
+++ b/internal/scheduling/recent.go
@@ -1,4 +1,4 @@
-package standing
+package scheduling
 
 // fifoMap is a bounded map that evicts the entry added first.
 type fifoMap[K comparable, V any] struct {
--- a/internal/standing/standing.go
+++ b/internal/scheduling/standing.go
@@ -1,11 +1,11 @@
-// Package standing estimates how close a program is to its deadline, and orders programs that compete
+// Package scheduling estimates how close a program is to its deadline, and orders programs that compete
 // for capacity.
 //
 // A program is a sequence of requests, called turns. Its standing is its scheduling state: the time to
 // its deadline, the work that remains, its urgency and its tenant. Scheduling order, admission control
 // and capacity shares are all derived from it. The package uses neither the clock nor the network;
 // callers pass the current time.
-package standing
+package scheduling
 
 import "time"
 
--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // clientDescriptorDivisor is the part of the socket descriptors that client connections may use.
@@ -83,8 +83,8 @@
 
 // trackListener wraps a listener to record whether the last Accept succeeded. The guard detects
 // silent connections.
-func (c *clientConns) trackListener(listener net.Listener, guard silence.Guard) net.Listener {
-	return &trackedListener{Listener: silence.Listener{Listener: listener, Guard: guard}, clients: c}
+func (c *clientConns) trackListener(listener net.Listener, guard deadconn.Guard) net.Listener {
+	return &trackedListener{Listener: deadconn.Listener{Listener: listener, Guard: guard}, clients: c}
 }
 
 type trackedListener struct {
--- a/internal/server/clients_test.go
+++ b/internal/server/clients_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // fakeConn records whether it was closed.
@@ -79,7 +79,7 @@
 func TestAcceptFailureStopsAcceptingForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newClientConns(0)
-		listener := c.trackListener(&fakeListener{errors: []error{nil, syscall.EMFILE, nil, syscall.EMFILE}}, silence.Guard{})
+		listener := c.trackListener(&fakeListener{errors: []error{nil, syscall.EMFILE, nil, syscall.EMFILE}}, deadconn.Guard{})
 		for _, takes := range []bool{true, false, true, false} {
 			_, err := listener.Accept()
 			require.Equal(t, takes, err == nil)
--- a/internal/server/content_test.go
+++ b/internal/server/content_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
-	"github.com/cloverwheel/cloverwheel/internal/gather"
+	"github.com/cloverwheel/cloverwheel/internal/groupcommit"
 	"github.com/cloverwheel/cloverwheel/internal/history"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
@@ -46,7 +46,7 @@
 		},
 		"rows of a turn": func(ctx context.Context) {
 			for _, holder := range []budget.Holder{inside, outside, unknown} {
-				_, err := client.Gather(ctx, holder, gather.Request{})
+				_, err := client.Gather(ctx, holder, groupcommit.Request{})
 				require.Error(t, err, "no handler is registered")
 			}
 		},
--- a/internal/server/evacuations.go
+++ b/internal/server/evacuations.go
@@ -6,8 +6,8 @@
 	"github.com/apex/log"
 
 	"github.com/cloverwheel/cloverwheel/internal/evacuation"
-	"github.com/cloverwheel/cloverwheel/internal/follow"
 	"github.com/cloverwheel/cloverwheel/internal/store"
+	"github.com/cloverwheel/cloverwheel/internal/tablesync"
 )
 
 // newEvacuationBoard returns the board of evacuated zones, which logs and counts each change.
@@ -32,7 +32,7 @@
 
 // replaceOperatorRows applies a complete read of the operator's rows. A zone without a row is no
 // longer evacuated.
-func (s *Server) replaceOperatorRows(read follow.Snapshot) {
+func (s *Server) replaceOperatorRows(read tablesync.Snapshot) {
 	s.evacuations.ApplyFullRead(read.Version, s.evacuationOrders(read.Rows))
 	s.applyConfigurations(read.Rows)
 }
--- a/internal/server/evacuations_test.go
+++ b/internal/server/evacuations_test.go
@@ -7,10 +7,10 @@
 	"github.com/apex/log/handlers/discard"
 	"github.com/stretchr/testify/require"
 
-	"github.com/cloverwheel/cloverwheel/internal/follow"
 	"github.com/cloverwheel/cloverwheel/internal/route"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
+	"github.com/cloverwheel/cloverwheel/internal/tablesync"
 )
 
 // Guards against serving with an incomplete list of evacuated zones: a configuration that arrives
@@ -30,7 +30,7 @@
 	})
 	s.applyOperatorRows([]store.Row{configuration})
 	require.Nil(t, s.forwarder.Configuration())
-	s.replaceOperatorRows(follow.Snapshot{Rows: []store.Row{configuration, evacuated}, Version: 5, Whole: true})
+	s.replaceOperatorRows(tablesync.Snapshot{Rows: []store.Row{configuration, evacuated}, Version: 5, Whole: true})
 	require.NotNil(t, s.forwarder.Configuration())
 	require.True(t, s.Evacuated("a"))
 	gone := row(evacuated.Name, 6)
--- a/internal/server/experiencemetrics.go
+++ b/internal/server/experiencemetrics.go
@@ -6,7 +6,7 @@
 	"github.com/apex/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 // EjectionMetrics count the decisions to eject and readmit workers, on the node that merges the
@@ -26,7 +26,7 @@
 }
 
 // RecordDecision logs and counts a decision on a worker of a group.
-func (m *EjectionMetrics) RecordDecision(logger log.Interface, group fmt.Stringer, change experience.Change) {
+func (m *EjectionMetrics) RecordDecision(logger log.Interface, group fmt.Stringer, change outlier.Change) {
 	m.decisions.WithLabelValues(change.Event(), string(change.Reason)).Inc()
 	fields := log.Fields{
 		"worker": change.Worker,
--- a/internal/server/experiencemetrics_test.go
+++ b/internal/server/experiencemetrics_test.go
@@ -10,7 +10,7 @@
 	dto "github.com/prometheus/client_model/go"
 	"github.com/stretchr/testify/require"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 type groupName string
@@ -23,10 +23,10 @@
 	metrics := newEjectionMetrics(registry)
 	handler := memory.New()
 	logger := &log.Logger{Handler: handler, Level: log.InfoLevel}
-	for _, change := range []experience.Change{
-		{Worker: "w@1", Ejected: true, Reason: experience.TooManyFailures, FailureRate: 0.456, Requests: 20.5, Nodes: 9, TrialDelay: time.Second, Utilization: 0.5},
-		{Worker: "w@1", Ejected: true, Reason: experience.TrialFailed, TrialDelay: 2 * time.Second},
-		{Worker: "w@1", Reason: experience.TrialsSucceeded, EjectedFor: 3 * time.Second},
+	for _, change := range []outlier.Change{
+		{Worker: "w@1", Ejected: true, Reason: outlier.TooManyFailures, FailureRate: 0.456, Requests: 20.5, Nodes: 9, TrialDelay: time.Second, Utilization: 0.5},
+		{Worker: "w@1", Ejected: true, Reason: outlier.TrialFailed, TrialDelay: 2 * time.Second},
+		{Worker: "w@1", Reason: outlier.TrialsSucceeded, EjectedFor: 3 * time.Second},
 	} {
 		metrics.RecordDecision(logger, groupName("s/a/0"), change)
 	}
--- a/internal/server/finder.go
+++ b/internal/server/finder.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/cloverwheel/cloverwheel/internal/backend"
-	"github.com/cloverwheel/cloverwheel/internal/follow"
 	"github.com/cloverwheel/cloverwheel/internal/store"
+	"github.com/cloverwheel/cloverwheel/internal/tablesync"
 )
 
 const (
@@ -39,7 +39,7 @@
 // forward.WorkerFinder.
 type workerFinder struct {
 	workers     *backend.Registry
-	follower    *follow.Follower
+	follower    *tablesync.Follower
 	gate        *store.Gate
 	services    func() []string // services targeted by the current configuration; nil: no configuration
 	countLookup func(result string)
--- a/internal/server/gather.go
+++ b/internal/server/gather.go
@@ -4,18 +4,18 @@
 	"context"
 
 	"github.com/cloverwheel/cloverwheel/internal/directory"
-	"github.com/cloverwheel/cloverwheel/internal/gather"
+	"github.com/cloverwheel/cloverwheel/internal/groupcommit"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
 // newGatherWriter returns the writer of turn rows, which batches them with the rows of other
 // nodes. It also registers this node as a gatherer for other nodes.
-func newGatherWriter(options Options, relayed *store.RelayedStore, peers *peers, dir *directory.Directory) *gather.Writer {
+func newGatherWriter(options Options, relayed *store.RelayedStore, peers *peers, dir *directory.Directory) *groupcommit.Writer {
 	vantage := options.Settings.vantage()
-	slots := gather.Slots{Layout: directory.NewLayout(vantage.Zones), Region: vantage.OwnRegion()}
-	pace := gather.CommitLimit{PerSecond: options.Settings.StoreWritesPerSecond, Groups: slots.Groups(), CrossPartition: options.Settings.CrossPartTransactions}
-	gatherer := gather.NewCommitter(gather.CommitterOptions{
+	slots := groupcommit.Slots{Layout: directory.NewLayout(vantage.Zones), Region: vantage.OwnRegion()}
+	pace := groupcommit.CommitLimit{PerSecond: options.Settings.StoreWritesPerSecond, Groups: slots.Groups(), CrossPartition: options.Settings.CrossPartTransactions}
+	gatherer := groupcommit.NewCommitter(groupcommit.CommitterOptions{
 		Process:          options.Process,
 		Owns:             slots.OwnsGroup(dir.Owns),
 		Store:            relayed,
@@ -27,7 +27,7 @@
 		Logger:           options.Logger,
 	})
 	peers.handleGather(gatherer)
-	return gather.NewWriter(gather.WriterOptions{
+	return groupcommit.NewWriter(groupcommit.WriterOptions{
 		Process: options.Process, Slots: slots, Owners: dir,
 		Peers: peers.client, Patience: peers.client.timeout, Committer: gatherer,
 		ThrottledSince: relayed.ThrottledSince, Limit: pace, Nodes: func() int { return 1 + len(dir.Owners()) },
@@ -36,8 +36,8 @@
 }
 
 // handleGather registers the handler for turn rows sent by other nodes.
-func (p *peers) handleGather(gatherer *gather.Committer) {
-	peer.Handle(p.mux, methodGather, func(ctx context.Context, request gather.Request) (gather.Answer, error) {
+func (p *peers) handleGather(gatherer *groupcommit.Committer) {
+	peer.Handle(p.mux, methodGather, func(ctx context.Context, request groupcommit.Request) (groupcommit.Answer, error) {
 		return gatherer.Answer(ctx, request), nil
 	})
 }
--- a/internal/server/gather_metrics.go
+++ b/internal/server/gather_metrics.go
@@ -5,10 +5,10 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/cloverwheel/cloverwheel/internal/gather"
+	"github.com/cloverwheel/cloverwheel/internal/groupcommit"
 )
 
-var _ gather.Metrics = (*Metrics)(nil)
+var _ groupcommit.Metrics = (*Metrics)(nil)
 
 // registerGatherMetrics registers the metrics of batched row writes.
 func (m *Metrics) registerGatherMetrics() {
@@ -19,7 +19,7 @@
 	m.Registry.MustRegister(m.gatherCalls, m.gatherRows, m.gatherWait, m.gatherRequests)
 }
 
-// RecordCommit implements gather.Metrics.
+// RecordCommit implements groupcommit.Metrics.
 func (m *Metrics) RecordCommit(rows int, taken bool) {
 	label := "no"
 	if taken {
@@ -29,10 +29,10 @@
 	m.gatherRows.Observe(float64(rows))
 }
 
-// RecordWait implements gather.Metrics.
+// RecordWait implements groupcommit.Metrics.
 func (m *Metrics) RecordWait(waited time.Duration) { m.gatherWait.Observe(waited.Seconds()) }
 
-// RecordForward implements gather.Metrics.
-func (m *Metrics) RecordForward(outcome gather.Outcome) {
+// RecordForward implements groupcommit.Metrics.
+func (m *Metrics) RecordForward(outcome groupcommit.Outcome) {
 	m.gatherRequests.WithLabelValues(string(outcome)).Inc()
 }
--- a/internal/server/guards.go
+++ b/internal/server/guards.go
@@ -5,7 +5,7 @@
 
 	"github.com/apex/log"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // Kinds of connections in metrics and log lines.
@@ -18,14 +18,14 @@
 
 // Guards detect silent connections of a node, by kind of peer.
 type Guards struct {
-	Nodes, Store, Workers, Clients silence.Guard
+	Nodes, Store, Workers, Clients deadconn.Guard
 }
 
 // NewGuards returns the guards for a node with these settings.
 func NewGuards(settings Settings, metrics *Metrics, logger log.Interface) Guards {
-	guard := func(kind string, limits silence.Limits) silence.Guard {
+	guard := func(kind string, limits deadconn.Limits) deadconn.Guard {
 		var once sync.Once
-		return silence.Guard{
+		return deadconn.Guard{
 			Limits:           limits,
 			OnDeadConnection: metrics.silentConnections.WithLabelValues(kind).Inc,
 			OnOptionError: func(err error) {
@@ -38,9 +38,9 @@
 	}
 	fresh, grace := settings.MaxStaleness, settings.ShutdownGrace
 	return Guards{
-		Nodes:   guard(kindNode, silence.ForNodes(fresh)),
-		Store:   guard(kindTable, silence.ForTable(fresh)),
-		Workers: guard(kindWorker, silence.ForWorkers(fresh)),
-		Clients: guard(kindClient, silence.ForClients(fresh, grace)),
+		Nodes:   guard(kindNode, deadconn.ForNodes(fresh)),
+		Store:   guard(kindTable, deadconn.ForTable(fresh)),
+		Workers: guard(kindWorker, deadconn.ForWorkers(fresh)),
+		Clients: guard(kindClient, deadconn.ForClients(fresh, grace)),
 	}
 }
--- a/internal/server/isolation.go
+++ b/internal/server/isolation.go
@@ -10,7 +10,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -52,7 +52,7 @@
 // monitorIsolation updates the isolation state until ctx ends.
 func (s *Server) monitorIsolation(ctx context.Context) {
 	var lastProbe time.Time // time of the last store probe
-	for wait.Sleep(ctx, isolationCheckInterval) == nil {
+	for timing.Sleep(ctx, isolationCheckInterval) == nil {
 		now := time.Now()
 		if s.peers.isolation.NeedsProbe(now) {
 			go s.probeRemotePeer(ctx)
--- a/internal/server/knowledge.go
+++ b/internal/server/knowledge.go
@@ -10,14 +10,14 @@
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/evacuation"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/quota"
 	"github.com/cloverwheel/cloverwheel/internal/route"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -51,7 +51,7 @@
 // While the node's own feed of the operator's rows is lost, it also fetches evacuated zones from
 // another node.
 type verifier struct {
-	fresh       *freshness.Tracker
+	fresh       *staleness.Tracker
 	options     Options
 	server      *Server
 	store       store.Store
@@ -74,7 +74,7 @@
 }
 
 func newVerifier(options Options, evacuations *evacuation.Tracker) *verifier {
-	return &verifier{fresh: freshness.New(options.Settings.RevokeWithin), options: options, evacuations: evacuations}
+	return &verifier{fresh: staleness.New(options.Settings.RevokeWithin), options: options, evacuations: evacuations}
 }
 
 // attach connects the verifier to the components that it uses, which are created after it.
@@ -130,7 +130,7 @@
 
 // run renews the proofs until ctx ends.
 func (v *verifier) run(ctx context.Context) {
-	for wait.Sleep(ctx, verifyInterval/2+rand.N(verifyInterval)) == nil {
+	for timing.Sleep(ctx, verifyInterval/2+rand.N(verifyInterval)) == nil {
 		if v.operatorFeedLost.Load() && time.Since(v.lastPeerRequest) > feedLostInterval {
 			v.requestFromPeer(ctx)
 		}
@@ -223,7 +223,7 @@
 // adoptProof adopts the proof of another node, received for a request that was sent at the given
 // time. The stated age is taken as the age at that time, which never makes the proof look newer
 // than it is.
-func (v *verifier) adoptProof(proof freshness.Proof, sent time.Time) {
+func (v *verifier) adoptProof(proof staleness.Proof, sent time.Time) {
 	if proof.Revision != 0 {
 		v.fresh.AddProof(proof.Revision, sent.Add(-proof.Age))
 	}
@@ -234,7 +234,7 @@
 
 // proofAnswer contains a node's freshness proof and its evacuated zones.
 type proofAnswer struct {
-	Proof       freshness.Proof
+	Proof       staleness.Proof
 	Row         store.Row // current configuration of the answering node, if newer than the requester's
 	Evacuations evacuation.Snapshot
 }
--- a/internal/server/knowledge_test.go
+++ b/internal/server/knowledge_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/cloverwheel/cloverwheel/internal/evacuation"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
 )
 
 // Guards against a peer's proof looking newer than it is: its age counts from when the request
@@ -19,11 +19,11 @@
 		v.fresh.SetActive(7)
 		sent := time.Now()
 		time.Sleep(time.Second) // network time of the answer
-		v.adoptProof(freshness.Proof{Revision: 7, Age: 3 * time.Second}, sent)
+		v.adoptProof(staleness.Proof{Revision: 7, Age: 3 * time.Second}, sent)
 		age, fresh := v.fresh.Age()
 		require.Equal(t, 4*time.Second, age)
 		require.True(t, fresh)
-		v.adoptProof(freshness.Proof{}, time.Now())
+		v.adoptProof(staleness.Proof{}, time.Now())
 		age, _ = v.fresh.Age()
 		require.Equal(t, 4*time.Second, age, "an empty proof changes nothing")
 	})
--- a/internal/server/messages_test.go
+++ b/internal/server/messages_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
+	"github.com/cloverwheel/cloverwheel/internal/capacity"
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/evacuation"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
-	"github.com/cloverwheel/cloverwheel/internal/gather"
+	"github.com/cloverwheel/cloverwheel/internal/groupcommit"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/room"
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
@@ -32,16 +32,16 @@
 		methodLocate + "-answer-2":   directory.Answer{Owner: true, Located: budget.LocateResult{Holders: []budget.Holder{holder}}, RanBy: holder},
 		methodGrant + "-request-1":   directory.GrantRequest{Process: "p2", Program: "a", Tokens: 100, From: holder, Number: 9},
 		methodProof + "-request-1":   proofRequest{Revision: 7},
-		methodProof + "-answer-1":    proofAnswer{Proof: freshness.Proof{Revision: 7, Age: time.Second}, Row: row, Evacuations: evacuation.Snapshot{}},
+		methodProof + "-answer-1":    proofAnswer{Proof: staleness.Proof{Revision: 7, Age: time.Second}, Row: row, Evacuations: evacuation.Snapshot{}},
 		methodCommit + "-request-1":  commitRequest{Process: "p2", Transaction: store.Transaction{Conditions: []store.Condition{{Key: row.Key, Version: 7}}, Put: []store.Row{row}, Remove: []store.Key{row.Key}}},
 		methodHandOver + "-answer-1": budget.HandOverAnswer{},
-		methodGather + "-request-1":  gather.Request{Process: "p2", Group: 3, Rows: []store.Row{row}, Within: time.Second, Again: true},
-		methodGather + "-answer-1":   gather.Answer{Owner: true, Outcome: gather.OutcomeStored, Short: true, Throttled: true, Expect: time.Second, Took: time.Millisecond},
-		methodRoom + "-request-1": room.Request{Process: "p2", Passed: true, Report: room.Report{
-			From: "p1", Sequence: 9, Group: room.Group{Service: "s", Zone: "a", Number: 1}, Running: []room.Running{{Worker: "w@1", Requests: 2, Tokens: 300}},
+		methodGather + "-request-1":  groupcommit.Request{Process: "p2", Group: 3, Rows: []store.Row{row}, Within: time.Second, Again: true},
+		methodGather + "-answer-1":   groupcommit.Answer{Owner: true, Outcome: groupcommit.OutcomeStored, Short: true, Throttled: true, Expect: time.Second, Took: time.Millisecond},
+		methodRoom + "-request-1": capacity.Request{Process: "p2", Passed: true, Report: capacity.Report{
+			From: "p1", Sequence: 9, Group: capacity.Group{Service: "s", Zone: "a", Number: 1}, Running: []capacity.Running{{Worker: "w@1", Requests: 2, Tokens: 300}},
 			Lasts: time.Second, Pending: []uint64{8}, Ended: 3, Held: time.Second, Declined: []string{"x@1"},
-		}, Ask: &room.Ask{Home: "w@1", Fresh: 100, Tokens: 200, Exclude: []string{"y@1"}, Patience: time.Millisecond, Program: standing.Program{Key: "k", Timed: true, Finish: time.Second}}},
-		methodRoom + "-answer-1": room.Answer{Keeper: true, Outcome: room.OutcomeAssigned, Worker: "w@1", After: time.Second, Reason: room.ReasonHome, Busy: 0.5, Settled: true, Waiting: 2, HeldFor: time.Millisecond},
+		}, Ask: &capacity.Ask{Home: "w@1", Fresh: 100, Tokens: 200, Exclude: []string{"y@1"}, Patience: time.Millisecond, Program: scheduling.Program{Key: "k", Timed: true, Finish: time.Second}}},
+		methodRoom + "-answer-1": capacity.Answer{Keeper: true, Outcome: capacity.OutcomeAssigned, Worker: "w@1", After: time.Second, Reason: capacity.ReasonHome, Busy: 0.5, Settled: true, Waiting: 2, HeldFor: time.Millisecond},
 	}
 }
 
--- a/internal/server/pause.go
+++ b/internal/server/pause.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -17,7 +17,7 @@
 // monitorStalls logs when the process did not run for a while, for example because it was
 // suspended. No other log line reports what clients saw in that time.
 func (s *Server) monitorStalls(ctx context.Context) {
-	for before := time.Now(); wait.Sleep(ctx, stallCheckInterval) == nil; {
+	for before := time.Now(); timing.Sleep(ctx, stallCheckInterval) == nil; {
 		now := time.Now()
 		if gap := now.Sub(before); gap > stallThreshold {
 			s.options.Logger.WithField("ms", gap.Milliseconds()).Warn("process was stalled; clients may have dropped the requests of that time")
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
+	"github.com/cloverwheel/cloverwheel/internal/capacity"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 	"github.com/cloverwheel/cloverwheel/internal/directory"
-	"github.com/cloverwheel/cloverwheel/internal/gather"
+	"github.com/cloverwheel/cloverwheel/internal/groupcommit"
 	"github.com/cloverwheel/cloverwheel/internal/history"
 	"github.com/cloverwheel/cloverwheel/internal/isolation"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
 	"github.com/cloverwheel/cloverwheel/internal/quota"
-	"github.com/cloverwheel/cloverwheel/internal/room"
-	"github.com/cloverwheel/cloverwheel/internal/silence"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 	"github.com/cloverwheel/cloverwheel/internal/warmup"
 )
 
@@ -168,16 +168,16 @@
 	}
 	server := peer.NewServer(p.options, p.mux)
 	context.AfterFunc(ctx, func() { _ = server.Close() })
-	group.Go(func() error { return server.Serve(silence.Listener{Listener: listener, Guard: p.options.Guard}) })
+	group.Go(func() error { return server.Serve(deadconn.Listener{Listener: listener, Guard: p.options.Guard}) })
 }
 
 // peerClient calls other nodes and measures the latency of each zone. It implements budget.Peers,
-// directory.Peers, directory.GrantPeers, quota.Peers, warmup.Peers, room.Peers, gather.Peers and
+// directory.Peers, directory.GrantPeers, quota.Peers, warmup.Peers, capacity.Peers, groupcommit.Peers and
 // forward.HistoryPeers.
 type peerClient struct {
 	transport *meteredTransport
-	latencies wait.LatencyEstimates // by zone of the called process
-	abandoned atomic.Int64          // calls whose callers have given up
+	latencies timing.LatencyEstimates // by zone of the called process
+	abandoned atomic.Int64            // calls whose callers have given up
 	// onResult is called with the result of each call; may be nil.
 	onResult func(target budget.Holder, err error)
 }
@@ -190,7 +190,7 @@
 }
 
 // timeout returns the timeout for a call to a process, based on the latency of its zone. It is a
-// wait.TimeoutFunc.
+// timing.TimeoutFunc.
 func (c *peerClient) timeout(process string, least, most time.Duration) time.Duration {
 	return c.latencies.Timeout(locality.ZoneOf(process), least, most)
 }
@@ -280,9 +280,9 @@
 	return callPeer[warmup.Answer](ctx, c, owner, methodLendCold, request)
 }
 
-// Room implements room.Peers.
-func (c *peerClient) Room(ctx context.Context, keeper budget.Holder, request room.Request) (room.Answer, error) {
-	networkTime := func(answer room.Answer, elapsed time.Duration) time.Duration { return elapsed - answer.HeldFor }
+// Room implements capacity.Peers.
+func (c *peerClient) Room(ctx context.Context, keeper budget.Holder, request capacity.Request) (capacity.Answer, error) {
+	networkTime := func(answer capacity.Answer, elapsed time.Duration) time.Duration { return elapsed - answer.HeldFor }
 	return callPeerTimed(ctx, c, keeper, methodRoom, request, networkTime)
 }
 
@@ -295,12 +295,12 @@
 	return answer.Turns, err
 }
 
-// Gather implements gather.Peers.
-func (c *peerClient) Gather(ctx context.Context, owner budget.Holder, request gather.Request) (gather.Answer, error) {
+// Gather implements groupcommit.Peers.
+func (c *peerClient) Gather(ctx context.Context, owner budget.Holder, request groupcommit.Request) (groupcommit.Answer, error) {
 	if !mayPassThrough(ctx, c.transport.vantage.Zones, owner) {
-		return gather.Answer{}, gather.ErrRegionNotAllowed
+		return groupcommit.Answer{}, groupcommit.ErrRegionNotAllowed
 	}
-	return callPeerTimed(ctx, c, owner, methodGather, request, func(answer gather.Answer, elapsed time.Duration) time.Duration {
+	return callPeerTimed(ctx, c, owner, methodGather, request, func(answer groupcommit.Answer, elapsed time.Duration) time.Duration {
 		return elapsed - answer.Took
 	})
 }
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -13,7 +13,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // slowTransport answers after a delay, or never.
@@ -32,7 +32,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := wait.Sleep(ctx, time.Duration(s.delay.Load())); err != nil {
+	if err := timing.Sleep(ctx, time.Duration(s.delay.Load())); err != nil {
 		return nil, err
 	}
 	return peer.Encode(directory.Answer{Owner: true})
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -6,9 +6,9 @@
 	"github.com/apex/log"
 
 	"github.com/cloverwheel/cloverwheel/internal/backend"
-	"github.com/cloverwheel/cloverwheel/internal/follow"
 	"github.com/cloverwheel/cloverwheel/internal/route"
 	"github.com/cloverwheel/cloverwheel/internal/store"
+	"github.com/cloverwheel/cloverwheel/internal/tablesync"
 )
 
 func (s *Server) applyConfigurations(rows []store.Row) {
@@ -53,7 +53,7 @@
 
 // replaceWorkers applies a complete read of the worker list or of the kept part. Workers that are
 // not in it are removed, or no longer kept.
-func (s *Server) replaceWorkers(read follow.Snapshot) {
+func (s *Server) replaceWorkers(read tablesync.Snapshot) {
 	listed := make(map[string]bool, len(read.Rows))
 	for _, row := range read.Rows {
 		listed[row.Name] = true
--- a/internal/server/room_test.go
+++ b/internal/server/room_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/cloverwheel/cloverwheel/internal/backend"
+	"github.com/cloverwheel/cloverwheel/internal/capacity"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/room"
 	"github.com/cloverwheel/cloverwheel/internal/route"
 )
 
@@ -45,10 +45,10 @@
 	for _, count := range []int{1, 11, 16, 17, 45, 140, 560} {
 		r := newTestRoomTracker(map[string]int{"a": count, "b": 3})
 		seen := map[string]int{}
-		groups := room.GroupCount(count)
+		groups := capacity.GroupCount(count)
 		require.LessOrEqual(t, groups, max(1, count/8))
 		for number := range groups {
-			members, ok := r.members(room.Group{Service: "s", Zone: "a", Number: number})
+			members, ok := r.members(capacity.Group{Service: "s", Zone: "a", Number: number})
 			require.True(t, ok)
 			require.LessOrEqual(t, len(members), 3*16/2)
 			for _, member := range members {
@@ -79,7 +79,7 @@
 	r.workersComplete = func() bool { return false }
 	_, ok = r.GroupIn("s", "a", "key")
 	require.False(t, ok)
-	_, ok = r.members(room.Group{Service: "s", Zone: "a"})
+	_, ok = r.members(capacity.Group{Service: "s", Zone: "a"})
 	require.False(t, ok)
 }
 
@@ -87,12 +87,12 @@
 func TestDrainingWorkersAreNotMembers(t *testing.T) {
 	r := newTestRoomTracker(map[string]int{"a": 3})
 	r.workers.Put(backend.Record{ID: "sa1", Service: "s", Address: "sa1", Zone: "a", Draining: true, Revision: 2})
-	members, _ := r.members(room.Group{Service: "s", Zone: "a"})
+	members, _ := r.members(capacity.Group{Service: "s", Zone: "a"})
 	require.Len(t, members, 2)
 	worker, _ := r.workers.WorkerByKey("sa0")
-	require.Empty(t, r.Excluded(room.Group{Service: "s", Zone: "a"}))
+	require.Empty(t, r.Excluded(capacity.Group{Service: "s", Zone: "a"}))
 	worker.RecordRefusal(time.Now())
-	require.Equal(t, []string{"sa0"}, r.Excluded(room.Group{Service: "s", Zone: "a"}))
+	require.Equal(t, []string{"sa0"}, r.Excluded(capacity.Group{Service: "s", Zone: "a"}))
 }
 
 // Guards against overflow to zones of another region.
--- a/internal/server/roommetrics.go
+++ b/internal/server/roommetrics.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/cloverwheel/cloverwheel/internal/room"
+	"github.com/cloverwheel/cloverwheel/internal/capacity"
 )
 
 // RoomMetrics count how requests are placed on workers with free capacity.
@@ -28,9 +28,9 @@
 }
 
 // RecordPlacement counts a request that needed a worker, and the time it waited for a keeper.
-func (m *RoomMetrics) RecordPlacement(found room.Placement) {
+func (m *RoomMetrics) RecordPlacement(found capacity.Placement) {
 	m.requests.WithLabelValues(string(found.Source)).Inc()
-	if found.Source != room.SourceUntracked && found.Source != room.SourceLocal {
+	if found.Source != capacity.SourceUntracked && found.Source != capacity.SourceLocal {
 		m.waitSeconds.Observe(found.Took.Seconds())
 	}
 }
@@ -45,7 +45,7 @@
 }
 
 // RecordAnswer counts a placement request that this node answered as a keeper.
-func (m *RoomMetrics) RecordAnswer(outcome room.Outcome, reason room.Reason) {
+func (m *RoomMetrics) RecordAnswer(outcome capacity.Outcome, reason capacity.Reason) {
 	m.answers.WithLabelValues(outcome.String(), string(reason)).Inc()
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -20,15 +20,15 @@
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/evacuation"
-	"github.com/cloverwheel/cloverwheel/internal/follow"
 	"github.com/cloverwheel/cloverwheel/internal/forward"
 	"github.com/cloverwheel/cloverwheel/internal/history"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/quota"
 	"github.com/cloverwheel/cloverwheel/internal/route"
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 	"github.com/cloverwheel/cloverwheel/internal/sweep"
+	"github.com/cloverwheel/cloverwheel/internal/tablesync"
 )
 
 // Settings are a node's settings from its environment.
@@ -116,9 +116,9 @@
 	evacuations    *evacuation.Tracker
 	draining       atomic.Bool
 	isolated       atomic.Bool
-	workersLoaded  atomic.Bool      // the worker list, or its first page, is loaded
-	invalidEntries invalidEntries   // used by the follower alone, which makes one call at a time
-	workerFollower *follow.Follower // of the worker list
+	workersLoaded  atomic.Bool         // the worker list, or its first page, is loaded
+	invalidEntries invalidEntries      // used by the follower alone, which makes one call at a time
+	workerFollower *tablesync.Follower // of the worker list
 	finder         *workerFinder
 	sweeper        *sweep.Sweeper
 	budgets        *budget.Accounts
@@ -195,7 +195,7 @@
 			Finder:          finder,
 			Prober:          options.Prober,
 			Capacity:        parts.room.forwardRoom(),
-			Estimator:       standing.NewEstimator(),
+			Estimator:       scheduling.NewEstimator(),
 			Admission:       admission.NewGate(parts.room.admissionKeepers()),
 			Metrics:         options.Metrics.Requests,
 			Logger:          options.Logger,
@@ -357,9 +357,9 @@
 	return nil
 }
 
-func (s *Server) followers() []*follow.Follower {
-	return []*follow.Follower{
-		follow.New(follow.Options{
+func (s *Server) followers() []*tablesync.Follower {
+	return []*tablesync.Follower{
+		tablesync.New(tablesync.Options{
 			Store:        s.options.Store,
 			Table:        s.options.Records.ConfigurationTable,
 			Replace:      s.replaceOperatorRows,
@@ -373,8 +373,8 @@
 }
 
 // newWorkerFollower returns the follower of the worker list.
-func (s *Server) newWorkerFollower() *follow.Follower {
-	return follow.New(follow.Options{
+func (s *Server) newWorkerFollower() *tablesync.Follower {
+	return tablesync.New(tablesync.Options{
 		Store:        s.options.Store,
 		Table:        s.options.Records.WorkersTable,
 		Replace:      s.replaceWorkers,
@@ -382,7 +382,7 @@
 		MaxStaleness: s.options.Settings.MaxStaleness,
 		BatchDelay:   workerBatchDelay,
 		OnResponse:   s.workers.ListConfirmed,
-		Part:         &follow.Part{Key: s.options.Settings.Node, RowCount: s.workers.Len, Enough: s.finder.hasEnough},
+		Part:         &tablesync.Part{Key: s.options.Settings.Node, RowCount: s.workers.Len, Enough: s.finder.hasEnough},
 		Logger:       s.options.Logger,
 	})
 }
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -31,7 +31,7 @@
 	case <-s.drain:
 	}
 	started := time.Now()
-	_ = wait.Sleep(ctx, drainDelayFor(s.options.Settings.ShutdownGrace))
+	_ = timing.Sleep(ctx, drainDelayFor(s.options.Settings.ShutdownGrace))
 	shutdownCtx, cancel := context.WithDeadline(ctx, started.Add(s.options.Settings.ShutdownGrace-exitMargin))
 	defer cancel()
 	err := front.Shutdown(shutdownCtx)
--- a/internal/shard/locator.go
+++ b/internal/shard/locator.go
@@ -11,7 +11,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/member"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // Delays between the attempts of a Locator.
@@ -67,7 +67,7 @@
 		if refusal.Code == fault.NotLeader && search.follow(peer.Address(refusal.Hint)) {
 			continue
 		}
-		if err := wait.Sleep(ctx, delay.NextBackOff()); err != nil {
+		if err := timing.Sleep(ctx, delay.NextBackOff()); err != nil {
 			return fault.Newf(fault.Unavailable, "try again", "the leader of shard %d was not found in time (last: %s)", shard, refusal.Message).WithRetryAfter(l.host.options.ElectionTimeout)
 		}
 	}
--- a/internal/sim/policy.go
+++ b/internal/sim/policy.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"github.com/cloverwheel/cloverwheel/internal/admit"
-	"github.com/cloverwheel/cloverwheel/internal/place"
+	"github.com/cloverwheel/cloverwheel/internal/placement"
 	"github.com/cloverwheel/cloverwheel/internal/worker"
 )
 
@@ -18,7 +18,7 @@
 
 // Baseline reports whether the policy is one that others are compared with.
 func (p Policy) Baseline() bool {
-	return p.EngineQueue || p.Admission.Policy == admit.FirstCome && p.Place.Name != place.ExpectedCompletion
+	return p.EngineQueue || p.Admission.Policy == admit.FirstCome && p.Place.Name != placement.ExpectedCompletion
 }
 
 // engineQueueSuffix ends the names of baselines without a queue of their own.
@@ -31,7 +31,7 @@
 	for _, policy := range worker.Policies() {
 		policies = append(policies, Policy{Policy: policy})
 	}
-	for _, name := range []place.Name{place.RoundRobin, place.LeastRequests, place.Sticky} {
+	for _, name := range []placement.Name{placement.RoundRobin, placement.LeastRequests, placement.Sticky} {
 		base, _ := worker.PolicyNamed(string(name))
 		base.Name += engineQueueSuffix
 		policies = append(policies, Policy{Policy: base, EngineQueue: true})
@@ -44,10 +44,10 @@
 // the two ways differ by little, and this one takes far less time to simulate.
 func MainPolicies() []Policy {
 	names := []string{
-		string(place.RoundRobin) + engineQueueSuffix,
-		string(place.LeastRequests) + engineQueueSuffix,
-		string(place.Sticky) + engineQueueSuffix,
-		string(place.Sticky),
+		string(placement.RoundRobin) + engineQueueSuffix,
+		string(placement.LeastRequests) + engineQueueSuffix,
+		string(placement.Sticky) + engineQueueSuffix,
+		string(placement.Sticky),
 		worker.DefaultPolicy,
 	}
 	var policies []Policy
--- a/internal/sim/program.go
+++ b/internal/sim/program.go
@@ -8,7 +8,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/enginemodel"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/id"
-	"github.com/cloverwheel/cloverwheel/internal/place"
+	"github.com/cloverwheel/cloverwheel/internal/placement"
 	"github.com/cloverwheel/cloverwheel/internal/worker"
 	"github.com/cloverwheel/cloverwheel/internal/workload"
 )
@@ -113,10 +113,10 @@
 }
 
 // choose takes a candidate and sends the attempt to its owner.
-func (c *call) choose(candidates []place.Candidate) {
+func (c *call) choose(candidates []placement.Candidate) {
 	s := c.program.sim()
 	s.decisions++
-	query := place.Query{
+	query := placement.Query{
 		Program:  c.program.script.Program,
 		Model:    modelName,
 		Tokens:   c.prefix.Tokens() + c.turn().MaxTokens,
@@ -125,7 +125,7 @@
 		Exclude:  c.exclude,
 		Sequence: s.decisions,
 	}
-	decision, err := place.Choose(query, candidates, s.policy.Place, s.random)
+	decision, err := placement.Choose(query, candidates, s.policy.Place, s.random)
 	if err != nil {
 		c.refused(fault.From(err))
 		return
--- a/internal/sim/simulation.go
+++ b/internal/sim/simulation.go
@@ -9,7 +9,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/enginemodel"
 	"github.com/cloverwheel/cloverwheel/internal/id"
-	"github.com/cloverwheel/cloverwheel/internal/place"
+	"github.com/cloverwheel/cloverwheel/internal/placement"
 	"github.com/cloverwheel/cloverwheel/internal/worker"
 	"github.com/cloverwheel/cloverwheel/internal/workload"
 )
@@ -198,7 +198,7 @@
 	names := usable
 	if _, all := s.policy.Place.Probes(); !all {
 		shared := id.Rank(string(c.program.script.Template), usable)
-		names = place.Shortlist(s.homeIfUsable(c), shared, usable, c.exclude, s.random)
+		names = placement.Shortlist(s.homeIfUsable(c), shared, usable, c.exclude, s.random)
 	}
 	found := make([]*backend, 0, len(names))
 	for _, name := range names {
@@ -216,8 +216,8 @@
 }
 
 // unprobed are candidates of which only the names count.
-func (s *simulation) unprobed(workers []*backend, zone string) []place.Candidate {
-	candidates := make([]place.Candidate, 0, len(workers))
+func (s *simulation) unprobed(workers []*backend, zone string) []placement.Candidate {
+	candidates := make([]placement.Candidate, 0, len(workers))
 	for _, b := range workers {
 		named := worker.Estimate{Worker: b.name, Zone: b.zone, Healthy: true, ModelLoaded: true}
 		candidates = append(candidates, worker.CandidateOf(named, distance(zone, b.zone)))
@@ -226,8 +226,8 @@
 }
 
 // probe asks the owners of workers; a dead owner does not answer.
-func (s *simulation) probe(c *call, workers []*backend, zone string) []place.Candidate {
-	candidates := make([]place.Candidate, 0, len(workers))
+func (s *simulation) probe(c *call, workers []*backend, zone string) []placement.Candidate {
+	candidates := make([]placement.Candidate, 0, len(workers))
 	c.exported = worker.Import{}
 	query := worker.ProbeRequest{
 		Program:   c.program.script.Program,
--- a/internal/spec/proof.go
+++ b/internal/spec/proof.go
@@ -1,7 +1,7 @@
 package spec
 
 // This file specifies how long a key that was taken away may still open the door
-// (package freshness): nodes ask the table, or each other, whether their configuration is
+// (package staleness): nodes ask the table, or each other, whether their configuration is
 // the newest, and let a key in only by an answer that is young enough. Time passes in
 // ticks between any two steps, so every pause and every delay is among what is searched.
 
--- a/internal/freshness/freshness.go
+++ b/internal/staleness/freshness.go
@@ -1,11 +1,11 @@
-// Package freshness tracks how recently the active configuration of this node was confirmed to be
+// Package staleness tracks how recently the active configuration of this node was confirmed to be
 // the newest. A removed API key must stop working within a bounded time, even at a node that is
 // cut off. A node therefore accepts keys only while it has a recent enough proof.
 //
 // A proof is a reply from the table, or from a node that holds a proof. Its age counts from when
 // the request was sent, by this process's monotonic clock, so a delayed reply or a paused process
 // can only make it older.
-package freshness
+package staleness
 
 import (
 	"sync"
--- a/internal/freshness/freshness_test.go
+++ b/internal/staleness/freshness_test.go
@@ -1,4 +1,4 @@
-package freshness
+package staleness
 
 import (
 	"testing"
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -10,7 +10,7 @@
 
 	"github.com/apex/log"
 
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -40,7 +40,7 @@
 type Gate struct {
 	Store
 	logger   log.Interface
-	latency  wait.LatencyEstimate // of calls to the table
+	latency  timing.LatencyEstimate // of calls to the table
 	mutex    sync.Mutex
 	closedAt time.Time
 	failures int // consecutive failures of different parts; see closePart
--- a/internal/store/storetest/counted.go
+++ b/internal/store/storetest/counted.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // LimitedTable is a Table whose commits have a latency and a rate limit. Each part handles one
@@ -123,13 +123,13 @@
 	}
 	takes, admitted := c.admit(transaction)
 	if !admitted {
-		if err := wait.Sleep(ctx, takes); err != nil {
+		if err := timing.Sleep(ctx, takes); err != nil {
 			return 0, err
 		}
 		return 0, store.ErrThrottled
 	}
 	version, err := c.Table.Commit(ctx, transaction)
-	if late := wait.Sleep(ctx, takes); late != nil {
+	if late := timing.Sleep(ctx, takes); late != nil {
 		return 0, late
 	}
 	return version, err
--- a/internal/store/storetest/distant.go
+++ b/internal/store/storetest/distant.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // SlowTable is a Table with a latency: each response to Commit and Range takes that long.
@@ -35,7 +35,7 @@
 	d.mutex.Lock()
 	latency := d.latency
 	d.mutex.Unlock()
-	return wait.Sleep(ctx, latency)
+	return timing.Sleep(ctx, latency)
 }
 
 // Commit implements store.Store. The transaction is applied at once; the response is delayed.
--- a/internal/store/throttle.go
+++ b/internal/store/throttle.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // Bounds of the mean pause after a throttled call. The mean doubles with each further one,
@@ -41,7 +41,7 @@
 	if !deadlineAllows(ctx, pause) {
 		return ErrThrottled
 	}
-	return wait.Sleep(ctx, pause)
+	return timing.Sleep(ctx, pause)
 }
 
 // deadlineAllows reports whether the deadline of ctx, if any, is later than the end of a pause
--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -12,7 +12,7 @@
 	"github.com/apex/log"
 
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -51,7 +51,7 @@
 
 // Run scans at random intervals until ctx ends.
 func (s *Sweeper) Run(ctx context.Context) {
-	if wait.Sleep(ctx, initialDelay+rand.N(meanInterval)) != nil {
+	if timing.Sleep(ctx, initialDelay+rand.N(meanInterval)) != nil {
 		return
 	}
 	for {
@@ -64,7 +64,7 @@
 		} else if removed > 0 {
 			entry.Info("deleted expired rows")
 		}
-		if wait.Sleep(ctx, meanInterval/2+rand.N(meanInterval)) != nil {
+		if timing.Sleep(ctx, meanInterval/2+rand.N(meanInterval)) != nil {
 			return
 		}
 	}
--- a/internal/follow/follow.go
+++ b/internal/tablesync/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps a local copy of a store table up to date. It reads the rows once, then long-polls
+// Package tablesync keeps a local copy of a store table up to date. It reads the rows once, then long-polls
 // the table for changes. A read that is older than the copy is discarded.
-package follow
+package tablesync
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 
 	"github.com/apex/log"
 
-	"github.com/cloverwheel/cloverwheel/internal/ring"
+	"github.com/cloverwheel/cloverwheel/internal/keyspace"
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -70,7 +70,7 @@
 type Follower struct {
 	options   Options
 	lostSince time.Time // when the table stopped responding; zero if it responds
-	names     atomic.Pointer[ring.Format]
+	names     atomic.Pointer[keyspace.Format]
 
 	// The following fields are used by Run only.
 	rows       int       // rows in the part when it was last read
@@ -94,7 +94,7 @@
 
 // Run follows the table until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
-	pauses := wait.NewBackoff(minBackoff, maxBackoff)
+	pauses := timing.NewBackoff(minBackoff, maxBackoff)
 	for ctx.Err() == nil {
 		err := f.step(ctx)
 		f.recordResult(ctx, err)
@@ -107,7 +107,7 @@
 			f.invalidate()
 			continue
 		}
-		_ = wait.Sleep(ctx, pauses.NextBackOff())
+		_ = timing.Sleep(ctx, pauses.NextBackOff())
 	}
 }
 
@@ -120,7 +120,7 @@
 func (f *Follower) step(ctx context.Context) error {
 	switch {
 	case f.churning:
-		if err := wait.Sleep(ctx, f.rereadInterval()); err != nil {
+		if err := timing.Sleep(ctx, f.rereadInterval()); err != nil {
 			return err
 		}
 		return f.reread(ctx)
@@ -155,7 +155,7 @@
 		if quiet && f.options.Part != nil {
 			gather /= firstGatherDivisor
 		}
-		_ = wait.Sleep(ctx, gather+rand.N(gather/4+1))
+		_ = timing.Sleep(ctx, gather+rand.N(gather/4+1))
 	}
 	return nil
 }
@@ -230,7 +230,7 @@
 // readPage reads one page. It retries refused calls, since the store refuses many calls while all nodes
 // start at the same time.
 func (f *Follower) readPage(ctx context.Context, from, to string, limit int) (store.Page, error) {
-	pauses := wait.NewBackoff(minBackoff, maxBackoff)
+	pauses := timing.NewBackoff(minBackoff, maxBackoff)
 	for try := 1; ; try++ {
 		limited, cancel := context.WithTimeout(ctx, responseTimeout)
 		page, err := f.options.Store.Range(limited, f.options.Table, "", from, to, limit)
@@ -238,7 +238,7 @@
 		if err == nil || try == maxPageAttempts || !errors.Is(err, store.ErrNotApplied) {
 			return page, err
 		}
-		if wait.Sleep(ctx, pauses.NextBackOff()) != nil {
+		if timing.Sleep(ctx, pauses.NextBackOff()) != nil {
 			return page, ctx.Err()
 		}
 	}
--- a/internal/follow/part.go
+++ b/internal/tablesync/part.go
@@ -1,11 +1,11 @@
-package follow
+package tablesync
 
 import (
 	"context"
 	"errors"
 	"slices"
 
-	"github.com/cloverwheel/cloverwheel/internal/ring"
+	"github.com/cloverwheel/cloverwheel/internal/keyspace"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
@@ -98,7 +98,7 @@
 		return errStale
 	}
 	names := namesOf(sample.Rows)
-	pattern, ok := ring.InferFormat(names)
+	pattern, ok := keyspace.InferFormat(names)
 	if !sample.More || !ok || pattern.EstimateCount(names) <= maxWholeRows {
 		return f.readWhole(ctx, sample)
 	}
@@ -120,7 +120,7 @@
 }
 
 // readFirstRows reads the first rows of the part, at a position that has rows after it.
-func (f *Follower) readFirstRows(ctx context.Context, pattern ring.Format) ([]store.Row, span, error) {
+func (f *Follower) readFirstRows(ctx context.Context, pattern keyspace.Format) ([]store.Row, span, error) {
 	below := ""
 	for range maxDrawAttempts {
 		position := pattern.Pick(f.options.Part.Key, below)
--- a/internal/wait/wait.go
+++ b/internal/timing/wait.go
@@ -1,6 +1,6 @@
-// Package wait provides sleeping that a context can interrupt, backoff with jitter,
+// Package timing provides sleeping that a context can interrupt, backoff with jitter,
 // and adaptive timeouts from observed durations.
-package wait
+package timing
 
 import (
 	"context"
--- a/internal/wait/ways.go
+++ b/internal/timing/ways.go
@@ -1,4 +1,4 @@
-package wait
+package timing
 
 import (
 	"sync"
--- a/internal/warmup/borrower.go
+++ b/internal/warmup/borrower.go
@@ -8,7 +8,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 	"github.com/cloverwheel/cloverwheel/internal/forward"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -59,7 +59,7 @@
 	Peers  Peers
 	// ResponseTimes estimates the response times of other nodes. With nil, the shortest timeouts
 	// are used.
-	ResponseTimes wait.TimeoutFunc
+	ResponseTimes timing.TimeoutFunc
 	Allocator     *Allocator // of this process; used for slots that it owns
 	// OnOutcome receives the outcome of each call, for metrics.
 	OnOutcome func(Outcome)
--- a/internal/worker/bench_test.go
+++ b/internal/worker/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/member"
 	"github.com/cloverwheel/cloverwheel/internal/outside"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/place"
+	"github.com/cloverwheel/cloverwheel/internal/placement"
 )
 
 // benchFleet is a fleet's catalog, and the Cores that a decision may probe: as
@@ -55,17 +55,17 @@
 }
 
 // decide places one call as a Placer does, without the messages between nodes.
-func (f *benchFleet) decide(query ProbeRequest, random *rand.Rand) (place.Decision, error) {
+func (f *benchFleet) decide(query ProbeRequest, random *rand.Rand) (placement.Decision, error) {
 	home, _ := f.homes.get(query.Program)
-	list := place.Shortlist(home, nil, f.catalog.Serving(context.Background(), "m"), nil, random)
-	candidates := make([]place.Candidate, 0, len(list))
+	list := placement.Shortlist(home, nil, f.catalog.Serving(context.Background(), "m"), nil, random)
+	candidates := make([]placement.Candidate, 0, len(list))
 	for index, worker := range list {
 		location, _ := f.catalog.Locate(context.Background(), worker)
 		estimate := f.cores[(index*7+int(query.Prefix[1].Hash%31))%len(f.cores)].Probe(epoch, query)
 		estimate.Worker = location.Worker
 		candidates = append(candidates, CandidateOf(estimate, 0))
 	}
-	return place.Choose(place.Query{Home: home, Tokens: 6200}, candidates, place.Policy{Name: place.ExpectedCompletion}, random)
+	return placement.Choose(placement.Query{Home: home, Tokens: 6200}, candidates, placement.Policy{Name: placement.ExpectedCompletion}, random)
 }
 
 // BenchmarkDecision is a whole decision, three to five probes included: the
--- a/internal/worker/execute.go
+++ b/internal/worker/execute.go
@@ -6,7 +6,7 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/engine"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // do carries a Core's actions out. The caller holds the mutex.
@@ -118,8 +118,8 @@
 // rejoin follows a request whose stream broke until its outcome is known, the
 // engine has forgotten it, or the retry budget is used up.
 func (o *owner) rejoin(ctx context.Context, job *Job, open *stream, cause error) (engine.Outcome, error) {
-	for pauses := wait.NewBackoff(firstPause, longestPause); o.retries.spend(); {
-		if wait.Sleep(ctx, pauses.NextBackOff()) != nil {
+	for pauses := timing.NewBackoff(firstPause, longestPause); o.retries.spend(); {
+		if timing.Sleep(ctx, pauses.NextBackOff()) != nil {
 			break
 		}
 		o.service.metrics.retries.Inc()
--- a/internal/worker/fixture_test.go
+++ b/internal/worker/fixture_test.go
@@ -15,7 +15,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/member"
 	"github.com/cloverwheel/cloverwheel/internal/outside"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // fakeEngine generates MaxTokens tokens a step apart and enforces fences. The
@@ -95,7 +95,7 @@
 		e.mutex.Lock()
 		step := e.step
 		e.mutex.Unlock()
-		if wait.Sleep(ctx, step) != nil {
+		if timing.Sleep(ctx, step) != nil {
 			return engine.Outcome{}, fault.New(fault.Unavailable, "the stream broke", "resume it").WithRan(fault.RanUnknown)
 		}
 		word := fmt.Sprintf("%d ", offset)
--- a/internal/worker/loops.go
+++ b/internal/worker/loops.go
@@ -8,7 +8,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/engine"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/id"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -85,7 +85,7 @@
 		if fenced && learnt && o.calls() == 0 {
 			interval = o.service.options.IdlePoll
 		}
-		if wait.Sleep(ctx, interval) != nil {
+		if timing.Sleep(ctx, interval) != nil {
 			return
 		}
 	}
--- a/internal/worker/owner.go
+++ b/internal/worker/owner.go
@@ -12,7 +12,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/outside"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // owner runs one worker's Core against its engine.
@@ -90,7 +90,7 @@
 // claim takes a new epoch. The poll loop raises the engine's fence with it, so
 // that an earlier owner can start nothing more, before anything is let in.
 func (o *owner) claim(ctx context.Context) bool {
-	for pauses := wait.NewBackoff(firstPause, longestPause); ; {
+	for pauses := timing.NewBackoff(firstPause, longestPause); ; {
 		epoch, err := o.service.options.Epochs.Claim(ctx, o.worker, o.highestEpoch(ctx))
 		if err == nil {
 			o.mutex.Lock()
@@ -100,7 +100,7 @@
 			return true
 		}
 		o.log.WithError(err).Warn("worker not claimed")
-		if wait.Sleep(ctx, pauses.NextBackOff()) != nil {
+		if timing.Sleep(ctx, pauses.NextBackOff()) != nil {
 			return false
 		}
 	}
--- a/internal/worker/placer.go
+++ b/internal/worker/placer.go
@@ -12,7 +12,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/member"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/place"
+	"github.com/cloverwheel/cloverwheel/internal/placement"
 )
 
 // PlacerOptions hold what a Placer needs. Fields with a stated default may be zero.
@@ -85,7 +85,7 @@
 		return Location{}, refusal
 	}
 	self := p.options.View().Self
-	decision, err := place.Choose(place.Query{
+	decision, err := placement.Choose(placement.Query{
 		Program:  query.Program,
 		Model:    query.Model,
 		Adapter:  query.Adapter,
@@ -116,7 +116,7 @@
 		return pool
 	}
 	shared, _ := p.shared.get(firstHash(query.Prefix))
-	return place.Shortlist(home, shared, pool, exclude, random)
+	return placement.Shortlist(home, shared, pool, exclude, random)
 }
 
 func firstHash(prefix chat.Prefix) uint64 {
@@ -194,8 +194,8 @@
 	}
 }
 
-func candidatesOf(self member.Member, probed []probe) []place.Candidate {
-	candidates := make([]place.Candidate, 0, len(probed))
+func candidatesOf(self member.Member, probed []probe) []placement.Candidate {
+	candidates := make([]placement.Candidate, 0, len(probed))
 	for _, answered := range probed {
 		if answered.err == nil {
 			candidates = append(candidates, CandidateOf(answered.estimate, distance(self, answered.location)))
--- a/internal/worker/policy.go
+++ b/internal/worker/policy.go
@@ -5,14 +5,14 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/admit"
 	"github.com/cloverwheel/cloverwheel/internal/cache"
-	"github.com/cloverwheel/cloverwheel/internal/place"
+	"github.com/cloverwheel/cloverwheel/internal/placement"
 )
 
 // Policy bundles the options of placement, admission and retention under one
 // name, for experiments and settings.
 type Policy struct {
 	Name      string
-	Place     place.Policy
+	Place     placement.Policy
 	Admission admit.Options
 	Cache     cache.Options
 }
@@ -23,22 +23,22 @@
 // Policies lists the baselines, ours, and ours with one mechanism switched off
 // each. The list only grows.
 func Policies() []Policy {
-	baseline := func(name place.Name) Policy {
+	baseline := func(name placement.Name) Policy {
 		return Policy{
 			Name:      string(name),
-			Place:     place.Policy{Name: name},
+			Place:     placement.Policy{Name: name},
 			Admission: admit.Options{Policy: admit.FirstCome},
 			Cache:     cache.Options{NoHolds: true, NoOffload: true, NoCleanup: true},
 		}
 	}
-	policies := []Policy{baseline(place.RoundRobin), baseline(place.LeastRequests), baseline(place.Sticky), ours(DefaultPolicy)}
+	policies := []Policy{baseline(placement.RoundRobin), baseline(placement.LeastRequests), baseline(placement.Sticky), ours(DefaultPolicy)}
 	return append(policies, ablations()...)
 }
 
 func ours(name string) Policy {
 	return Policy{
 		Name:      name,
-		Place:     place.Policy{Name: place.ExpectedCompletion},
+		Place:     placement.Policy{Name: placement.ExpectedCompletion},
 		Admission: admit.Options{Policy: admit.WholeProgram},
 	}
 }
@@ -81,8 +81,8 @@
 
 // CandidateOf turns an owner's estimate into a candidate. distance is between
 // the placer's zone and the worker's: 0 same zone, 1 same region, 2 further.
-func CandidateOf(estimate Estimate, distance int) place.Candidate {
-	return place.Candidate{
+func CandidateOf(estimate Estimate, distance int) placement.Candidate {
+	return placement.Candidate{
 		Worker:       estimate.Worker,
 		Zone:         estimate.Zone,
 		RoundTrip:    time.Duration(distance) * zoneStep,
