--- a/internal/backend/experience.go
+++ b/internal/backend/experience.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 const (
@@ -143,15 +143,15 @@
 	observed.failures += failures
 }
 
-// FellSilent records a request whose first event is overdue.
-func (w *Worker) FellSilent(now time.Time) {
+// RecordTimeout records a request whose first event is overdue.
+func (w *Worker) RecordTimeout(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.observe(now).silences++
 }
 
 // takeSample returns and resets the unreported observations; ok is false if there are none.
-func (w *Worker) takeSample(now time.Time) (sample experience.Sample, ok bool) {
+func (w *Worker) takeSample(now time.Time) (sample outlier.Sample, ok bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	known := w.unreported
@@ -159,7 +159,7 @@
 	if known.since.IsZero() || now.Sub(known.since) > sampleTTL {
 		return sample, false
 	}
-	sample = experience.Sample{
+	sample = outlier.Sample{
 		Worker: w.key, Requests: known.requests, Failures: known.failures,
 		Silences: known.silences, Paced: known.tokenSamples,
 	}
@@ -171,9 +171,9 @@
 
 // TakeSamples returns the observations of a service's workers since the last call. Observations older
 // than sampleTTL are dropped.
-func (r *Registry) TakeSamples(service string) []experience.Sample {
+func (r *Registry) TakeSamples(service string) []outlier.Sample {
 	now := r.options.Now()
-	var samples []experience.Sample
+	var samples []outlier.Sample
 	for worker := range r.unreported.take(service) {
 		if sample, ok := worker.takeSample(now); ok {
 			samples = append(samples, sample)
@@ -182,8 +182,8 @@
 	return samples
 }
 
-// NoteVerdicts applies verdicts that combine the observations of all nodes.
-func (r *Registry) NoteVerdicts(verdicts []experience.Verdict) {
+// ApplyVerdicts applies verdicts that combine the observations of all nodes.
+func (r *Registry) ApplyVerdicts(verdicts []outlier.Verdict) {
 	now := r.options.Now()
 	for _, received := range verdicts {
 		worker, ok := r.byKey(received.Worker)
@@ -198,7 +198,7 @@
 }
 
 // noteVerdict replaces the worker's verdict. Out-of-range values are limited.
-func (w *Worker) noteVerdict(received experience.Verdict, now time.Time) {
+func (w *Worker) noteVerdict(received outlier.Verdict, now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if received.Clear() && !w.verdict.receivedAt.IsZero() {
@@ -252,20 +252,20 @@
 	return w.ejected(now)
 }
 
-// Trial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
+// TakeTrial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
 // cached context at another worker and can be retried elsewhere. If none comes within spareOnlyPeriod,
 // a program's first turn is used, which has least to lose. Each trial is handed out once.
-func (r *Registry) Trial(query Query) (*Worker, bool) {
-	if r.trials.count.Load() == 0 || !query.Spare && !query.Begins || len(query.Only) > 0 {
+func (r *Registry) TakeTrial(query Query) (*Worker, bool) {
+	if r.trials.count.Load() == 0 || !query.Retryable && !query.FirstTurn || len(query.Only) > 0 {
 		return nil, false
 	}
 	now := r.options.Now()
 	return r.trials.take(now, func(trial trial) bool {
 		worker := trial.worker
-		return (query.Spare || trial.until.Sub(now) <= trialTTL-spareOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
+		return (query.Retryable || trial.until.Sub(now) <= trialTTL-spareOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
 			(query.Home == "" || query.Home == worker.key) &&
 			!slices.Contains(query.Exclude, worker.key) &&
-			r.Check(worker, query.Regions) == permit.Allowed && worker.triable(now)
+			r.Check(worker, query.Regions) == eligibility.Allowed && worker.triable(now)
 	})
 }
 
--- a/internal/peer/node_transport.go
+++ b/internal/peer/node_transport.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/silence"
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 )
 
 // nodeTransport holds the current HTTP transport to one node. All requests to the node share
@@ -56,7 +56,7 @@
 // trackedTransport is an HTTP transport to one node that records activity on its connections.
 type trackedTransport struct {
 	transport *http.Transport
-	guard     silence.Guard
+	guard     deadconn.Guard
 	dialer    net.Dialer
 	quietTime time.Duration // without received data before connections are checked
 	createdAt time.Time
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.guard.Protect(raw, time.Since(begun))
+	g.guard.Apply(raw, time.Since(begun))
 	connection := &trackedConn{Conn: raw, owner: g}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -123,7 +123,7 @@
 type trackedConn struct {
 	net.Conn
 	owner            *trackedTransport
-	acknowledgements silence.Acknowledgements
+	acknowledgements deadconn.Acknowledgements
 	counted          atomic.Bool // its failure was reported to the guard
 }
 
@@ -133,8 +133,8 @@
 	if count > 0 {
 		c.owner.noteReceived()
 	}
-	if silence.Broken(err) && !c.counted.Swap(true) {
-		c.owner.guard.Count()
+	if deadconn.IsTimeout(err) && !c.counted.Swap(true) {
+		c.owner.guard.ReportDead()
 	}
 	return count, err
 }
@@ -150,9 +150,9 @@
 
 type repeatableKey struct{}
 
-// Repeatable marks calls that may be executed twice. If the connection becomes unresponsive
+// WithRepeatable marks calls that may be executed twice. If the connection becomes unresponsive
 // and ctx has not ended, such a call is retried once on a new connection.
-func Repeatable(ctx context.Context) context.Context {
+func WithRepeatable(ctx context.Context) context.Context {
 	return context.WithValue(ctx, repeatableKey{}, true)
 }
 
@@ -229,7 +229,7 @@
 // retireUnresponsive stops using an unresponsive transport and reports it to the guard.
 func (t *HTTPTransport) retireUnresponsive(node *nodeTransport, unresponsive *trackedTransport) {
 	if node.retire(unresponsive) {
-		t.options.Guard.Count()
+		t.options.Guard.ReportDead()
 	}
 }
 
--- a/internal/server/experiencemetrics.go
+++ b/internal/server/experiencemetrics.go
@@ -6,7 +6,7 @@
 	"github.com/apex/log"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 // EjectionMetrics count the decisions to eject and readmit workers, on the node that merges the
@@ -26,24 +26,24 @@
 }
 
 // RecordDecision logs and counts a decision on a worker of a group.
-func (m *EjectionMetrics) RecordDecision(logger log.Interface, group fmt.Stringer, change experience.Change) {
+func (m *EjectionMetrics) RecordDecision(logger log.Interface, group fmt.Stringer, change outlier.Change) {
 	m.decisions.WithLabelValues(change.Event(), string(change.Reason)).Inc()
 	fields := log.Fields{
 		"worker": change.Worker,
 		"group":  group.String(),
 		"reason": string(change.Reason),
-		"share":  truncateHundredths(change.Share),
-		"weight": truncateHundredths(change.Weight),
+		"share":  truncateHundredths(change.FailureRate),
+		"weight": truncateHundredths(change.Requests),
 		"nodes":  change.Nodes,
-		"busy":   truncateHundredths(change.Busy),
+		"busy":   truncateHundredths(change.Utilization),
 	}
-	if change.Out {
-		fields["wait_ms"] = change.Wait.Milliseconds()
+	if change.Ejected {
+		fields["wait_ms"] = change.TrialDelay.Milliseconds()
 		logger.WithFields(fields).Warnf("worker %s", change.Event())
 		return
 	}
-	fields["lasted_ms"] = change.Lasted.Milliseconds()
-	m.ejectedFor.Observe(change.Lasted.Seconds())
+	fields["lasted_ms"] = change.EjectedFor.Milliseconds()
+	m.ejectedFor.Observe(change.EjectedFor.Seconds())
 	logger.WithFields(fields).Infof("worker %s", change.Event())
 }
 
--- a/internal/server/room.go
+++ b/internal/server/room.go
@@ -8,67 +8,67 @@
 
 	"github.com/cloverwheel/cloverwheel/internal/admission"
 	"github.com/cloverwheel/cloverwheel/internal/backend"
+	"github.com/cloverwheel/cloverwheel/internal/capacity"
 	"github.com/cloverwheel/cloverwheel/internal/directory"
-	"github.com/cloverwheel/cloverwheel/internal/experience"
 	"github.com/cloverwheel/cloverwheel/internal/forward"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/room"
 	"github.com/cloverwheel/cloverwheel/internal/route"
 )
 
 // roomTracker tracks the free capacity of workers and asks other nodes for placement. It covers
 // services whose configuration gives the capacity of a worker, and only while this node knows the
-// complete worker list. It implements room.Workers.
+// complete worker list. It implements capacity.GroupResolver.
 type roomTracker struct {
-	reporter        *room.Reporter
-	keeper          *room.Keeper
-	vantage         locality.Vantage
+	reporter        *capacity.Client
+	keeper          *capacity.Coordinator
+	vantage         locality.Location
 	service         func(name string) route.Service
 	workers         *backend.Registry
 	workersComplete func() bool // reports whether the complete worker list is known
 }
 
-var _ room.Workers = (*roomTracker)(nil)
+var _ capacity.GroupResolver = (*roomTracker)(nil)
 
 // newRoomTracker returns the tracker of a node and registers its handler for calls of other
 // nodes.
 func newRoomTracker(options Options, peers *peers, verifier *verifier, dir *directory.Directory) *roomTracker {
 	vantage := options.Settings.vantage()
-	slots := &room.Slots{Layout: directory.NewLayout(vantage.Places), Places: vantage.Places, Owners: dir}
+	slots := &capacity.KeeperResolver{Layout: directory.NewLayout(vantage.Zones), Localities: vantage.Zones, Owners: dir}
 	r := &roomTracker{vantage: vantage, service: verifier.service}
-	boards := experience.NewBoards(experience.Options[room.Group]{
-		Members: r.memberKeys, Busy: func(group room.Group) float64 { return r.keeper.Busy(group) },
-		OnChange: func(group room.Group, change experience.Change) {
+	boards := outlier.NewDetectors(outlier.Options[capacity.Group]{
+		Members: r.memberKeys, Utilization: func(group capacity.Group) float64 { return r.keeper.Utilization(group) },
+		OnChange: func(group capacity.Group, change outlier.Change) {
 			options.Metrics.Ejections.RecordDecision(options.Logger, group, change)
 		},
 	})
-	r.keeper = room.NewKeeper(room.KeeperOptions{
+	r.keeper = capacity.NewCoordinator(capacity.CoordinatorOptions{
 		Process: options.Process, Slots: slots, Members: r.members, Experience: boards,
-		Count: options.Metrics.Room.RecordAnswer, Logger: options.Logger,
+		OnAnswer: options.Metrics.Room.RecordAnswer, Logger: options.Logger,
 	})
-	r.reporter = room.NewReporter(room.ReporterOptions{
+	r.reporter = capacity.NewClient(capacity.ClientOptions{
 		Self: options.self(), Zone: vantage.Zone, Slots: slots, Peers: peers.client, Workers: r,
 		Patience: peers.client.timeout, Keeper: r.keeper, Learner: r,
-		Count: options.Metrics.Room.RecordPlacement, Told: options.Metrics.Room.RecordReport, Logger: options.Logger,
+		OnFind: options.Metrics.Room.RecordPlacement, OnReport: options.Metrics.Room.RecordReport, Logger: options.Logger,
 	})
-	options.Metrics.Room.RegisterGauges(r.keeper.Kept)
-	peer.Handle(peers.mux, methodRoom, func(ctx context.Context, request room.Request) (room.Answer, error) {
+	options.Metrics.Room.RegisterGauges(r.keeper.Stats)
+	peer.Handle(peers.mux, methodRoom, func(ctx context.Context, request capacity.Request) (capacity.Answer, error) {
 		return r.keeper.Answer(ctx, request), nil
 	})
 	return r
 }
 
-// TakeSamples implements room.Learner.
-func (r *roomTracker) TakeSamples(service string) []experience.Sample {
+// TakeSamples implements capacity.Learner.
+func (r *roomTracker) TakeSamples(service string) []outlier.Sample {
 	return r.workers.TakeSamples(service)
 }
 
-// NoteVerdicts implements room.Learner.
-func (r *roomTracker) NoteVerdicts(verdicts []experience.Verdict) { r.workers.NoteVerdicts(verdicts) }
+// NoteVerdicts implements capacity.Learner.
+func (r *roomTracker) NoteVerdicts(verdicts []outlier.Verdict) { r.workers.ApplyVerdicts(verdicts) }
 
 // memberKeys returns the sorted keys of the workers of a group that may get requests.
-func (r *roomTracker) memberKeys(group room.Group) []string {
+func (r *roomTracker) memberKeys(group capacity.Group) []string {
 	members, _ := r.members(group)
 	keys := make([]string, 0, len(members))
 	for _, member := range members {
@@ -87,25 +87,25 @@
 
 // forwardRoom returns the placement interface for the forwarder; nil if the node runs without
 // peers.
-func (r *roomTracker) forwardRoom() forward.Room {
+func (r *roomTracker) forwardRoom() forward.Capacity {
 	if r == nil {
 		return nil
 	}
 	return r.reporter
 }
 
-// Busy implements admission.Keepers. It returns nil if the load of the service is unknown.
-func (r *roomTracker) Busy(service string) *admission.Keeper {
-	busy, age, known := r.reporter.Busy(service, admission.KeeperAge)
+// Utilization implements admission.UtilizationSource. It returns nil if the load of the service is unknown.
+func (r *roomTracker) Utilization(service string) *admission.UtilizationReport {
+	busy, age, known := r.reporter.Utilization(service, admission.MaxUtilizationAge)
 	if !known {
 		return nil
 	}
-	return &admission.Keeper{Busy: busy, Age: age}
+	return &admission.UtilizationReport{Share: busy, Age: age}
 }
 
 // admissionKeepers returns the source of worker load for admission control; nil if the node runs
 // without peers.
-func (r *roomTracker) admissionKeepers() admission.Keepers {
+func (r *roomTracker) admissionKeepers() admission.UtilizationSource {
 	if r == nil {
 		return nil
 	}
@@ -114,58 +114,60 @@
 
 // tracks reports whether the capacity of a service's workers is tracked.
 func (r *roomTracker) tracks(service string) bool {
-	return r.service(service).Places > 0 && r.workersComplete()
+	return r.service(service).MaxConcurrency > 0 && r.workersComplete()
 }
 
-// GroupOf implements room.Workers. It returns the group of the worker with the given key.
-func (r *roomTracker) GroupOf(service, key string) (room.Group, bool) {
-	worker, ok := r.workers.WorkerOf(key)
+// GroupOf implements capacity.GroupResolver. It returns the group of the worker with the given key.
+func (r *roomTracker) GroupOf(service, key string) (capacity.Group, bool) {
+	worker, ok := r.workers.WorkerByKey(key)
 	if !ok || worker.Service() != service || !r.tracks(service) {
-		return room.Group{}, false
+		return capacity.Group{}, false
 	}
 	return r.groupIn(service, worker.Zone(), worker.ID())
 }
 
-// GroupIn implements room.Workers. It maps any key to a group of a zone.
-func (r *roomTracker) GroupIn(service, zone, key string) (room.Group, bool) {
+// GroupIn implements capacity.GroupResolver. It maps any key to a group of a zone.
+func (r *roomTracker) GroupIn(service, zone, key string) (capacity.Group, bool) {
 	if !r.tracks(service) {
-		return room.Group{}, false
+		return capacity.Group{}, false
 	}
 	return r.groupIn(service, zone, key)
 }
 
 // groupIn returns the group of a zone that a name hashes to.
-func (r *roomTracker) groupIn(service, zone, name string) (room.Group, bool) {
-	workers := len(r.workers.OfZone(service, zone))
+func (r *roomTracker) groupIn(service, zone, name string) (capacity.Group, bool) {
+	workers := len(r.workers.WorkersInZone(service, zone))
 	if workers == 0 {
-		return room.Group{}, false
+		return capacity.Group{}, false
 	}
-	return room.Group{Service: service, Zone: zone, Number: room.NumberOf(name, room.Groups(workers))}, true
+	return capacity.Group{Service: service, Zone: zone, Number: capacity.GroupNumber(name, capacity.GroupCount(workers))}, true
 }
 
-// Others implements room.Workers. It returns the other zones of the region, nearest first.
-func (r *roomTracker) Others(service, zone string) []room.Distant {
-	var others []room.Distant
-	for _, other := range r.workers.ZonesOf(service) {
-		if other != zone && r.Near(other) {
-			others = append(others, room.Distant{Zone: other, RoundTrip: r.workers.RoundTripTo(other)})
+// OtherZones implements capacity.GroupResolver. It returns the other zones of the region, nearest first.
+func (r *roomTracker) OtherZones(service, zone string) []capacity.RemoteZone {
+	var others []capacity.RemoteZone
+	for _, other := range r.workers.Zones(service) {
+		if other != zone && r.InRegion(other) {
+			others = append(others, capacity.RemoteZone{Zone: other, RoundTrip: r.workers.RoundTripTo(other)})
 		}
 	}
-	slices.SortFunc(others, func(a, b room.Distant) int {
+	slices.SortFunc(others, func(a, b capacity.RemoteZone) int {
 		return cmp.Or(cmp.Compare(a.RoundTrip, b.RoundTrip), cmp.Compare(a.Zone, b.Zone))
 	})
 	return others
 }
 
-// Near implements room.Workers. It reports whether a zone is in this node's region.
-func (r *roomTracker) Near(zone string) bool { return r.vantage.To(zone) != locality.OtherRegion }
+// InRegion implements capacity.GroupResolver. It reports whether a zone is in this node's region.
+func (r *roomTracker) InRegion(zone string) bool {
+	return r.vantage.DistanceTo(zone) != locality.OtherRegion
+}
 
-// Shunned implements room.Workers. It returns the workers that have just failed or declined a
+// Excluded implements capacity.GroupResolver. It returns the workers that have just failed or declined a
 // request of this node.
-func (r *roomTracker) Shunned(group room.Group) (shunned []string) {
+func (r *roomTracker) Excluded(group capacity.Group) (shunned []string) {
 	now := time.Now()
 	for _, worker := range r.groupWorkers(group) {
-		if worker.Shunned(now) {
+		if worker.Avoided(now) {
 			shunned = append(shunned, worker.Key())
 		}
 	}
@@ -173,28 +175,28 @@
 }
 
 // groupWorkers returns the workers of a group.
-func (r *roomTracker) groupWorkers(group room.Group) []*backend.Worker {
-	workers := r.workers.OfZone(group.Service, group.Zone)
-	groups := room.Groups(len(workers))
+func (r *roomTracker) groupWorkers(group capacity.Group) []*backend.Worker {
+	workers := r.workers.WorkersInZone(group.Service, group.Zone)
+	groups := capacity.GroupCount(len(workers))
 	return slices.DeleteFunc(workers, func(worker *backend.Worker) bool {
-		return room.NumberOf(worker.ID(), groups) != group.Number
+		return capacity.GroupNumber(worker.ID(), groups) != group.Number
 	})
 }
 
 // members returns the workers of a group that may get requests; ok is false if this node does not
 // know all of them.
-func (r *roomTracker) members(group room.Group) (members []room.Member, ok bool) {
+func (r *roomTracker) members(group capacity.Group) (members []capacity.Member, ok bool) {
 	if !r.tracks(group.Service) {
 		return nil, false
 	}
 	service := r.service(group.Service)
 	for _, worker := range r.groupWorkers(group) {
-		if !r.workers.Takes(worker) {
+		if !r.workers.Available(worker) {
 			continue
 		}
-		member := room.Member{Worker: worker.Key(), Places: service.Places, Memory: service.Memory}
+		member := capacity.Member{Worker: worker.Key(), Concurrency: service.MaxConcurrency, Memory: service.MemoryTokens}
 		if slots := worker.Record().Slots; slots > 0 {
-			member.Places = slots
+			member.Concurrency = slots
 		}
 		members = append(members, member)
 	}
