--- a/internal/capacity/room.go
+++ b/internal/capacity/capacity.go
@@ -1,14 +1,14 @@
-// Package capacity tracks the load of workers across all nodes and assigns requests to workers that have
-// free capacity.
+// Package capacity tracks the load of workers across all nodes and assigns requests to workers that
+// have free capacity.
 //
-// The workers of a service in a zone are divided into groups. Each group has a keeper: the owner of a
-// directory slot, chosen by rendezvous hashing. Nodes report their running requests to the keeper.
-// While capacity is short, they also query it for a worker; the keeper answers, or holds the query
-// until capacity is free.
+// The workers of a service in a zone are divided into groups. Each group has a coordinator: the
+// owner of a directory slot, chosen by rendezvous hashing. Nodes report their running requests to
+// the coordinator. While capacity is short, they also query it for a worker; the coordinator
+// answers, or holds the query until capacity is free.
 //
-// Load reports only improve placement; correctness does not depend on them. A keeper holds them in
-// memory, a new keeper rebuilds them from the next reports, and a node that gets no answer in time
-// chooses a worker from local knowledge.
+// Load reports only improve placement; correctness does not depend on them. A coordinator holds
+// them in memory, a new coordinator rebuilds them from the next reports, and a node that gets no
+// answer in time chooses a worker from its local state.
 package capacity
 
 import (
@@ -25,16 +25,16 @@
 	Tokens   int // maximum number of tokens that the requests hold
 }
 
-// Report is a node's load in a group. It replaces the node's previous report to the keeper.
+// Report is a node's load in a group. It replaces the node's previous report to the coordinator.
 type Report struct {
 	From     string // process name of the node
 	Sequence uint64 // increases with each report of the process
 	Group    Group
 	Running  []Running // this node's requests in the group; workers without any are left out
-	// Lasts is how long the report counts if no other follows. The keeper caps it.
+	// Lasts is how long the report counts if no other follows. The coordinator caps it.
 	Lasts time.Duration
-	// Pending are the sequences of the queries that the node still waits for. What they were granted
-	// is not included in Running.
+	// Pending are the sequences of the queries that the node still waits for. Requests granted
+	// in answer to them are not included in Running.
 	Pending []uint64
 	// Ended is the number of requests that ended since the previous report, and Held the total time
 	// that they occupied their workers.
@@ -42,15 +42,15 @@
 	Held  time.Duration
 	// Declined are the keys of workers that declined a request since the previous report.
 	Declined []string
-	// Learnt are the node's samples of worker behavior that it has not sent before.
+	// Learnt holds the node's samples of worker behavior that it has not sent before.
 	Learnt []outlier.Sample
 }
 
-// Request is a message to a keeper: a report and, optionally, a query for a worker.
+// Request is a message to a coordinator: a report and, optionally, a query for a worker.
 type Request struct {
 	Process string // process name of the receiver; another process at its address rejects the request
-	// Passed says that the sender has skipped a process that ranks before this one as keeper, because
-	// it does not answer.
+	// Passed reports that the sender has skipped a process that ranks before this one as
+	// coordinator, because it does not answer.
 	Passed bool
 	Report Report
 	// Ask is nil for a report without a query.
@@ -64,18 +64,18 @@
 	Fresh   int      // tokens that any other worker has to read
 	Tokens  int      // maximum number of tokens in memory
 	Exclude []string // keys of workers that may not get it
-	// Patience is how long the keeper may hold the query until there is capacity.
+	// Patience is how long the coordinator may hold the query until there is capacity.
 	Patience time.Duration
 }
 
-// Outcome is a keeper's decision on a query.
+// Outcome is a coordinator's decision on a query.
 type Outcome int
 
 // Values of Outcome.
 const (
-	OutcomeUnknown  Outcome = iota // the keeper cannot decide; the node chooses a worker itself
+	OutcomeUnknown  Outcome = iota // the coordinator cannot decide; the node chooses a worker itself
 	OutcomeAssigned                // send the request to Answer.Worker
-	OutcomeWait                    // no capacity now; ask again after Answer.After
+	OutcomeWait                    // no capacity now; query again after Answer.After
 	OutcomeRefuse                  // no capacity in time; retry after Answer.After
 )
 
@@ -84,29 +84,29 @@
 	return [...]string{"unknown", "go", "wait", "refuse"}[o]
 }
 
-// Answer is a keeper's reply to a Request. The zero value means that the receiver is not the keeper or
-// cannot act as one.
+// Answer is a coordinator's reply to a Request. The zero value means that the receiver is not the
+// coordinator or cannot act as one.
 type Answer struct {
-	Keeper  bool // the receiver is the group's keeper
+	Keeper  bool // the receiver is the group's coordinator
 	Outcome Outcome
 	Worker  string        // worker key, with OutcomeAssigned
 	After   time.Duration // with OutcomeWait and OutcomeRefuse
-	Reason  Reason        // why the keeper decided so; for logs and metrics
+	Reason  Reason        // explains the decision, for logs and metrics
 	// Busy is the utilization of the group: running requests as a share of the workers' concurrency
-	// limits, above 1 if requests queue at workers. It is valid only if Settled, which says that all
-	// nodes have had time to report.
+	// limits, above 1 if requests queue at workers. It is valid only if Settled is set: all nodes have
+	// had time to report.
 	Busy    float64
 	Settled bool
-	// Waiting is the number of held queries: those ahead of this one, or all of them in the answer to a
-	// report without a query.
+	// Waiting is the number of held queries: those ahead of this one, or all of them in the answer
+	// to a report without a query.
 	Waiting int
-	// HeldFor is how long the keeper held this query; 0 if it was answered at once.
+	// HeldFor is how long the coordinator held this query; 0 if it was answered at once.
 	HeldFor time.Duration
 	// Avoid are the current verdicts on the group's workers, merged from the samples of all nodes.
 	Avoid []outlier.Verdict
 }
 
-// Reason explains a keeper's decision. It is a metric label.
+// Reason explains a coordinator's decision. It is a metric label.
 type Reason string
 
 // Values of Reason.
--- a/internal/capacity/cluster_test.go
+++ b/internal/capacity/cluster_test.go
@@ -22,30 +22,30 @@
 	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
-// testCluster is a set of nodes in one zone with workers known to all of them. Nodes 0 and 1 own the
-// slots.
+// testCluster is a set of nodes in one zone with workers in the configuration of all of them. Nodes
+// 0 and 1 own the slots.
 type testCluster struct {
 	t       *testing.T
 	owners  []budget.Holder // by slot
 	workers []string
 	nodes   []*testNode
 	hop     time.Duration  // one-way latency between nodes
-	merged  sampleRecorder // samples of all nodes, merged by keepers
+	merged  sampleRecorder // samples of all nodes, merged by coordinators
 
 	mutex        sync.Mutex
 	unresponsive map[string]bool    // processes that do not answer
 	cut          map[[2]string]bool // by sender and receiver: links that lose all messages
-	outdated     map[string]bool    // processes of an older version, which do not know the method
-	doubts       int                // calls of Doubt
+	outdated     map[string]bool    // processes of an older version, which reject the method
+	refreshes    int                // calls of RequestRefresh
 }
 
 type testNode struct {
-	cluster  *testCluster
-	self     budget.Holder
-	keeper   *Coordinator
-	reporter *Client
-	found    []Placement
-	samples  sampleRecorder
+	cluster     *testCluster
+	self        budget.Holder
+	coordinator *Coordinator
+	client      *Client
+	placements  []Placement
+	samples     sampleRecorder
 }
 
 const testConcurrency = 4
@@ -66,20 +66,20 @@
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	for _, node := range c.nodes {
 		slots := &KeeperResolver{Owners: node}
-		node.keeper = NewCoordinator(CoordinatorOptions{Process: node.self.Process, Slots: slots, Members: node.members, Experience: &c.merged, OnAnswer: func(Outcome, Reason) {}, Logger: logger})
-		node.reporter = NewClient(ClientOptions{
-			Self: node.self, Zone: "z", Slots: slots, Peers: node, Workers: node, Keeper: node.keeper, Learner: &node.samples,
-			OnFind: func(found Placement) { node.found = append(node.found, found) }, OnReport: func(bool) {}, Logger: logger,
+		node.coordinator = NewCoordinator(CoordinatorOptions{Process: node.self.Process, Slots: slots, Members: node.members, Experience: &c.merged, OnAnswer: func(Outcome, Reason) {}, Logger: logger})
+		node.client = NewClient(ClientOptions{
+			Self: node.self, Zone: "z", Slots: slots, Peers: node, Workers: node, Keeper: node.coordinator, Learner: &node.samples,
+			OnFind: func(placement Placement) { node.placements = append(node.placements, placement) }, OnReport: func(bool) {}, Logger: logger,
 		})
-		go node.reporter.Run(t.Context())
+		go node.client.Run(t.Context())
 	}
 	return c
 }
 
-// keeperIndex returns the index of the node that keeps the group.
-func (c *testCluster) keeperIndex() int {
-	keeper, _, _ := c.nodes[0].reporter.options.Slots.keeper(testGroup, func(string) bool { return false })
-	return slices.IndexFunc(c.nodes, func(node *testNode) bool { return node.self == keeper })
+// coordinatorIndex returns the index of the node that coordinates the group.
+func (c *testCluster) coordinatorIndex() int {
+	coordinator, _, _ := c.nodes[0].client.options.Slots.coordinator(testGroup, func(string) bool { return false })
+	return slices.IndexFunc(c.nodes, func(node *testNode) bool { return node.self == coordinator })
 }
 
 var testGroup = Group{Service: "s", Zone: "z"}
@@ -89,7 +89,7 @@
 func (n *testNode) RequestRefresh() {
 	n.cluster.mutex.Lock()
 	defer n.cluster.mutex.Unlock()
-	n.cluster.doubts++
+	n.cluster.refreshes++
 }
 
 func (n *testNode) members(Group) (members []Member, ok bool) {
@@ -115,7 +115,8 @@
 	c.withLock(func() { c.cut[[2]string{c.process(from), c.process(to)}] = true })
 }
 
-// linkState reports whether messages to a process are lost, and whether it does not know the method.
+// linkState reports whether messages to a process are lost, and whether it rejects the method as
+// unknown.
 func (n *testNode) linkState(to string) (lost, unknown bool) {
 	c := n.cluster
 	c.mutex.Lock()
@@ -124,8 +125,8 @@
 }
 
 // Room implements Peers.
-func (n *testNode) Room(ctx context.Context, keeper budget.Holder, request Request) (Answer, error) {
-	lost, unknown := n.linkState(keeper.Process)
+func (n *testNode) Room(ctx context.Context, coordinator budget.Holder, request Request) (Answer, error) {
+	lost, unknown := n.linkState(coordinator.Process)
 	if lost {
 		<-ctx.Done()
 		return Answer{}, ctx.Err()
@@ -136,37 +137,37 @@
 	if err := timing.Sleep(ctx, n.cluster.hop); err != nil {
 		return Answer{}, err
 	}
-	index := slices.IndexFunc(n.cluster.nodes, func(other *testNode) bool { return other.self == keeper })
+	index := slices.IndexFunc(n.cluster.nodes, func(other *testNode) bool { return other.self == coordinator })
 	if index < 0 {
 		return Answer{}, errors.New("no such node")
 	}
-	answer := n.cluster.nodes[index].keeper.Answer(ctx, request)
+	answer := n.cluster.nodes[index].coordinator.Answer(ctx, request)
 	if err := timing.Sleep(ctx, n.cluster.hop); err != nil {
 		return Answer{}, err
 	}
 	return answer, nil
 }
 
-// find asks for a worker and falls back to the first one if none is assigned.
+// find reserves a worker and falls back to the first one if none is assigned.
 func (n *testNode) find(wanted PlacementRequest) (Placement, *Reservation) {
 	wanted.Service = "s"
 	wanted.Allows = func(string) bool { return true }
-	found := n.reporter.Reserve(n.cluster.t.Context(), wanted)
-	if found.Reservation != nil {
-		return found, found.Reservation
+	placement := n.client.Reserve(n.cluster.t.Context(), wanted)
+	if placement.Reservation != nil {
+		return placement, placement.Reservation
 	}
-	return found, n.reporter.Begin("s", n.cluster.workers[0], 0)
+	return placement, n.client.Begin("s", n.cluster.workers[0], 0)
 }
 
 // beginRequests starts requests on a node, spread over the workers.
-func (n *testNode) beginRequests(requests int) (places []*Reservation) {
+func (n *testNode) beginRequests(requests int) (reservations []*Reservation) {
 	for index := range requests {
-		places = append(places, n.reporter.Begin("s", n.cluster.workers[index%len(n.cluster.workers)], 0))
+		reservations = append(reservations, n.client.Begin("s", n.cluster.workers[index%len(n.cluster.workers)], 0))
 	}
-	return places
+	return reservations
 }
 
-// settle waits until the keeper has received reports of all nodes.
+// settle waits until the coordinator has received reports of all nodes.
 func settle() { time.Sleep(2*settleTime + 100*time.Millisecond) }
 
 // runCluster runs a test in virtual time.
@@ -174,34 +175,34 @@
 	synctest.Test(t, func(t *testing.T) { test(t, newTestCluster(t, nodes, workers)) })
 }
 
-// TestNoQueryAtLowLoad guards against queries to the keeper while most workers have capacity.
+// TestNoQueryAtLowLoad guards against queries to the coordinator while most workers have capacity.
 func TestNoQueryAtLowLoad(t *testing.T) {
 	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
 		c.nodes[2].beginRequests(4)
 		settle()
-		found, place := c.nodes[2].find(PlacementRequest{})
-		require.Equal(t, SourceLocal, found.Source)
-		require.Zero(t, found.Took)
-		require.InDelta(t, 0.25, found.Busy, 0)
-		place.Release()
+		placement, reservation := c.nodes[2].find(PlacementRequest{})
+		require.Equal(t, SourceLocal, placement.Source)
+		require.Zero(t, placement.Took)
+		require.InDelta(t, 0.25, placement.Busy, 0)
+		reservation.Release()
 	})
 }
 
-// TestKeeperAssignsFreeWorker guards against a request sent to a full worker while another one has
-// capacity.
-func TestKeeperAssignsFreeWorker(t *testing.T) {
+// TestCoordinatorAssignsFreeWorker guards against a request sent to a full worker while another one
+// has capacity.
+func TestCoordinatorAssignsFreeWorker(t *testing.T) {
 	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
 		c.nodes[2].beginRequests(15) // of 16; the last worker has 3 requests
 		settle()
 		c.nodes[3].beginRequests(0)
-		found, place := c.nodes[3].find(PlacementRequest{})
-		require.Equal(t, SourceLocal, found.Source, "no status received yet")
-		place.Release()
+		placement, reservation := c.nodes[3].find(PlacementRequest{})
+		require.Equal(t, SourceLocal, placement.Source, "no status received yet")
+		reservation.Release()
 		settle()
-		found, place = c.nodes[3].find(PlacementRequest{})
-		require.Equal(t, SourceKeeper, found.Source)
-		require.Equal(t, "w3", place.Worker())
-		require.LessOrEqual(t, found.Took, 2*c.hop)
+		placement, reservation = c.nodes[3].find(PlacementRequest{})
+		require.Equal(t, SourceKeeper, placement.Source)
+		require.Equal(t, "w3", reservation.Worker())
+		require.LessOrEqual(t, placement.Took, 2*c.hop)
 	})
 }
 
@@ -209,14 +210,14 @@
 // waits. Canceled and failed requests release capacity in the same way.
 func TestFreedCapacityGoesToQueuedRequest(t *testing.T) {
 	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
-		places := c.nodes[2].beginRequests(testConcurrency + overcommit)
+		reservations := c.nodes[2].beginRequests(testConcurrency + overcommit)
 		c.nodes[3].beginRequests(1)
 		settle()
 		begun := time.Now()
-		time.AfterFunc(50*time.Millisecond, func() { places[0].Release(); places[1].Release() })
-		found, _ := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
-		require.Equal(t, SourceKeeper, found.Source)
-		require.Equal(t, "w0", found.Reservation.Worker())
+		time.AfterFunc(50*time.Millisecond, func() { reservations[0].Release(); reservations[1].Release() })
+		placement, _ := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
+		require.Equal(t, SourceKeeper, placement.Source)
+		require.Equal(t, "w0", placement.Reservation.Worker())
 		require.LessOrEqual(t, time.Since(begun), 50*time.Millisecond+reportDelayBusy+2*reportTick+4*c.hop)
 	})
 }
@@ -228,10 +229,10 @@
 		c.nodes[3].beginRequests(1)
 		settle()
 		for _, longest := range []time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond} {
-			found, place := c.nodes[3].find(PlacementRequest{MaxWait: longest})
-			require.Equal(t, SourceFull, found.Source)
-			require.LessOrEqual(t, found.Took, longest+10*c.hop)
-			place.Release()
+			placement, reservation := c.nodes[3].find(PlacementRequest{MaxWait: longest})
+			require.Equal(t, SourceFull, placement.Source)
+			require.LessOrEqual(t, placement.Took, longest+10*c.hop)
+			reservation.Release()
 		}
 	})
 }
@@ -240,40 +241,40 @@
 // waited.
 func TestCanceledRequestTakesNoCapacity(t *testing.T) {
 	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
-		places := c.nodes[2].beginRequests(testConcurrency + overcommit)
+		reservations := c.nodes[2].beginRequests(testConcurrency + overcommit)
 		others := c.nodes[3].beginRequests(1)
 		settle()
 		ctx, cancel := context.WithCancel(t.Context())
 		time.AfterFunc(20*time.Millisecond, cancel)
-		found := c.nodes[3].reporter.Reserve(ctx, PlacementRequest{Service: "s", MaxWait: 400 * time.Millisecond, Allows: func(string) bool { return true }})
-		require.Nil(t, found.Reservation)
-		require.LessOrEqual(t, found.Took, 21*time.Millisecond)
-		for _, place := range append(places, others...) {
-			place.Release()
+		placement := c.nodes[3].client.Reserve(ctx, PlacementRequest{Service: "s", MaxWait: 400 * time.Millisecond, Allows: func(string) bool { return true }})
+		require.Nil(t, placement.Reservation)
+		require.LessOrEqual(t, placement.Took, 21*time.Millisecond)
+		for _, reservation := range append(reservations, others...) {
+			reservation.Release()
 		}
 		time.Sleep(grantTTL + 100*time.Millisecond)
-		require.Zero(t, c.nodes[c.keeperIndex()].keeper.Utilization(testGroup))
+		require.Zero(t, c.nodes[c.coordinatorIndex()].coordinator.Utilization(testGroup))
 	})
 }
 
-// keeperFailure is a failure of the keeper.
-type keeperFailure struct {
-	start     func(c *testCluster, keeper int)
-	stop      func(c *testCluster, keeper int)
-	askerOnly bool // only the asker cannot reach the keeper; the replacement has no other node's reports
+// coordinatorFailure is a failure of the coordinator.
+type coordinatorFailure struct {
+	start      func(c *testCluster, coordinator int)
+	stop       func(c *testCluster, coordinator int)
+	senderOnly bool // only the sender cannot reach the coordinator; the replacement has no other node's reports
 }
 
-// TestKeeperFailover guards against long waits when a keeper is killed, paused for 4 s, unreachable
-// one way or replaced by an older version. Within a second another keeper assigns workers. A node that
-// alone cannot reach the keeper chooses from local knowledge.
-func TestKeeperFailover(t *testing.T) {
-	for name, failure := range map[string]keeperFailure{
-		"killed":      {start: func(c *testCluster, keeper int) { c.setState(c.unresponsive, keeper, true) }},
-		"cut one way": {start: func(c *testCluster, keeper int) { c.cutLink(3, keeper) }, askerOnly: true},
-		"old build":   {start: func(c *testCluster, keeper int) { c.setState(c.outdated, keeper, true) }},
+// TestCoordinatorFailover guards against long waits when a coordinator is killed, paused for 4 s,
+// unreachable one way or replaced by an older version. Within a second another coordinator assigns
+// workers. A node that alone cannot reach the coordinator chooses from local state.
+func TestCoordinatorFailover(t *testing.T) {
+	for name, failure := range map[string]coordinatorFailure{
+		"killed":      {start: func(c *testCluster, coordinator int) { c.setState(c.unresponsive, coordinator, true) }},
+		"cut one way": {start: func(c *testCluster, coordinator int) { c.cutLink(3, coordinator) }, senderOnly: true},
+		"old build":   {start: func(c *testCluster, coordinator int) { c.setState(c.outdated, coordinator, true) }},
 		"paused": {
-			start: func(c *testCluster, keeper int) { c.setState(c.unresponsive, keeper, true) },
-			stop:  func(c *testCluster, keeper int) { c.setState(c.unresponsive, keeper, false) },
+			start: func(c *testCluster, coordinator int) { c.setState(c.unresponsive, coordinator, true) },
+			stop:  func(c *testCluster, coordinator int) { c.setState(c.unresponsive, coordinator, false) },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -282,52 +283,52 @@
 				c.nodes[3].beginRequests(1)
 				settle()
 				settle()
-				keeper := c.keeperIndex()
-				failure.start(c, keeper)
-				ask := func() Placement {
-					found, place := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
-					place.Release()
+				coordinator := c.coordinatorIndex()
+				failure.start(c, coordinator)
+				reserve := func() Placement {
+					placement, reservation := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
+					reservation.Release()
 					time.Sleep(30 * time.Millisecond)
-					return found
+					return placement
 				}
 				var waited time.Duration
 				for begun := time.Now(); time.Since(begun) < time.Second; {
-					found := ask()
-					waited += found.Took
-					require.Contains(t, []Source{SourceKeeper, SourceNoAnswer, SourceUnsettled, SourceLocal}, found.Source)
+					placement := reserve()
+					waited += placement.Took
+					require.Contains(t, []Source{SourceKeeper, SourceNoAnswer, SourceUnsettled, SourceLocal}, placement.Source)
 				}
 				require.LessOrEqual(t, waited, missesToSuspect*queryTimeout+time.Second/10)
 				for begun := time.Now(); time.Since(begun) < 3*time.Second; {
-					found := ask()
-					require.LessOrEqual(t, found.Took, 10*c.hop)
-					if failure.askerOnly {
+					placement := reserve()
+					require.LessOrEqual(t, placement.Took, 10*c.hop)
+					if failure.senderOnly {
 						continue
 					}
-					require.Equal(t, SourceKeeper, found.Source, "after %v", time.Since(begun))
-					require.NotEqual(t, c.process(keeper), found.Keeper)
-					require.Equal(t, "w3", found.Reservation.Worker())
+					require.Equal(t, SourceKeeper, placement.Source, "after %v", time.Since(begun))
+					require.NotEqual(t, c.process(coordinator), placement.Keeper)
+					require.Equal(t, "w3", placement.Reservation.Worker())
 				}
 				if failure.stop == nil {
 					return
 				}
-				failure.stop(c, keeper)
+				failure.stop(c, coordinator)
 				for begun := time.Now(); time.Since(begun) < 2*maxBackoff; {
-					ask()
+					reserve()
 				}
-				found := ask()
-				require.Equal(t, SourceKeeper, found.Source)
-				require.Equal(t, c.process(keeper), found.Keeper, "the recovered process must be keeper again")
-				require.Equal(t, "w3", found.Reservation.Worker())
+				placement := reserve()
+				require.Equal(t, SourceKeeper, placement.Source)
+				require.Equal(t, c.process(coordinator), placement.Keeper, "the recovered process must be coordinator again")
+				require.Equal(t, "w3", placement.Reservation.Worker())
 			})
 		})
 	}
 }
 
-// TestTwoKeepersAtOnce guards against excessive waits while some nodes cannot reach the keeper and use
-// another one, and against a process that answers as keeper when it is not.
-func TestTwoKeepersAtOnce(t *testing.T) {
+// TestTwoCoordinatorsAtOnce guards against excessive waits while some nodes cannot reach the
+// coordinator and use another one, and against a process that acts as coordinator when it is not.
+func TestTwoCoordinatorsAtOnce(t *testing.T) {
 	runCluster(t, 6, 4, func(t *testing.T, c *testCluster) {
-		first := c.keeperIndex()
+		first := c.coordinatorIndex()
 		second := 1 - first
 		for _, index := range []int{3, 5} {
 			c.cutLink(index, first)
@@ -339,40 +340,40 @@
 		settle()
 		for range 20 {
 			for index := 2; index < 6; index++ {
-				found, place := c.nodes[index].find(PlacementRequest{MaxWait: 100 * time.Millisecond})
-				require.LessOrEqual(t, found.Took, 100*time.Millisecond+10*c.hop)
-				place.Release()
+				placement, reservation := c.nodes[index].find(PlacementRequest{MaxWait: 100 * time.Millisecond})
+				require.LessOrEqual(t, placement.Took, 100*time.Millisecond+10*c.hop)
+				reservation.Release()
 			}
 			time.Sleep(30 * time.Millisecond)
 		}
-		last := func(index int) Placement { return c.nodes[index].found[len(c.nodes[index].found)-1] }
+		last := func(index int) Placement { return c.nodes[index].placements[len(c.nodes[index].placements)-1] }
 		require.Equal(t, c.process(first), last(2).Keeper)
 		require.Equal(t, c.process(second), last(3).Keeper)
 
-		answer := c.nodes[second].keeper.Answer(t.Context(), Request{Process: c.process(second), Report: Report{From: "x", Group: testGroup}})
-		require.False(t, answer.Keeper, "not the keeper, and no other process was passed over")
-		answer = c.nodes[first].keeper.Answer(t.Context(), Request{Process: "of an earlier process", Report: Report{From: "x", Group: testGroup}})
+		answer := c.nodes[second].coordinator.Answer(t.Context(), Request{Process: c.process(second), Report: Report{From: "x", Group: testGroup}})
+		require.False(t, answer.Keeper, "not the coordinator, and no other process was passed over")
+		answer = c.nodes[first].coordinator.Answer(t.Context(), Request{Process: "of an earlier process", Report: Report{From: "x", Group: testGroup}})
 		require.False(t, answer.Keeper)
 	})
 }
 
-// TestDeadNodeFreesItsCapacity guards against capacity that stays occupied for more than a second
-// after a node dies.
-func TestDeadNodeFreesItsCapacity(t *testing.T) {
+// TestFailedNodeFreesItsCapacity guards against capacity that stays occupied for more than a second
+// after a node fails.
+func TestFailedNodeFreesItsCapacity(t *testing.T) {
 	runCluster(t, 4, 13, func(t *testing.T, c *testCluster) {
 		c.nodes[2].beginRequests(50) // of 52
 		c.nodes[3].beginRequests(1)
 		settle()
 		settle()
-		busy := func() float64 {
-			found, place := c.nodes[3].find(PlacementRequest{})
-			place.Release()
-			return found.Busy
+		utilization := func() float64 {
+			placement, reservation := c.nodes[3].find(PlacementRequest{})
+			reservation.Release()
+			return placement.Busy
 		}
-		require.Greater(t, busy(), 0.9)
+		require.Greater(t, utilization(), 0.9)
 		c.setState(c.unresponsive, 2, true)
 		time.Sleep(time.Second)
-		require.Less(t, busy(), 0.1)
+		require.Less(t, utilization(), 0.1)
 	})
 }
 
@@ -384,14 +385,14 @@
 		c.nodes[3].beginRequests(1)  // w0 has one more
 		settle()
 		settle()
-		found, place := c.nodes[3].find(PlacementRequest{})
-		require.Equal(t, "w2", found.Reservation.Worker())
-		place.Release()
+		placement, reservation := c.nodes[3].find(PlacementRequest{})
+		require.Equal(t, "w2", placement.Reservation.Worker())
+		reservation.Release()
 		c.withLock(func() { c.workers[0] = "w0@2" })
 		time.Sleep(100 * time.Millisecond)
-		found, place = c.nodes[3].find(PlacementRequest{Home: "w0"})
-		require.Equal(t, "w0@2", found.Reservation.Worker())
-		place.Release()
+		placement, reservation = c.nodes[3].find(PlacementRequest{Home: "w0"})
+		require.Equal(t, "w0@2", placement.Reservation.Worker())
+		reservation.Release()
 	})
 }
 
@@ -399,7 +400,7 @@
 type sampleRecorder struct {
 	mutex    sync.Mutex
 	pending  []outlier.Sample  // returned by TakeSamples
-	learnt   []outlier.Sample  // received by Learn
+	received []outlier.Sample  // received by Add
 	verdicts []outlier.Verdict // received by NoteVerdicts
 	avoid    []outlier.Verdict // returned by Verdicts
 }
@@ -413,13 +414,13 @@
 func (s *sampleRecorder) Add(_ Group, _ string, samples []outlier.Sample, _ time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.learnt = append(s.learnt, samples...)
+	s.received = append(s.received, samples...)
 }
 
 func (s *sampleRecorder) Verdicts(Group, time.Time) []outlier.Verdict {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.learnt) == 0 {
+	if len(s.received) == 0 {
 		return nil
 	}
 	return s.avoid
@@ -439,7 +440,7 @@
 	s.verdicts = verdicts
 }
 
-// TestSamplesAndVerdictsTravelWithReports guards against samples that do not reach the keeper,
+// TestSamplesAndVerdictsTravelWithReports guards against samples that do not reach the coordinator,
 // verdicts that do not reach the nodes, and assigning requests to a worker to be avoided.
 func TestSamplesAndVerdictsTravelWithReports(t *testing.T) {
 	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
@@ -450,11 +451,11 @@
 		c.nodes[3].beginRequests(1)
 		settle()
 		settle()
-		c.merged.withLock(func() { require.Len(t, c.merged.learnt, 1) })
+		c.merged.withLock(func() { require.Len(t, c.merged.received, 1) })
 		node.withLock(func() { require.Equal(t, c.merged.avoid, node.verdicts) })
 		for range 4 {
-			found, _ := c.nodes[3].find(PlacementRequest{Exclude: []string{"w0"}})
-			require.NotEqual(t, "w3", found.Reservation.Worker())
+			placement, _ := c.nodes[3].find(PlacementRequest{Exclude: []string{"w0"}})
+			require.NotEqual(t, "w3", placement.Reservation.Worker())
 		}
 	})
 }
--- a/internal/capacity/keeper.go
+++ b/internal/capacity/coordinator.go
@@ -15,7 +15,7 @@
 const (
 	// schedulerTTL is how long a group's scheduler is kept without requests.
 	schedulerTTL = 10 * time.Second
-	// maxSchedulers limits the groups that one process keeps.
+	// maxSchedulers limits the groups that one process coordinates.
 	maxSchedulers = 256
 	// maxHold caps how long a query is held.
 	maxHold = 250 * time.Millisecond
@@ -34,16 +34,17 @@
 	Process string
 	Slots   *KeeperResolver
 	// Members returns the workers of a group that may receive requests. ok is false if this process
-	// does not know all of them.
+	// does not have the records of all of them.
 	Members func(Group) (members []Member, ok bool)
-	// Experience is optional.
+	// Experience provides the verdicts on workers; nil: none.
 	Experience Experience
 	// OnAnswer is called with each answer to a query.
 	OnAnswer func(Outcome, Reason)
 	Logger   log.Interface
 }
 
-// Coordinator runs the schedulers of the groups for which other nodes consider this process the keeper.
+// Coordinator runs the schedulers of the groups for which other nodes consider this process the
+// coordinator.
 type Coordinator struct {
 	options CoordinatorOptions
 
@@ -65,39 +66,39 @@
 }
 
 // Answer handles a request of a node. It blocks while the query is held. Keeper is false in the
-// answer if this process is not the group's keeper, does not know all of its workers or keeps too many
-// groups.
-func (k *Coordinator) Answer(ctx context.Context, request Request) Answer {
+// answer if this process is not the group's coordinator, lacks the records of some of its workers or
+// coordinates too many groups.
+func (c *Coordinator) Answer(ctx context.Context, request Request) Answer {
 	group := request.Report.Group
-	if !k.isKeeperFor(request) {
+	if !c.isCoordinatorFor(request) {
 		return Answer{}
 	}
-	members, known := k.options.Members(group)
+	members, known := c.options.Members(group)
 	if !known {
 		return Answer{}
 	}
 	now := time.Now()
-	verdicts := k.mergeSamples(request.Report, now)
-	answer, query, answers := k.handle(request, withoutAvoided(members, verdicts), now)
+	verdicts := c.mergeSamples(request.Report, now)
+	answer, query, answers := c.handle(request, withoutAvoided(members, verdicts), now)
 	if query != nil {
-		answer = k.await(ctx, group, query, answers)
+		answer = c.await(ctx, group, query, answers)
 	}
 	if request.Ask != nil {
-		k.options.OnAnswer(answer.Outcome, answer.Reason)
+		c.options.OnAnswer(answer.Outcome, answer.Reason)
 	}
 	answer.Avoid = verdicts
 	return answer
 }
 
 // mergeSamples adds a node's samples and returns the merged verdicts on the group's workers.
-func (k *Coordinator) mergeSamples(report Report, now time.Time) []outlier.Verdict {
-	if k.options.Experience == nil {
+func (c *Coordinator) mergeSamples(report Report, now time.Time) []outlier.Verdict {
+	if c.options.Experience == nil {
 		return nil
 	}
 	if len(report.Learnt) > 0 {
-		k.options.Experience.Add(report.Group, report.From, report.Learnt, now)
+		c.options.Experience.Add(report.Group, report.From, report.Learnt, now)
 	}
-	return k.options.Experience.Verdicts(report.Group, now)
+	return c.options.Experience.Verdicts(report.Group, now)
 }
 
 // withoutAvoided removes the workers that have an active verdict against them, unless none would be
@@ -115,36 +116,36 @@
 	return remaining
 }
 
-// Utilization returns the utilization of a group; 0 if it is not kept here.
-func (k *Coordinator) Utilization(group Group) float64 {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if scheduler, ok := k.schedulers[group]; ok {
-		return scheduler.load.Busy()
+// Utilization returns the utilization of a group; 0 if this process does not coordinate it.
+func (c *Coordinator) Utilization(group Group) float64 {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if scheduler, ok := c.schedulers[group]; ok {
+		return scheduler.load.Utilization()
 	}
 	return 0
 }
 
-// isKeeperFor reports whether the request is addressed to this process, and this process keeps the
-// group or replaces a keeper that the sender could not reach.
-func (k *Coordinator) isKeeperFor(request Request) bool {
-	if request.Process != k.options.Process {
+// isCoordinatorFor reports whether the request is addressed to this process, and this process
+// coordinates the group or replaces a coordinator that the sender could not reach.
+func (c *Coordinator) isCoordinatorFor(request Request) bool {
+	if request.Process != c.options.Process {
 		return false
 	}
 	if request.Passed {
 		return true
 	}
-	keeper, _, ok := k.options.Slots.keeper(request.Report.Group, func(string) bool { return false })
-	return ok && keeper.Process == k.options.Process
+	coordinator, _, ok := c.options.Slots.coordinator(request.Report.Group, func(string) bool { return false })
+	return ok && coordinator.Process == c.options.Process
 }
 
 // handle applies a report, and answers its query or queues it. A queued query is returned with the
 // channel for its answer.
-func (k *Coordinator) handle(request Request, members []Member, now time.Time) (Answer, *Query, <-chan Answer) {
+func (c *Coordinator) handle(request Request, members []Member, now time.Time) (Answer, *Query, <-chan Answer) {
 	report := request.Report
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	scheduler := k.scheduler(report.Group, now)
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	scheduler := c.scheduler(report.Group, now)
 	if scheduler == nil {
 		return Answer{}, nil, nil
 	}
@@ -164,7 +165,7 @@
 }
 
 // await waits until a query is resolved, its hold time is over or the sender has canceled.
-func (k *Coordinator) await(ctx context.Context, group Group, query *Query, answers <-chan Answer) Answer {
+func (c *Coordinator) await(ctx context.Context, group Group, query *Query, answers <-chan Answer) Answer {
 	timer := time.NewTimer(min(query.Ask.Patience, maxHold))
 	defer timer.Stop()
 	select {
@@ -173,17 +174,17 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	if answer, ok := k.withdraw(group, query); ok {
+	if answer, ok := c.withdraw(group, query); ok {
 		return answer
 	}
 	return <-answers
 }
 
 // withdraw removes a held query. ok is false if it is already resolved.
-func (k *Coordinator) withdraw(group Group, query *Query) (answer Answer, ok bool) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	scheduler, known := k.schedulers[group]
+func (c *Coordinator) withdraw(group Group, query *Query) (answer Answer, ok bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	scheduler, known := c.schedulers[group]
 	if !known {
 		return Answer{Keeper: true}, true
 	}
@@ -207,42 +208,42 @@
 
 // scheduler returns the scheduler of a group, creating it if needed; nil if there are too many. The
 // caller holds the mutex.
-func (k *Coordinator) scheduler(group Group, now time.Time) *groupScheduler {
-	k.sweep(now)
-	scheduler, ok := k.schedulers[group]
+func (c *Coordinator) scheduler(group Group, now time.Time) *groupScheduler {
+	c.sweep(now)
+	scheduler, ok := c.schedulers[group]
 	if !ok {
-		if len(k.schedulers) >= maxSchedulers {
+		if len(c.schedulers) >= maxSchedulers {
 			return nil
 		}
 		scheduler = &groupScheduler{Scheduler: NewScheduler(), answers: map[*Query]chan<- Answer{}}
-		k.schedulers[group] = scheduler
-		k.options.Logger.WithField("group", group.String()).Info("became capacity keeper of a worker group; collecting load reports before answering queries")
+		c.schedulers[group] = scheduler
+		c.options.Logger.WithField("group", group.String()).Info("became capacity coordinator of a worker group; collecting load reports before answering queries")
 	}
 	scheduler.lastUsed = now
 	return scheduler
 }
 
 // sweep removes the schedulers that nodes do not use any more. The caller holds the mutex.
-func (k *Coordinator) sweep(now time.Time) {
-	if now.Sub(k.lastSweep) < schedulerTTL/4 {
+func (c *Coordinator) sweep(now time.Time) {
+	if now.Sub(c.lastSweep) < schedulerTTL/4 {
 		return
 	}
-	k.lastSweep = now
-	maps.DeleteFunc(k.schedulers, func(group Group, scheduler *groupScheduler) bool {
+	c.lastSweep = now
+	maps.DeleteFunc(c.schedulers, func(group Group, scheduler *groupScheduler) bool {
 		expired := now.Sub(scheduler.lastUsed) > schedulerTTL && len(scheduler.answers) == 0
 		if expired {
-			k.options.Logger.WithField("group", group.String()).Info("no more load reports or queries for a worker group; dropping its capacity state")
+			c.options.Logger.WithField("group", group.String()).Info("no more load reports or queries for a worker group; dropping its capacity state")
 		}
 		return expired
 	})
 }
 
-// Stats returns the number of groups kept by this process and of queries held.
-func (k *Coordinator) Stats() (groups, waiting int) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	for _, scheduler := range k.schedulers {
+// Stats returns the number of groups that this process coordinates and of held queries.
+func (c *Coordinator) Stats() (groups, waiting int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, scheduler := range c.schedulers {
 		waiting += scheduler.QueueLength()
 	}
-	return len(k.schedulers), waiting
+	return len(c.schedulers), waiting
 }
--- a/internal/capacity/decide.go
+++ b/internal/capacity/decide.go
@@ -17,10 +17,10 @@
 	minRetryAfter = 5 * time.Millisecond
 )
 
-// Decide returns where a request should go now. ahead is the number of queries queued before it.
-// Decide records no grant.
+// Decide returns the worker that a request should be sent to now, or after which time to query
+// again. ahead is the number of queries queued before it. Decide records no grant.
 func (l *GroupLoad) Decide(ask Ask, ahead int, now time.Time) Answer {
-	answer := Answer{Keeper: true, Busy: l.Busy(), Settled: l.Settled(now), Waiting: ahead}
+	answer := Answer{Keeper: true, Busy: l.Utilization(), Settled: l.Settled(now), Waiting: ahead}
 	switch {
 	case !answer.Settled:
 		answer.Reason = ReasonUnsettled
@@ -127,8 +127,8 @@
 	return max(minRetryAfter, time.Duration(ahead+1)*l.meanHoldTime()/time.Duration(max(l.totalCapacity(), 1)))
 }
 
-// meanHoldTime returns the average time that a request occupies a worker, or a default before any report
-// of it.
+// meanHoldTime returns the average time that a request occupies a worker, or a default before any
+// report of it.
 func (l *GroupLoad) meanHoldTime() time.Duration {
 	if l.holdTime == 0 {
 		return defaultHoldTime
--- a/internal/capacity/group.go
+++ b/internal/capacity/group.go
@@ -10,7 +10,7 @@
 
 // targetGroupSize is the average number of workers per group above which a zone gets more groups. It
 // is large enough that some worker of a group usually has capacity, and small enough to bound the
-// messages that one keeper handles.
+// messages that one coordinator handles.
 const targetGroupSize = 16
 
 // Group identifies a subset of the workers of a service in one zone.
@@ -20,8 +20,8 @@
 	Number  int
 }
 
-// GroupCount returns the number of groups for a zone's workers of a service. It is a power of two, so that
-// it seldom changes.
+// GroupCount returns the number of groups for a zone's workers of a service. It is a power of two,
+// so that it seldom changes.
 func GroupCount(workers int) int {
 	count := 1
 	for count*targetGroupSize < workers {
@@ -39,7 +39,7 @@
 func (g Group) String() string { return g.Service + "/" + g.Zone + "/" + strconv.Itoa(g.Number) }
 
 // rankSlots orders directory slots by rendezvous hashing. The owner of the first one should be the
-// group's keeper. All nodes compute the same order.
+// group's coordinator. All nodes compute the same order.
 func (g Group) rankSlots(slots []int) []int {
 	weights := make(map[int]uint64, len(slots))
 	for _, slot := range slots {
--- a/internal/capacity/groupload.go
+++ b/internal/capacity/groupload.go
@@ -7,10 +7,10 @@
 
 const (
 	// settleTime is how long a new GroupLoad collects reports before it answers queries. By then every
-	// node has noticed that the previous keeper fails to answer its renewed reports.
+	// node has detected that the previous coordinator fails to answer its renewed reports.
 	settleTime = renewInterval + reportTimeout + 100*time.Millisecond
-	// silenceTimeout is the time without any report after which the load has to settle again.
-	silenceTimeout = time.Second
+	// reportGapTimeout is the time without any report after which the load has to settle again.
+	reportGapTimeout = time.Second
 	// grantTTL is how long a grant counts if no report covers it.
 	grantTTL = 400 * time.Millisecond
 	// declineBackoff is how long a worker that declined a request gets no further one.
@@ -78,7 +78,7 @@
 // ApplyReport replaces what the reporting node had running, unless the report is older than the node's
 // latest one.
 func (l *GroupLoad) ApplyReport(report Report, now time.Time) {
-	if l.lastReport.IsZero() || now.Sub(l.lastReport) > silenceTimeout {
+	if l.lastReport.IsZero() || now.Sub(l.lastReport) > reportGapTimeout {
 		l.settlingSince = now
 	}
 	l.lastReport = now
@@ -198,12 +198,12 @@
 
 // Settled reports whether all nodes have had time to report.
 func (l *GroupLoad) Settled(now time.Time) bool {
-	return !l.lastReport.IsZero() && now.Sub(l.settlingSince) >= settleTime && now.Sub(l.lastReport) <= silenceTimeout
+	return !l.lastReport.IsZero() && now.Sub(l.settlingSince) >= settleTime && now.Sub(l.lastReport) <= reportGapTimeout
 }
 
-// Busy returns the utilization of the members: running requests as a share of their concurrency
+// Utilization returns the utilization of the members: running requests as a share of their concurrency
 // limits. It is above 1 if requests queue at workers.
-func (l *GroupLoad) Busy() float64 {
+func (l *GroupLoad) Utilization() float64 {
 	capacity, running := 0, 0
 	for _, member := range l.members {
 		capacity += member.Concurrency
--- a/internal/capacity/nodeload.go
+++ b/internal/capacity/nodeload.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// reportDelayBusy and reportDelayNormal are the minimum times from the last report until one without
-	// a query, at high and at low load. reportDelayGranted is used after a query has ended, unless
-	// reportDelayBusy applies; it has to be well below grantTTL, the lifetime of an unreported grant.
+	// reportDelayBusy and reportDelayNormal are the minimum times from the last report until one
+	// without a query, at high and at low load. reportDelayGranted is used after a query has ended,
+	// unless reportDelayBusy applies; it has to be well below grantTTL, the lifetime of an
+	// unreported grant.
 	reportDelayBusy    = 10 * time.Millisecond
 	reportDelayGranted = 150 * time.Millisecond
 	reportDelayNormal  = 400 * time.Millisecond
@@ -16,19 +17,19 @@
 	// report counts. Two consecutive reports may be lost.
 	renewInterval = 300 * time.Millisecond
 	reportTTL     = 900 * time.Millisecond
-	// decideLocallyBelow is the utilization below which a node chooses workers without the keeper:
-	// most of them have capacity then.
+	// decideLocallyBelow is the utilization below which a node chooses workers without the
+	// coordinator: most of them have capacity then.
 	decideLocallyBelow = 0.5
-	// A utilization received from the keeper is valid for busyTTL, or for idleBusyTTL if it is below
-	// idleBelow.
-	busyTTL     = time.Second
-	idleBelow   = 0.25
-	idleBusyTTL = 10 * time.Second
+	// A utilization received from the coordinator is valid for utilizationTTL, or for
+	// idleUtilizationTTL if it is below idleBelow.
+	utilizationTTL     = time.Second
+	idleBelow          = 0.25
+	idleUtilizationTTL = 10 * time.Second
 	// maxDeclined limits Report.Declined.
 	maxDeclined = 16
 )
 
-// NodeLoad is the load of one node in a group, and the utilization that the group's keeper last
+// NodeLoad is the load of one node in a group, and the utilization that the group's coordinator last
 // reported. It reads no clock; callers pass the time.
 type NodeLoad struct {
 	group          Group
@@ -38,11 +39,11 @@
 	ended          int                   // requests ended since the last report
 	held           time.Duration         // total time that these occupied their workers
 	declined       []string
-	changed        bool // changes since the last report that the keeper does not know
-	granted        bool // queries ended since the last report; the keeper knows what it granted
+	changed        bool // changes since the last report that the coordinator has not received
+	granted        bool // queries ended since the last report; the coordinator already counts its grants
 	reportedAt     time.Time
-	busy           float64
-	busyAt         time.Time // when busy was received; zero: never
+	utilization    float64
+	utilizationAt  time.Time // when utilization was received; zero: never
 }
 
 // NewNodeLoad returns the load of a node without running requests.
@@ -56,7 +57,7 @@
 	l.changed = true
 }
 
-// BeginGranted counts a request at a worker assigned by the keeper.
+// BeginGranted counts a request at a worker assigned by the coordinator.
 func (l *NodeLoad) BeginGranted(worker string, tokens int) {
 	l.add(worker, 1, tokens)
 	l.granted = true
@@ -89,7 +90,7 @@
 	l.changed = true
 }
 
-// Report returns the next report to the keeper and resets the changes.
+// Report returns the next report to the coordinator and resets the changes.
 func (l *NodeLoad) Report(from string, now time.Time) Report {
 	l.sequence++
 	report := Report{
@@ -113,35 +114,37 @@
 	l.granted = true
 }
 
-// ReportLost records that the last report did not reach the keeper, so that it is repeated.
+// ReportLost records that the last report did not reach the coordinator, so that it is repeated.
 func (l *NodeLoad) ReportLost(now time.Time) { l.changed, l.reportedAt = true, now }
 
-// SetBusy records the utilization that the keeper reported.
-func (l *NodeLoad) SetBusy(busy float64, now time.Time) { l.busy, l.busyAt = busy, now }
+// SetUtilization records the utilization that the coordinator reported.
+func (l *NodeLoad) SetUtilization(utilization float64, now time.Time) {
+	l.utilization, l.utilizationAt = utilization, now
+}
 
-// Busy returns the utilization that the keeper last reported, and its age.
-func (l *NodeLoad) Busy(now time.Time) (busy float64, age time.Duration, known bool) {
-	return l.busy, now.Sub(l.busyAt), !l.busyAt.IsZero()
+// Utilization returns the utilization that the coordinator last reported, and its age.
+func (l *NodeLoad) Utilization(now time.Time) (utilization float64, age time.Duration, known bool) {
+	return l.utilization, now.Sub(l.utilizationAt), !l.utilizationAt.IsZero()
 }
 
-// CanDecideLocally reports whether the node may choose a worker without the keeper: the last
+// CanDecideLocally reports whether the node may choose a worker without the coordinator: the last
 // utilization is recent and low, or none was ever received.
 func (l *NodeLoad) CanDecideLocally(now time.Time) bool {
-	age := now.Sub(l.busyAt)
+	age := now.Sub(l.utilizationAt)
 	switch {
-	case l.busyAt.IsZero():
+	case l.utilizationAt.IsZero():
 		return true
-	case l.busy < idleBelow:
-		return age <= idleBusyTTL
+	case l.utilization < idleBelow:
+		return age <= idleUtilizationTTL
 	default:
-		return l.busy < decideLocallyBelow && age <= busyTTL
+		return l.utilization < decideLocallyBelow && age <= utilizationTTL
 	}
 }
 
 // NextReport returns when the next report is due. ok is false if there is nothing to report.
 func (l *NodeLoad) NextReport() (at time.Time, ok bool) {
 	switch {
-	case l.changed && l.busy >= decideLocallyBelow:
+	case l.changed && l.utilization >= decideLocallyBelow:
 		return l.reportedAt.Add(reportDelayBusy), true
 	case l.granted:
 		return l.reportedAt.Add(reportDelayGranted), true
@@ -157,5 +160,5 @@
 // Idle reports whether nothing is running, pending or unreported, and the last utilization has
 // expired.
 func (l *NodeLoad) Idle(now time.Time) bool {
-	return len(l.running) == 0 && len(l.pendingQueries) == 0 && !l.changed && !l.granted && now.Sub(l.busyAt) > idleBusyTTL
+	return len(l.running) == 0 && len(l.pendingQueries) == 0 && !l.changed && !l.granted && now.Sub(l.utilizationAt) > idleUtilizationTTL
 }
--- a/internal/capacity/queue.go
+++ b/internal/capacity/queue.go
@@ -12,15 +12,15 @@
 	// defaultSlackStep is the assumed slack per level of urgency of a program without a known
 	// deadline.
 	defaultSlackStep = 500 * time.Millisecond
-	// latePenalty is the slack assumed for a program that will miss its deadline anyway, so that others
-	// go first.
+	// latePenalty is the slack assumed for a program that will miss its deadline anyway, so that
+	// others go first.
 	latePenalty = 2 * time.Second
 	// maxQueued limits the queries held per group.
 	maxQueued = 256
 )
 
-// startDeadline returns the time by which a program's request has to start. Queries are ordered by this
-// absolute time, so that later arrivals cannot starve a waiting one.
+// startDeadline returns the time by which a program's request has to start. Queries are ordered by
+// this absolute time, so that later arrivals cannot starve a waiting one.
 func startDeadline(program scheduling.Program, now time.Time) time.Time {
 	slack, known := program.Slack()
 	switch {
@@ -57,7 +57,8 @@
 	return true
 }
 
-// ahead returns the number of queued queries that come before the given one, which may be queued or not.
+// ahead returns the number of queued queries that come before the given one, which may be queued or
+// not.
 func (q queryQueue) ahead(query *Query) int {
 	index, _ := slices.BinarySearchFunc(q, query, compareQueries)
 	return index
--- a/internal/capacity/slots.go
+++ b/internal/capacity/resolver.go
@@ -17,8 +17,8 @@
 	RequestRefresh()
 }
 
-// KeeperResolver resolves the keeper of each group: the owner of a directory slot in the region of the group's
-// workers.
+// KeeperResolver resolves the coordinator of each group: the owner of a directory slot in the
+// region of the group's workers.
 type KeeperResolver struct {
 	Layout     directory.Layout
 	Localities *locality.ZoneMap
@@ -27,11 +27,11 @@
 	ranked sync.Map // cache of slotsFor: Group -> []int
 }
 
-// keeper returns the process that this node considers the keeper of a group: the first answering owner
-// in the group's zone, in the order of its ranked slots, or else the first in another zone. Processes
-// for which skip is true are skipped. passed reports that a process of higher rank was skipped or does
-// not answer. ok is false if there is no such owner.
-func (s *KeeperResolver) keeper(group Group, skip func(process string) bool) (keeper budget.Holder, passed, ok bool) {
+// coordinator returns the process that this node considers the coordinator of a group: the first
+// answering owner in the group's zone, in the order of its ranked slots, or else the first in
+// another zone. Processes for which skip is true are skipped. passed reports that a process of
+// higher rank was skipped or does not answer. ok is false if there is no such owner.
+func (s *KeeperResolver) coordinator(group Group, skip func(process string) bool) (coordinator budget.Holder, passed, ok bool) {
 	for _, slot := range s.slotsFor(group) {
 		owner, answering := s.Owners.Owner(slot)
 		sameZone := locality.ZoneOf(owner.Process) == group.Zone
@@ -42,13 +42,13 @@
 		case sameZone:
 			return owner, passed, true
 		default:
-			keeper, ok = owner, true
+			coordinator, ok = owner, true
 		}
 	}
-	return keeper, passed, ok
+	return coordinator, passed, ok
 }
 
-// slotsFor returns the slots whose owners may keep a group, best first.
+// slotsFor returns the slots whose owners may coordinate a group, best first.
 func (s *KeeperResolver) slotsFor(group Group) []int {
 	if cached, ok := s.ranked.Load(group); ok {
 		return cached.([]int)
--- a/internal/capacity/scheduler.go
+++ b/internal/capacity/scheduler.go
@@ -126,7 +126,7 @@
 
 // Status returns the answer to a report without a query.
 func (s *Scheduler) Status(now time.Time) Answer {
-	return Answer{Keeper: true, Busy: s.load.Busy(), Settled: s.load.Settled(now), Waiting: len(s.queue)}
+	return Answer{Keeper: true, Busy: s.load.Utilization(), Settled: s.load.Settled(now), Waiting: len(s.queue)}
 }
 
 // QueueLength returns the number of held queries.
--- a/internal/capacity/scheduler_test.go
+++ b/internal/capacity/scheduler_test.go
@@ -47,11 +47,11 @@
 		}
 		scheduler, now := settledScheduler(members...)
 		type node struct {
-			load    *NodeLoad
-			holds   []string
-			pending []Answer // answers in transit; asked and since hold their sequences and query times
-			asked   []uint64
-			since   []time.Time
+			load      *NodeLoad
+			holds     []string
+			pending   []Answer // answers in transit; sequences and since are those and the times of their queries
+			sequences []uint64
+			since     []time.Time
 		}
 		nodes := make([]node, 3)
 		for index := range nodes {
@@ -70,10 +70,10 @@
 			return all
 		}
 		arrive := func(node *node) {
-			node.load.QueryDone(node.asked[0])
+			node.load.QueryDone(node.sequences[0])
 			node.load.Begin(node.pending[0].Worker, 10)
 			node.holds = append(node.holds, node.pending[0].Worker)
-			node.pending, node.asked, node.since = node.pending[1:], node.asked[1:], node.since[1:]
+			node.pending, node.sequences, node.since = node.pending[1:], node.sequences[1:], node.since[1:]
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			for index := range nodes { // no node waits longer for an answer
@@ -95,7 +95,7 @@
 					node.load.QueryDone(report.Sequence)
 					continue
 				}
-				node.pending, node.asked, node.since = append(node.pending, answer), append(node.asked, report.Sequence), append(node.since, now)
+				node.pending, node.sequences, node.since = append(node.pending, answer), append(node.sequences, report.Sequence), append(node.since, now)
 			case "arrive":
 				if len(node.pending) > 0 {
 					arrive(node)
@@ -209,13 +209,13 @@
 }
 
 // TestReportsReplaceEachOtherAndExpire guards against counting a node twice, against late reports, and
-// against capacity lost to a dead node.
+// against capacity that stays occupied by a failed node.
 func TestReportsReplaceEachOtherAndExpire(t *testing.T) {
 	scheduler, now := settledScheduler(Member{Worker: "w", Concurrency: 50})
 	scheduler.ApplyReport(runningReport("dies", 2, Running{Worker: "w", Requests: 50}), now)
-	require.InDelta(t, 1, scheduler.load.Busy(), 0)
+	require.InDelta(t, 1, scheduler.load.Utilization(), 0)
 	scheduler.ApplyReport(runningReport("dies", 1, Running{Worker: "w", Requests: 3}), now)
-	require.InDelta(t, 1, scheduler.load.Busy(), 0, "an older report arrived late")
+	require.InDelta(t, 1, scheduler.load.Utilization(), 0, "an older report arrived late")
 	require.Equal(t, ReasonOvercommit, submit(scheduler, "n", 1, Ask{}, now).Reason)
 
 	for range 9 { // other nodes go on reporting
@@ -224,7 +224,7 @@
 	}
 	now = now.Add(50 * time.Millisecond)
 	scheduler.ApplyReport(runningReport("n", uint64(now.UnixMilli())), now)
-	require.Zero(t, scheduler.load.Busy(), "the capacity of a dead node must be free within a second")
+	require.Zero(t, scheduler.load.Utilization(), "the capacity of a failed node must be free within a second")
 }
 
 // TestGrantCountsUntilCoveredByReport guards against a granted request that counts twice or not at
@@ -237,16 +237,16 @@
 	scheduler.ApplyReport(report, now)
 	answer, _ := scheduler.Submit(&Query{From: "n", Sequence: report.Sequence}, now)
 	require.Equal(t, OutcomeAssigned, answer.Outcome)
-	require.InDelta(t, 0.5, scheduler.load.Busy(), 0)
+	require.InDelta(t, 0.5, scheduler.load.Utilization(), 0)
 	scheduler.ApplyReport(nodeLoad.Report("n", now), now)
-	require.InDelta(t, 0.5, scheduler.load.Busy(), 0, "the answer has not arrived yet")
+	require.InDelta(t, 0.5, scheduler.load.Utilization(), 0, "the answer has not arrived yet")
 	nodeLoad.QueryDone(report.Sequence)
 	nodeLoad.Begin("w", 0)
 	scheduler.ApplyReport(nodeLoad.Report("n", now), now)
-	require.InDelta(t, 0.5, scheduler.load.Busy(), 0, "the request must count once")
+	require.InDelta(t, 0.5, scheduler.load.Utilization(), 0, "the request must count once")
 	nodeLoad.End("w", 0, time.Millisecond)
 	scheduler.ApplyReport(nodeLoad.Report("n", now), now)
-	require.Zero(t, scheduler.load.Busy())
+	require.Zero(t, scheduler.load.Utilization())
 
 	report = nodeLoad.Report("n", now)
 	nodeLoad.QuerySent(report.Sequence)
@@ -254,7 +254,7 @@
 	_, _ = scheduler.Submit(&Query{From: "n", Sequence: report.Sequence}, now)
 	now = now.Add(grantTTL)
 	scheduler.ApplyReport(runningReport("other", 1), now)
-	require.Zero(t, scheduler.load.Busy(), "the grant was never covered by a report")
+	require.Zero(t, scheduler.load.Utilization(), "the grant was never covered by a report")
 }
 
 // TestUnsettledSchedulerDoesNotDecide guards against decisions on partial load: of a new scheduler,
--- a/internal/capacity/simulation_test.go
+++ b/internal/capacity/simulation_test.go
@@ -24,25 +24,25 @@
 	simTokensPerMillisecond   = 76   // prefill speed of a worker
 	simHomeShare              = 0.75 // share of turns that have a home
 	simDuration               = 8 * time.Second
-	localCost                 = time.Millisecond // cost of each own request at a worker, for a node without a keeper
-	localTokensPerMillisecond = 200              // prefill speed that a node without a keeper assumes
+	localCost                 = time.Millisecond // cost of each own request at a worker, for a node without a coordinator
+	localTokensPerMillisecond = 200              // prefill speed that a node without a coordinator assumes
 )
 
 // strategy is how a request finds its worker.
 type strategy string
 
 const (
-	localOnly      strategy = "local"   // by the node's own running requests
-	sampled        strategy = "sampled" // by a snapshot of all nodes' load, up to 100 ms old, and two random candidates
-	keeperAssigned strategy = "keeper"  // by the group's keeper
-	omniscient     strategy = "global"  // by exact knowledge of all workers
+	localOnly           strategy = "local"   // by the node's own running requests
+	sampled             strategy = "sampled" // by a snapshot of all nodes' load, up to 100 ms old, and two random candidates
+	coordinatorAssigned strategy = "keeper"  // by the group's coordinator
+	omniscient          strategy = "global"  // by the exact state of all workers
 )
 
 // simulation is a discrete-event simulation in virtual time.
 type simulation struct {
 	t          *testing.T
 	strategy   strategy
-	hop        time.Duration // one-way latency between a node and its keeper
+	hop        time.Duration // one-way latency between a node and its coordinator
 	random     *rand.Rand
 	now        time.Time
 	epoch      time.Time
@@ -58,7 +58,7 @@
 
 	waits                 []time.Duration // from arrival at a node until a worker runs it
 	queuedDespiteCapacity int             // requests queued at a worker while its zone had free capacity
-	heldDespiteCapacity   int             // requests held by the keeper while it knew of free capacity
+	heldDespiteCapacity   int             // requests held by the coordinator although it had reports of free capacity
 	declines              int
 	mostQueued            int
 	dropped               int // declined by all workers tried
@@ -174,8 +174,8 @@
 
 // route sends a turn to a worker chosen by the strategy.
 func (s *simulation) route(turn *simTurn, exclude []string) {
-	if s.strategy == keeperAssigned {
-		s.ask(turn, exclude)
+	if s.strategy == coordinatorAssigned {
+		s.queryCoordinator(turn, exclude)
 		return
 	}
 	if s.strategy == omniscient {
@@ -186,7 +186,7 @@
 	s.send(turn, s.chooseLocally(turn, exclude), exclude)
 }
 
-// chooseLocally chooses a worker without a keeper.
+// chooseLocally chooses a worker without a coordinator.
 func (s *simulation) chooseLocally(turn *simTurn, exclude []string) int {
 	best, lowest := -1, math.Inf(1)
 	for candidate := range s.workers {
@@ -243,8 +243,8 @@
 	s.backlog = remaining
 }
 
-// ask queries the keeper of the home worker's zone, or else of the node's own zone.
-func (s *simulation) ask(turn *simTurn, exclude []string) {
+// queryCoordinator queries the coordinator of the home worker's zone, or else of the node's own zone.
+func (s *simulation) queryCoordinator(turn *simTurn, exclude []string) {
 	zone, home := turn.node.zone, ""
 	if turn.home >= 0 {
 		zone, home = s.workers[turn.home].zone, s.workers[turn.home].name
@@ -253,7 +253,7 @@
 	if nodeLoad.CanDecideLocally(s.now) {
 		s.strategy = localOnly
 		index := s.chooseLocally(turn, exclude)
-		s.strategy = keeperAssigned
+		s.strategy = coordinatorAssigned
 		s.begin(turn, index, false)
 		s.send(turn, index, exclude)
 		return
@@ -266,12 +266,12 @@
 		s.after(s.hop, func() {
 			nodeLoad.QueryDone(query.Sequence)
 			if answer.Settled {
-				nodeLoad.SetBusy(answer.Busy, s.now)
+				nodeLoad.SetUtilization(answer.Busy, s.now)
 			}
 			if answer.Outcome != OutcomeAssigned {
 				s.strategy = localOnly
 				index := s.chooseLocally(turn, exclude)
-				s.strategy = keeperAssigned
+				s.strategy = coordinatorAssigned
 				s.begin(turn, index, false)
 				s.send(turn, index, exclude)
 				return
@@ -327,7 +327,7 @@
 	s.scheduleReport(turn.node, s.workers[index].zone)
 }
 
-// scheduleReport schedules a node's next report to a keeper.
+// scheduleReport schedules a node's next report to a coordinator.
 func (s *simulation) scheduleReport(node *simNode, zone int) {
 	nodeLoad := node.loads[zone]
 	at, due := nodeLoad.NextReport()
@@ -354,7 +354,7 @@
 		status := s.schedulers[zone].Status(s.now)
 		s.after(s.hop, func() {
 			if status.Settled {
-				node.loads[zone].SetBusy(status.Busy, s.now)
+				node.loads[zone].SetUtilization(status.Busy, s.now)
 			}
 		})
 	})
@@ -417,7 +417,7 @@
 func (s *simulation) release(turn *simTurn) {
 	worker := s.workers[turn.worker]
 	turn.node.running[turn.worker]--
-	if s.strategy == keeperAssigned {
+	if s.strategy == coordinatorAssigned {
 		turn.node.loads[worker.zone].End(worker.name, 0, s.now.Sub(turn.begun))
 		s.scheduleReport(turn.node, worker.zone)
 	}
--- a/internal/capacity/suspects.go
+++ b/internal/capacity/suspects.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// missesToSuspect is the number of consecutive queries without an answer after which a keeper is
-	// skipped. A single message may be lost.
+	// missesToSuspect is the number of consecutive queries without an answer after which a
+	// coordinator is skipped. A single message may be lost.
 	missesToSuspect = 2
-	// initialBackoff and maxBackoff bound the time for which a suspected keeper receives nothing.
+	// initialBackoff and maxBackoff bound the time for which a suspected coordinator receives nothing.
 	// After that a report without a query probes it.
 	initialBackoff = 500 * time.Millisecond
 	maxBackoff     = 4 * time.Second
@@ -17,7 +17,7 @@
 	suspectTTL = time.Minute
 )
 
-// suspects are the keepers that failed to answer, by process name. The type reads no clock.
+// suspects are the coordinators that failed to answer, by process name. The type reads no clock.
 type suspects map[string]*suspect
 
 type suspect struct {
