--- a/internal/server/roommetrics.go
+++ b/internal/server/capacitymetrics.go
@@ -6,17 +6,17 @@
 	"github.com/cloverwheel/cloverwheel/internal/capacity"
 )
 
-// RoomMetrics count how requests are placed on workers with free capacity.
-type RoomMetrics struct {
+// CapacityMetrics count how requests are placed on workers with free capacity.
+type CapacityMetrics struct {
 	registry    *prometheus.Registry
 	requests    *prometheus.CounterVec // by source
 	waitSeconds prometheus.Histogram
-	reports     *prometheus.CounterVec // by whether the keeper received the report
+	reports     *prometheus.CounterVec // by whether the coordinator received the report
 	answers     *prometheus.CounterVec // by outcome and reason
 }
 
-func newRoomMetrics(registry *prometheus.Registry) *RoomMetrics {
-	m := &RoomMetrics{
+func newCapacityMetrics(registry *prometheus.Registry) *CapacityMetrics {
+	m := &CapacityMetrics{
 		registry:    registry,
 		requests:    prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "room_requests_total", Help: "Requests by what told where there is room for them."}, []string{"source"}),
 		waitSeconds: prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: "cloverwheel", Name: "room_wait_seconds", Help: "Time that requests waited for a keeper's word.", Buckets: []float64{.001, .0025, .005, .01, .025, .05, .1, .25, .5}}),
@@ -27,16 +27,16 @@
 	return m
 }
 
-// RecordPlacement counts a request that needed a worker, and the time it waited for a keeper.
-func (m *RoomMetrics) RecordPlacement(found capacity.Placement) {
-	m.requests.WithLabelValues(string(found.Source)).Inc()
-	if found.Source != capacity.SourceUntracked && found.Source != capacity.SourceLocal {
-		m.waitSeconds.Observe(found.Took.Seconds())
+// RecordPlacement counts a request that needed a worker, and the time it waited for a coordinator.
+func (m *CapacityMetrics) RecordPlacement(placement capacity.Placement) {
+	m.requests.WithLabelValues(string(placement.Source)).Inc()
+	if placement.Source != capacity.SourceUntracked && placement.Source != capacity.SourceLocal {
+		m.waitSeconds.Observe(placement.Took.Seconds())
 	}
 }
 
 // RecordReport counts a load report sent without a placement request.
-func (m *RoomMetrics) RecordReport(received bool) {
+func (m *CapacityMetrics) RecordReport(received bool) {
 	label := "no"
 	if received {
 		label = "yes"
@@ -44,17 +44,17 @@
 	m.reports.WithLabelValues(label).Inc()
 }
 
-// RecordAnswer counts a placement request that this node answered as a keeper.
-func (m *RoomMetrics) RecordAnswer(outcome capacity.Outcome, reason capacity.Reason) {
+// RecordAnswer counts a placement request that this node answered as a coordinator.
+func (m *CapacityMetrics) RecordAnswer(outcome capacity.Outcome, reason capacity.Reason) {
 	m.answers.WithLabelValues(outcome.String(), string(reason)).Inc()
 }
 
-// RegisterGauges registers gauges of the groups that this node keeps and of the requests waiting
+// RegisterGauges registers gauges of the groups that this node coordinates and of the requests waiting
 // there.
-func (m *RoomMetrics) RegisterGauges(kept func() (groups, waiting int)) {
+func (m *CapacityMetrics) RegisterGauges(stats func() (groups, waiting int)) {
 	gauge := func(name, help string, read func() int) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: name, Help: help}, func() float64 { return float64(read()) }))
 	}
-	gauge("room_groups_kept", "Groups of workers of whose places this node keeps account.", func() int { groups, _ := kept(); return groups })
-	gauge("room_waiting", "Requests that wait here for a place at a worker.", func() int { _, waiting := kept(); return waiting })
+	gauge("room_groups_kept", "Groups of workers of whose places this node keeps account.", func() int { groups, _ := stats(); return groups })
+	gauge("room_waiting", "Requests that wait here for a place at a worker.", func() int { _, waiting := stats(); return waiting })
 }
--- a/internal/server/clients.go
+++ b/internal/server/clients.go
@@ -82,7 +82,7 @@
 }
 
 // trackListener wraps a listener to record whether the last Accept succeeded. The guard detects
-// silent connections.
+// dead connections.
 func (c *clientConns) trackListener(listener net.Listener, guard deadconn.Guard) net.Listener {
 	return &trackedListener{Listener: deadconn.Listener{Listener: listener, Guard: guard}, clients: c}
 }
--- a/internal/server/content_test.go
+++ b/internal/server/content_test.go
@@ -18,14 +18,14 @@
 // Guards against region-bound content passing through nodes of other regions, including the relay
 // that answered last. Unbound calls may use any node.
 func TestRegionBoundCallsPassThroughAllowedRegionsOnly(t *testing.T) {
-	places := locality.NewMap(map[string]string{"a1": "a", "b1": "b"})
+	zones := locality.NewMap(map[string]string{"a1": "a", "b1": "b"})
 	inside := budget.Holder{Process: locality.ProcessName("a1", "n1", "01"), Address: "inside"}
 	outside := budget.Holder{Process: locality.ProcessName("b1", "n2", "02"), Address: "outside"}
 	unknown := budget.Holder{Process: "n3/03", Address: "nameless"}
-	var asked []string
+	var called []string
 	network := peer.NewMemoryNetwork()
 	network.SetFaultInjector(func(_, to peer.Address, _ string) peer.InjectedFault {
-		asked = append(asked, string(to))
+		called = append(called, string(to))
 		return peer.InjectedFault{}
 	})
 	for _, holder := range []budget.Holder{inside, outside, unknown} {
@@ -36,7 +36,7 @@
 		network.Attach(peer.Address(holder.Address), mux)
 	}
 	transport := network.Transport("self")
-	client := &peerClient{transport: newUncountedTransport(transport, places)}
+	client := &peerClient{transport: newUncountedTransport(transport, zones)}
 	calls := map[string]func(context.Context){
 		"a chain": func(ctx context.Context) {
 			for _, holder := range []budget.Holder{inside, outside, unknown} {
@@ -51,39 +51,39 @@
 			}
 		},
 		"a write": func(ctx context.Context) {
-			_, err := newRelayClient(transport, places, inside, outside, unknown).Commit(ctx, store.Transaction{})
+			_, err := newRelayClient(transport, zones, inside, outside, unknown).Commit(ctx, store.Transaction{})
 			require.Error(t, err, "no handler is registered")
 		},
 		"a read": func(ctx context.Context) {
-			_, err := newRelayClient(transport, places, outside, inside, unknown).Range(ctx, "t", "", "", "", 0)
+			_, err := newRelayClient(transport, zones, outside, inside, unknown).Range(ctx, "t", "", "", "", 0)
 			require.Error(t, err, "no handler is registered")
 		},
 	}
 	for name, call := range calls {
 		t.Run(name, func(t *testing.T) {
-			asked = nil
+			called = nil
 			call(locality.WithContentRegions(t.Context(), locality.Regions{"a"}))
-			require.Equal(t, []string{"inside"}, asked)
-			asked = nil
+			require.Equal(t, []string{"inside"}, called)
+			called = nil
 			call(locality.WithContentRegions(t.Context(), locality.Regions{}))
-			require.Empty(t, asked, "no region is allowed")
+			require.Empty(t, called, "no region is allowed")
 			call(t.Context())
-			require.Greater(t, len(asked), 1)
+			require.Greater(t, len(called), 1)
 		})
 	}
 }
 
 // newUncountedTransport returns a transport that counts no messages.
-func newUncountedTransport(transport peer.Transport, places *locality.ZoneMap) *meteredTransport {
-	return &meteredTransport{Transport: transport, vantage: locality.Location{Zones: places}, count: func(locality.Distance, int, int) {}}
+func newUncountedTransport(transport peer.Transport, zones *locality.ZoneMap) *meteredTransport {
+	return &meteredTransport{Transport: transport, location: locality.Location{Zones: zones}, count: func(locality.Distance, int, int) {}}
 }
 
 // newRelayClient returns a client whose second candidate answered last.
-func newRelayClient(transport peer.Transport, places *locality.ZoneMap, candidates ...budget.Holder) *relayClient {
+func newRelayClient(transport peer.Transport, zones *locality.ZoneMap, candidates ...budget.Holder) *relayClient {
 	return &relayClient{
-		transport:  newUncountedTransport(transport, places),
-		vantage:    locality.Location{Zones: places},
-		lastHelper: candidates[1], countCall: func() {},
+		transport: newUncountedTransport(transport, zones),
+		location:  locality.Location{Zones: zones},
+		lastRelay: candidates[1], countCall: func() {},
 		candidates: func() []budget.Holder { return append([]budget.Holder(nil), candidates...) },
 		timeout:    func() time.Duration { return time.Second },
 	}
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -12,18 +12,18 @@
 
 // components are the parts of a node that requests use besides the forwarder and the worker list.
 type components struct {
-	budgets    *budget.Accounts
-	history    *history.TurnStore
-	directory  *directory.Directory // nil: the node runs without peers
-	neighbours forward.HistoryPeers // nil likewise
+	budgets      *budget.Accounts
+	history      *history.TurnStore
+	directory    *directory.Directory // nil: the node runs without peers
+	historyPeers forward.HistoryPeers // nil likewise
 	// store is the shared store, called directly or through other nodes.
 	store relayedStore
 	// limits enforces the request limits of tenants; nil if the node runs without peers.
 	limits forward.RateLimiter
 	// allowance limits requests to cold workers; nil likewise.
 	allowance forward.WarmupLimiter
-	// room finds workers with free capacity; nil likewise.
-	room *roomTracker
+	// capacity tracks the free capacity of workers; nil likewise.
+	capacity *capacityTracker
 }
 
 // newComponents returns the components of a node and registers their handlers for calls of other
@@ -32,30 +32,30 @@
 	if peers.address == "" {
 		return newStandaloneComponents(options, gate)
 	}
-	self, vantage, client := options.self(), options.Settings.vantage(), peers.client
-	relay := &relayClient{transport: peers.transport, vantage: vantage, timeout: gate.Patience, countCall: options.Metrics.RelayedCalls.Inc}
+	self, location, client := options.self(), options.Settings.location(), peers.client
+	relay := &relayClient{transport: peers.transport, location: location, timeout: gate.Patience, countCall: options.Metrics.RelayedCalls.Inc}
 	relayed := store.NewRelayed(gate, relay, options.Logger)
 	dir := directory.New(directory.Options{
-		Store: gate, Self: self, Peers: client, Patience: client.timeout, Vantage: vantage, Logger: options.Logger,
+		Store: gate, Self: self, Peers: client, Patience: client.timeout, Vantage: location, Logger: options.Logger,
 		PermitDuration: max(options.Settings.LimitTolerance.Window, warmup.UnsettledPeriod),
 		Grants:         client, CountGrant: options.Metrics.Grant,
 	})
 	options.Metrics.RegisterGrantGauges(dir.CountGrantableSlots)
 	peers.transport.owners = dir.Owners
 	budgets := budget.NewAccounts(budget.Options{
-		Store: relayed, Self: self, Peers: client, Patience: client.timeout, Locator: dir, Granter: dir, Vantage: vantage,
+		Store: relayed, Self: self, Peers: client, Patience: client.timeout, Locator: dir, Granter: dir, Vantage: location,
 	})
-	relay.candidates = func() []budget.Holder { return withRemoteOwners(vantage, budgets.RecentPeers(), dir.Owners()) }
+	relay.candidates = func() []budget.Holder { return withRemoteOwners(location, budgets.RecentPeers(), dir.Owners()) }
 	historyOptions := options.historyOptions(relayed)
-	historyOptions.Together = newGatherWriter(options, relayed, peers, dir)
+	historyOptions.Together = newGroupCommitWriter(options, relayed, peers, dir)
 	turns := history.New(historyOptions)
 	peers.handleProgramCalls(options.Process, budgets, turns, dir)
 	handleRelayCalls(peers.mux, options.Process, gate)
 	return components{
-		budgets: budgets, history: turns, directory: dir, neighbours: client, store: relayed,
+		budgets: budgets, history: turns, directory: dir, historyPeers: client, store: relayed,
 		limits:    newTenantLimits(options, peers, verifier, dir),
 		allowance: newColdAllowance(options, peers, verifier, dir),
-		room:      newRoomTracker(options, peers, verifier, dir),
+		capacity:  newCapacityTracker(options, peers, verifier, dir),
 	}
 }
 
@@ -68,33 +68,33 @@
 	}
 }
 
-// newTenantLimits returns the borrower of tenants' request limits, and serves as lender to other
-// nodes.
+// newTenantLimits returns the client that requests permits from tenants' limits, and registers this
+// node as an allocator of such permits.
 func newTenantLimits(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.RateLimiter {
-	vantage := options.Settings.vantage()
-	layout := directory.NewLayout(vantage.Zones)
-	lender := quota.NewAllocator(quota.AllocatorOptions{
+	location := options.Settings.location()
+	layout := directory.NewLayout(location.Zones)
+	allocator := quota.NewAllocator(quota.AllocatorOptions{
 		Leases: dir, Layout: layout, Tolerance: options.Settings.LimitTolerance,
 		LimitOf: verifier.limitOf, Proof: verifier.fresh.Proof,
 	})
-	peers.handleProofsAndLimits(lender, verifier)
+	peers.handleProofsAndLimits(allocator, verifier)
 	return quota.NewClient(quota.ClientOptions{
-		Self: options.self(), Layout: layout, Region: vantage.OwnRegion(), Owners: dir,
-		Peers: peers.client, ResponseTimes: peers.client.timeout, Allocator: lender,
+		Self: options.self(), Layout: layout, Region: location.OwnRegion(), Owners: dir,
+		Peers: peers.client, ResponseTimes: peers.client.timeout, Allocator: allocator,
 		OnProof: verifier.adoptProof, OnOutcome: options.Metrics.LimitAnswer,
 	})
 }
 
-// newColdAllowance returns the borrower of requests to cold workers, and serves as lender to
-// other nodes.
+// newColdAllowance returns the client that requests permits for cold workers, and registers this node
+// as an allocator of such permits.
 func newColdAllowance(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.WarmupLimiter {
-	places := options.Settings.Regions
-	slots := warmup.Slots{Layout: directory.NewLayout(places), Places: places}
-	lender := warmup.NewAllocator(dir, slots, verifier.coldLimit)
-	peers.handleColdLending(lender)
+	zones := options.Settings.Regions
+	slots := warmup.Slots{Layout: directory.NewLayout(zones), Places: zones}
+	allocator := warmup.NewAllocator(dir, slots, verifier.coldLimit)
+	peers.handleColdPermits(allocator)
 	return warmup.NewClient(warmup.ClientOptions{
 		Self: options.self(), Slots: slots, Owners: dir,
-		Peers: peers.client, ResponseTimes: peers.client.timeout, Allocator: lender,
+		Peers: peers.client, ResponseTimes: peers.client.timeout, Allocator: allocator,
 		OnOutcome: options.Metrics.ColdAnswer,
 	})
 }
@@ -104,8 +104,7 @@
 	return budget.Holder{Process: o.Process, Address: o.Settings.PeerAddress}
 }
 
-// historyOptions returns the options of the history keeper, which stores turns in the given
-// store.
+// historyOptions returns the options of the turn store, which keeps its rows in the given store.
 func (o Options) historyOptions(table store.Store) history.Options {
 	return history.Options{
 		Store:      table,
--- a/internal/server/evacuations.go
+++ b/internal/server/evacuations.go
@@ -10,10 +10,10 @@
 	"github.com/cloverwheel/cloverwheel/internal/tablesync"
 )
 
-// newEvacuationBoard returns the board of evacuated zones, which logs and counts each change.
+// newEvacuationTracker returns the tracker of evacuated zones, which logs and counts each change.
 // reopened is called for each zone that is no longer evacuated, and returns how many of its
 // workers are assumed to be cold.
-func newEvacuationBoard(options Options, reopened func(zone string, revision store.Version) (cold int)) *evacuation.Tracker {
+func newEvacuationTracker(options Options, reopened func(zone string, revision store.Version) (cold int)) *evacuation.Tracker {
 	return evacuation.New(func(change evacuation.Change) {
 		cold := 0
 		if !change.Evacuated {
@@ -38,7 +38,7 @@
 }
 
 // applyOperatorRows applies changed operator rows. A configuration that arrives with a page of
-// the initial read is ignored until the read is complete: a node must know the evacuated zones
+// the initial read is ignored until the read is complete: a node must have all evacuated zones
 // before it serves.
 func (s *Server) applyOperatorRows(rows []store.Row) {
 	for _, order := range s.evacuationOrders(rows) {
--- a/internal/server/finder.go
+++ b/internal/server/finder.go
@@ -20,15 +20,15 @@
 	// growInterval is the minimum time between two extensions of the kept part of the worker
 	// list because of requests that found no worker.
 	growInterval = time.Second
-	// prefixHolderLimit is how many workers, over all services, are assigned to hold a shared
+	// prefixWorkerLimit is how many workers, over all services, are assigned to hold a shared
 	// prompt prefix in their cache. When these workers have no free capacity, others compute the
 	// prefix as well.
-	prefixHolderLimit = 32
-	// prefixHolderTTL is how long the holders of a prefix are cached. The entry is dropped
-	// earlier if fewer than minPrefixHolders of them remain registered.
-	prefixHolderTTL  = 30 * time.Second
-	minPrefixHolders = prefixHolderLimit / 2
-	// maxCachedPrefixes bounds the number of prefixes whose holders are cached.
+	prefixWorkerLimit = 32
+	// prefixWorkersTTL is how long the workers of a prefix are cached. The entry is dropped
+	// earlier if fewer than minPrefixWorkers of them remain registered.
+	prefixWorkersTTL = 30 * time.Second
+	minPrefixWorkers = prefixWorkerLimit / 2
+	// maxCachedPrefixes bounds the number of prefixes whose workers are cached.
 	maxCachedPrefixes = 256
 	// lookupTimeout bounds a lookup in the store on the path of a request. On a timeout the
 	// request proceeds, and some workers compute again what others have cached.
@@ -48,11 +48,11 @@
 	lastGrown     time.Time   // when the kept part last grew for that reason; used by the follower alone
 
 	mutex         sync.Mutex
-	prefixHolders map[string]prefixHolders // by prefix
+	prefixWorkers map[string]prefixWorkers // by prefix
 }
 
-// prefixHolders are the IDs of the workers that hold a prefix, as read from the store.
-type prefixHolders struct {
+// prefixWorkers are the IDs of the workers that hold a prefix, as read from the store.
+type prefixWorkers struct {
 	ids     []string
 	foundAt time.Time
 }
@@ -76,7 +76,8 @@
 // NoteNoCapacity implements forward.WorkerFinder. It makes the kept part of the worker list grow.
 func (f *workerFinder) NoteNoCapacity() { f.workerMissing.Store(true) }
 
-// LoadWorker implements forward.WorkerFinder. It reads the record of an unknown worker from the store.
+// LoadWorker implements forward.WorkerFinder. It reads the record of a worker that this node does
+// not have from the store.
 func (f *workerFinder) LoadWorker(ctx context.Context, key string) {
 	id := backend.IDOf(key)
 	if f.workers.HasID(id) || f.follower.Whole() || f.gate.Suspect() {
@@ -88,52 +89,52 @@
 	f.countResult("worker", len(rows), err)
 }
 
-// PrefixWorkers implements forward.WorkerFinder. It returns the IDs of the workers that are assigned to hold a
-// prompt prefix; nil if the whole list is kept, or if they are unknown.
+// PrefixWorkers implements forward.WorkerFinder. It returns the IDs of the workers that are
+// assigned to hold a prompt prefix; nil if the whole list is kept, or if they cannot be read.
 func (f *workerFinder) PrefixWorkers(ctx context.Context, prefix string) []string {
 	if f.follower.Whole() {
 		return nil
 	}
-	if cached := f.cachedHolders(prefix); cached != nil || f.gate.Suspect() {
+	if cached := f.cachedPrefixWorkers(prefix); cached != nil || f.gate.Suspect() {
 		return cached
 	}
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	rows, err := f.follower.FetchAt(ctx, prefix, prefixHolderLimit)
+	rows, err := f.follower.FetchAt(ctx, prefix, prefixWorkerLimit)
 	f.countResult("keepers", len(rows), err)
 	if err != nil {
 		return nil
 	}
-	return f.cacheHolders(prefix, rows)
+	return f.cachePrefixWorkers(prefix, rows)
 }
 
-// cachedHolders returns the cached holders of a prefix, or nil if they must be read from the
+// cachedPrefixWorkers returns the cached workers of a prefix, or nil if they must be read from the
 // store.
-func (f *workerFinder) cachedHolders(prefix string) []string {
+func (f *workerFinder) cachedPrefixWorkers(prefix string) []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	cached, ok := f.prefixHolders[prefix]
-	if !ok || time.Since(cached.foundAt) > prefixHolderTTL {
+	cached, ok := f.prefixWorkers[prefix]
+	if !ok || time.Since(cached.foundAt) > prefixWorkersTTL {
 		return nil
 	}
 	remaining := slices.DeleteFunc(slices.Clone(cached.ids), func(id string) bool { return !f.workers.HasID(id) })
-	if len(remaining) < minPrefixHolders {
+	if len(remaining) < minPrefixWorkers {
 		return nil
 	}
 	return remaining
 }
 
-func (f *workerFinder) cacheHolders(prefix string, rows []store.Row) []string {
+func (f *workerFinder) cachePrefixWorkers(prefix string, rows []store.Row) []string {
 	ids := make([]string, 0, len(rows))
 	for _, row := range rows {
 		ids = append(ids, row.Name)
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.prefixHolders) >= maxCachedPrefixes {
-		clear(f.prefixHolders) // prefixes in use are looked up again
+	if len(f.prefixWorkers) >= maxCachedPrefixes {
+		clear(f.prefixWorkers) // prefixes in use are looked up again
 	}
-	f.prefixHolders[prefix] = prefixHolders{ids: ids, foundAt: time.Now()}
+	f.prefixWorkers[prefix] = prefixWorkers{ids: ids, foundAt: time.Now()}
 	return ids
 }
 
--- a/internal/server/guards.go
+++ b/internal/server/guards.go
@@ -16,7 +16,7 @@
 	kindClient = "client" // closed by the kernel alone, and not counted
 )
 
-// Guards detect silent connections of a node, by kind of peer.
+// Guards detect dead connections of a node, by kind of peer.
 type Guards struct {
 	Nodes, Store, Workers, Clients deadconn.Guard
 }
@@ -27,11 +27,11 @@
 		var once sync.Once
 		return deadconn.Guard{
 			Limits:           limits,
-			OnDeadConnection: metrics.silentConnections.WithLabelValues(kind).Inc,
+			OnDeadConnection: metrics.deadConnections.WithLabelValues(kind).Inc,
 			OnOptionError: func(err error) {
 				once.Do(func() {
 					logger.WithError(err).WithField("kind", kind).
-						Warn("cannot set the silence timeout of a connection, so a silent peer may go undetected; check which TCP options the kernel supports")
+						Warn("cannot set the timeout that detects a dead connection, so an unresponsive peer may go undetected; check which TCP options the kernel supports")
 				})
 			},
 		}
--- a/internal/server/isolation.go
+++ b/internal/server/isolation.go
@@ -37,8 +37,8 @@
 // outsideFailureDomain reports whether a process runs outside the zone of this node. With a
 // single zone every process does.
 func (p *peers) outsideFailureDomain(holder budget.Holder) bool {
-	vantage := p.transport.vantage
-	return vantage.DistanceTo(holder.Zone()) != locality.SameZone || vantage.Zones.ZoneCount() <= 1
+	location := p.transport.location
+	return location.DistanceTo(holder.Zone()) != locality.SameZone || location.Zones.ZoneCount() <= 1
 }
 
 // Isolated reports whether the node can reach neither the store, directly or through other
@@ -85,7 +85,7 @@
 		return
 	}
 	if !s.peers.isolation.PeersUnreachable() {
-		owners = locality.PreferOwnRegion(s.peers.transport.vantage, owners, budget.Holder.Zone) // avoids calls to other regions unless no peer answers
+		owners = locality.PreferOwnRegion(s.peers.transport.location, owners, budget.Holder.Zone) // avoids calls to other regions unless no peer answers
 	}
 	answer, sent, err := s.verifier.requestProof(ctx, owners[rand.IntN(len(owners))])
 	if err == nil {
--- a/internal/server/messages_test.go
+++ b/internal/server/messages_test.go
@@ -26,22 +26,22 @@
 	holder := budget.Holder{Process: "p1", Address: "10.0.0.1:7380"}
 	row := store.Row{Key: store.Key{Table: "op", Part: "", Name: "config"}, Value: []byte("{}"), Version: 7}
 	return map[string]any{
-		methodLocate + "-request-1":  directory.Request{Process: "p2", Program: "a", From: holder, Spent: 3, Returned: true, Slot: 4},
-		methodLocate + "-answer-1":   directory.Answer{Owner: true, Located: budget.LocateResult{Holders: []budget.Holder{holder}, Spent: 3, SpentAgo: time.Second}},
-		methodLocate + "-request-2":  directory.Request{Process: "p2", Program: "a", From: holder, Ran: "t2", After: "t1"},
-		methodLocate + "-answer-2":   directory.Answer{Owner: true, Located: budget.LocateResult{Holders: []budget.Holder{holder}}, RanBy: holder},
-		methodGrant + "-request-1":   directory.GrantRequest{Process: "p2", Program: "a", Tokens: 100, From: holder, Number: 9},
-		methodProof + "-request-1":   proofRequest{Revision: 7},
-		methodProof + "-answer-1":    proofAnswer{Proof: staleness.Proof{Revision: 7, Age: time.Second}, Row: row, Evacuations: evacuation.Snapshot{}},
-		methodCommit + "-request-1":  commitRequest{Process: "p2", Transaction: store.Transaction{Conditions: []store.Condition{{Key: row.Key, Version: 7}}, Put: []store.Row{row}, Remove: []store.Key{row.Key}}},
-		methodHandOver + "-answer-1": budget.HandOverAnswer{},
-		methodGather + "-request-1":  groupcommit.Request{Process: "p2", Group: 3, Rows: []store.Row{row}, Within: time.Second, Again: true},
-		methodGather + "-answer-1":   groupcommit.Answer{Owner: true, Outcome: groupcommit.OutcomeStored, Short: true, Throttled: true, Expect: time.Second, Took: time.Millisecond},
-		methodRoom + "-request-1": capacity.Request{Process: "p2", Passed: true, Report: capacity.Report{
+		methodLocate + "-request-1":      directory.Request{Process: "p2", Program: "a", From: holder, Spent: 3, Returned: true, Slot: 4},
+		methodLocate + "-answer-1":       directory.Answer{Owner: true, Located: budget.LocateResult{Holders: []budget.Holder{holder}, Spent: 3, SpentAgo: time.Second}},
+		methodLocate + "-request-2":      directory.Request{Process: "p2", Program: "a", From: holder, Ran: "t2", After: "t1"},
+		methodLocate + "-answer-2":       directory.Answer{Owner: true, Located: budget.LocateResult{Holders: []budget.Holder{holder}}, RanBy: holder},
+		methodGrant + "-request-1":       directory.GrantRequest{Process: "p2", Program: "a", Tokens: 100, From: holder, Number: 9},
+		methodProof + "-request-1":       proofRequest{Revision: 7},
+		methodProof + "-answer-1":        proofAnswer{Proof: staleness.Proof{Revision: 7, Age: time.Second}, Row: row, Evacuations: evacuation.Snapshot{}},
+		methodCommit + "-request-1":      commitRequest{Process: "p2", Transaction: store.Transaction{Conditions: []store.Condition{{Key: row.Key, Version: 7}}, Put: []store.Row{row}, Remove: []store.Key{row.Key}}},
+		methodHandOver + "-answer-1":     budget.HandOverAnswer{},
+		methodGroupCommit + "-request-1": groupcommit.Request{Process: "p2", Group: 3, Rows: []store.Row{row}, Within: time.Second, Again: true},
+		methodGroupCommit + "-answer-1":  groupcommit.Answer{Owner: true, Outcome: groupcommit.OutcomeStored, Short: true, Throttled: true, Expect: time.Second, Took: time.Millisecond},
+		methodCapacity + "-request-1": capacity.Request{Process: "p2", Passed: true, Report: capacity.Report{
 			From: "p1", Sequence: 9, Group: capacity.Group{Service: "s", Zone: "a", Number: 1}, Running: []capacity.Running{{Worker: "w@1", Requests: 2, Tokens: 300}},
 			Lasts: time.Second, Pending: []uint64{8}, Ended: 3, Held: time.Second, Declined: []string{"x@1"},
 		}, Ask: &capacity.Ask{Home: "w@1", Fresh: 100, Tokens: 200, Exclude: []string{"y@1"}, Patience: time.Millisecond, Program: scheduling.Program{Key: "k", Timed: true, Finish: time.Second}}},
-		methodRoom + "-answer-1": capacity.Answer{Keeper: true, Outcome: capacity.OutcomeAssigned, Worker: "w@1", After: time.Second, Reason: capacity.ReasonHome, Busy: 0.5, Settled: true, Waiting: 2, HeldFor: time.Millisecond},
+		methodCapacity + "-answer-1": capacity.Answer{Keeper: true, Outcome: capacity.OutcomeAssigned, Worker: "w@1", After: time.Second, Reason: capacity.ReasonHome, Busy: 0.5, Settled: true, Waiting: 2, HeldFor: time.Millisecond},
 	}
 }
 
--- a/internal/server/metered_transport.go
+++ b/internal/server/metered_transport.go
@@ -12,8 +12,8 @@
 // meteredTransport counts messages to other nodes by distance. It implements peer.Transport.
 type meteredTransport struct {
 	peer.Transport
-	vantage locality.Location
-	count   func(distance locality.Distance, sent, received int)
+	location locality.Location
+	count    func(distance locality.Distance, sent, received int)
 	// owners lists the slot owners, whose zones are looked up for addresses not recorded yet;
 	// nil: none.
 	owners func() []budget.Holder
@@ -37,7 +37,7 @@
 // which counts as another region if regions are configured.
 func (m *meteredTransport) distance(address peer.Address) locality.Distance {
 	if zone, ok := m.zones.Load(address); ok {
-		return m.vantage.DistanceTo(zone.(string))
+		return m.location.DistanceTo(zone.(string))
 	}
 	if m.owners != nil {
 		for _, owner := range m.owners() {
@@ -46,5 +46,5 @@
 	}
 	zone, _ := m.zones.Load(address)
 	known, _ := zone.(string)
-	return m.vantage.DistanceTo(known)
+	return m.location.DistanceTo(known)
 }
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -19,7 +19,7 @@
 type Metrics struct {
 	Registry     *prometheus.Registry // holds all metrics of the node
 	Requests     *forward.Metrics     // client requests
-	Room         *RoomMetrics         // placement of requests on workers
+	Capacity     *CapacityMetrics     // placement of requests on workers
 	Dials        prometheus.Counter   // new connections to workers
 	WorkerProbes prometheus.Counter   // connection probes of unresponsive workers
 	RelayedCalls prometheus.Counter   // store calls made through other nodes
@@ -35,14 +35,14 @@
 	nodeBytes          *prometheus.CounterVec // by distance and direction
 	evacuated          *prometheus.GaugeVec   // by zone
 	evacuationRevision *prometheus.GaugeVec   // by zone
-	silentConnections  *prometheus.CounterVec // by kind of connection
+	deadConnections    *prometheus.CounterVec // by kind of connection
 	grants             *prometheus.CounterVec // by outcome
 	workerLookups      *prometheus.CounterVec // by target and result
 
-	gatherCalls    *prometheus.CounterVec // by outcome
-	gatherRows     prometheus.Histogram
-	gatherWait     prometheus.Histogram
-	gatherRequests *prometheus.CounterVec // by outcome
+	commitCalls    *prometheus.CounterVec // by outcome
+	commitRows     prometheus.Histogram
+	commitWait     prometheus.Histogram
+	forwardedTurns *prometheus.CounterVec // by outcome
 
 	tableCalls *prometheus.CounterVec // by call and table
 	tableBytes *prometheus.CounterVec // by kind of connection and direction
@@ -60,7 +60,7 @@
 	m := &Metrics{
 		Registry:     registry,
 		Requests:     forward.NewMetrics(registry),
-		Room:         newRoomMetrics(registry),
+		Capacity:     newCapacityMetrics(registry),
 		Dials:        prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_connections_total", Help: "New connections to workers."}),
 		WorkerProbes: prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "worker_looks_total", Help: "Looks whether a silent worker takes connections."}),
 		Ejections:    newEjectionMetrics(registry),
@@ -74,14 +74,14 @@
 	m.evacuated = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: "zone_evacuated", Help: "1 while a zone's workers get no new work; zones that never were evacuated are left out."}, []string{"zone"})
 	m.evacuationRevision = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "cloverwheel", Name: "zone_evacuated_revision", Help: "The table's revision of the word by which a zone is evacuated or was taken back."}, []string{"zone"})
 	m.coldAnswers = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "cold_answers_total", Help: "Questions for a request to a cold worker by what came of them."}, []string{"outcome"})
-	m.silentConnections = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "silent_connections_total", Help: "Connections that were given up because they fell silent, by kind."}, []string{"kind"})
+	m.deadConnections = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "silent_connections_total", Help: "Connections that were given up because they fell silent, by kind."}, []string{"kind"})
 	m.grants = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "grants_total", Help: "Requests for a part of a program's budget that this node answered as the owner, by what came of them."}, []string{"outcome"})
 	m.workerLookups = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "list_questions_total", Help: "Questions to the list of workers for some that this node does not keep, by what was asked for and what came of it."}, []string{"found"})
-	registry.MustRegister(m.workerLookups, m.limitAnswers, m.coldAnswers, m.silentConnections, m.grants, m.roundTrips, m.nodeMessages, m.nodeBytes, m.evacuated, m.evacuationRevision)
+	registry.MustRegister(m.workerLookups, m.limitAnswers, m.coldAnswers, m.deadConnections, m.grants, m.roundTrips, m.nodeMessages, m.nodeBytes, m.evacuated, m.evacuationRevision)
 	m.RelayedCalls = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "table_relayed_calls_total", Help: "Calls to the table that other nodes were asked to make."})
 	m.InvalidEntries = prometheus.NewCounter(prometheus.CounterOpts{Namespace: "cloverwheel", Name: "foreign_worker_entries_total", Help: "Entries of the list of workers that appeared or changed and name no worker."})
 	registry.MustRegister(m.Dials, m.WorkerProbes, m.RelayedCalls, m.InvalidEntries, m.tableCalls, m.tableBytes)
-	m.registerGatherMetrics()
+	m.registerGroupCommitMetrics()
 	return m
 }
 
@@ -90,7 +90,7 @@
 	m.limitAnswers.WithLabelValues(string(outcome)).Inc()
 }
 
-// WorkerLookup counts a lookup of workers that this node does not keep.
+// WorkerLookup counts a lookup in the store of workers that this node does not have.
 func (m *Metrics) WorkerLookup(result string) { m.workerLookups.WithLabelValues(result).Inc() }
 
 // SetRoundTrip sets the estimated round trip to the workers of a zone.
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -23,29 +23,30 @@
 
 // Methods of calls between nodes.
 const (
-	// methodHandOver asks a node to transfer unused tokens of a program.
+	// methodHandOver transfers a node's unused tokens of a program to the caller.
 	methodHandOver = "budget.hand_over"
-	// methodChain asks a node for the conversation history up to a turn.
+	// methodChain reads the conversation history up to a turn from a node's cache.
 	methodChain = "history.chain"
-	// methodCommit and methodRange ask a node to make a call to the store.
+	// methodCommit and methodRange make a call to the store through another node.
 	methodCommit = "table.commit"
 	methodRange  = "table.range"
-	// methodLocate asks the owner of a directory slot which nodes ran turns of a program.
+	// methodLocate reads which nodes ran turns of a program from the owner of its directory slot.
 	methodLocate = "directory.locate"
-	// methodGrant asks the owner of a directory slot for tokens from its part of a program's
-	// budget.
+	// methodGrant requests tokens from the part of a program's budget that the owner of a directory
+	// slot holds.
 	methodGrant = "directory.grant"
-	// methodLend asks the owner of a share of a tenant's limit to admit one request.
-	methodLend = "quota.lend"
-	// methodLendCold asks the owner of a cold worker's slot to admit one request to that worker.
-	methodLendCold = "warmup.lend"
-	// methodRoom reports a node's load on a group of workers to the keeper of the group, and may
-	// request a placement.
-	methodRoom = "room.report"
-	// methodGather asks the owner of a slot to write turn rows in a batch with those of other
-	// nodes.
-	methodGather = "history.gather"
-	// methodProof asks a node for its proof that its configuration is the newest.
+	// methodQuotaPermit requests a permit for one request from the owner of a share of a tenant's
+	// limit.
+	methodQuotaPermit = "quota.lend"
+	// methodColdPermit requests a permit for one request to a cold worker from the owner of its slot.
+	methodColdPermit = "warmup.lend"
+	// methodCapacity reports a node's load on a group of workers to the coordinator of the group,
+	// and may request a placement.
+	methodCapacity = "room.report"
+	// methodGroupCommit sends turn rows to the owner of a slot, which writes them in a batch with
+	// those of other nodes.
+	methodGroupCommit = "history.gather"
+	// methodProof reads a node's proof that its configuration is the newest.
 	methodProof = "configuration.proof"
 )
 
@@ -57,10 +58,10 @@
 	// peerDialTimeout bounds opening a connection to another node. It allows for one lost packet
 	// at a round trip of 100 ms. Calls have their own, shorter timeouts.
 	peerDialTimeout = 400 * time.Millisecond
-	// peerSilenceTimeout is how long calls wait without a byte from a node before its connection
+	// peerUnresponsiveTimeout is how long calls wait without a byte from a node before its connection
 	// is suspected to be dead. It does not exceed minProofTimeout, so a proof request can be
 	// retried in time.
-	peerSilenceTimeout = 100 * time.Millisecond
+	peerUnresponsiveTimeout = 100 * time.Millisecond
 	// lateResponseTimeout bounds a call as a whole, including the time after its caller has given
 	// up. Late responses show the latency of a zone to callers whose timeout is too short for it.
 	// The value is above the timeout of every caller.
@@ -104,11 +105,11 @@
 		MaxResponse:       maxPeerResponse,
 		DialTimeout:       peerDialTimeout,
 		IdleTimeout:       peerIdleTimeout,
-		UnresponsiveAfter: peerSilenceTimeout,
+		UnresponsiveAfter: peerUnresponsiveTimeout,
 		Guard:             options.Guards.Nodes,
 		Registerer:        options.Metrics.Registry,
 	}
-	p.transport = &meteredTransport{vantage: options.Settings.vantage(), count: options.Metrics.NodeMessage}
+	p.transport = &meteredTransport{location: options.Settings.location(), count: options.Metrics.NodeMessage}
 	if network != nil {
 		p.transport.Transport = network.Transport(peer.Address(address))
 	} else {
@@ -128,7 +129,7 @@
 type chainAnswer struct{ Turns []*history.Turn }
 
 // handleProgramCalls registers the handlers for calls about programs.
-func (p *peers) handleProgramCalls(process string, book *budget.Accounts, turns *history.TurnStore, dir *directory.Directory) {
+func (p *peers) handleProgramCalls(process string, accounts *budget.Accounts, turns *history.TurnStore, dir *directory.Directory) {
 	peer.Handle(p.mux, methodLocate, func(_ context.Context, request directory.Request) (directory.Answer, error) {
 		return dir.HandleRequest(request), nil
 	})
@@ -136,7 +137,7 @@
 		return dir.HandleGrantRequest(request), nil
 	})
 	peer.Handle(p.mux, methodHandOver, func(ctx context.Context, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
-		return book.HandOver(ctx, request), nil
+		return accounts.HandOver(ctx, request), nil
 	})
 	peer.Handle(p.mux, methodChain, func(_ context.Context, request chainRequest) (chainAnswer, error) {
 		if request.Process != process {
@@ -172,8 +173,8 @@
 }
 
 // peerClient calls other nodes and measures the latency of each zone. It implements budget.Peers,
-// directory.Peers, directory.GrantPeers, quota.Peers, warmup.Peers, capacity.Peers, groupcommit.Peers and
-// forward.HistoryPeers.
+// directory.Peers, directory.GrantPeers, quota.Peers, warmup.Peers, capacity.Peers,
+// groupcommit.Peers and forward.HistoryPeers.
 type peerClient struct {
 	transport *meteredTransport
 	latencies timing.LatencyEstimates // by zone of the called process
@@ -261,7 +262,7 @@
 
 // RequestPermit implements quota.Peers.
 func (c *peerClient) RequestPermit(ctx context.Context, owner budget.Holder, request quota.Request) (quota.Answer, error) {
-	return callPeer[quota.Answer](ctx, c, owner, methodLend, request)
+	return callPeer[quota.Answer](ctx, c, owner, methodQuotaPermit, request)
 }
 
 // Proof requests a process's proof that its configuration is the newest.
@@ -271,24 +272,24 @@
 
 // mayPassThrough reports whether the content of a call may be sent to a process, by the regions
 // that the content is bound to.
-func mayPassThrough(ctx context.Context, places *locality.ZoneMap, holder budget.Holder) bool {
-	return locality.ContentRegions(ctx).Allow(places.Region(locality.ZoneOf(holder.Process)))
+func mayPassThrough(ctx context.Context, zones *locality.ZoneMap, holder budget.Holder) bool {
+	return locality.ContentRegions(ctx).Allow(zones.Region(locality.ZoneOf(holder.Process)))
 }
 
 // RequestColdPermit implements warmup.Peers.
 func (c *peerClient) RequestColdPermit(ctx context.Context, owner budget.Holder, request warmup.Request) (warmup.Answer, error) {
-	return callPeer[warmup.Answer](ctx, c, owner, methodLendCold, request)
+	return callPeer[warmup.Answer](ctx, c, owner, methodColdPermit, request)
 }
 
 // Room implements capacity.Peers.
-func (c *peerClient) Room(ctx context.Context, keeper budget.Holder, request capacity.Request) (capacity.Answer, error) {
+func (c *peerClient) Room(ctx context.Context, coordinator budget.Holder, request capacity.Request) (capacity.Answer, error) {
 	networkTime := func(answer capacity.Answer, elapsed time.Duration) time.Duration { return elapsed - answer.HeldFor }
-	return callPeerTimed(ctx, c, keeper, methodRoom, request, networkTime)
+	return callPeerTimed(ctx, c, coordinator, methodCapacity, request, networkTime)
 }
 
 // History implements forward.HistoryPeers.
 func (c *peerClient) History(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
-	if !mayPassThrough(ctx, c.transport.vantage.Zones, holder) {
+	if !mayPassThrough(ctx, c.transport.location.Zones, holder) {
 		return nil, nil
 	}
 	answer, err := callPeer[chainAnswer](peer.WithRepeatable(ctx), c, holder, methodChain, chainRequest{Process: holder.Process, Turn: turn})
@@ -297,10 +298,10 @@
 
 // Gather implements groupcommit.Peers.
 func (c *peerClient) Gather(ctx context.Context, owner budget.Holder, request groupcommit.Request) (groupcommit.Answer, error) {
-	if !mayPassThrough(ctx, c.transport.vantage.Zones, owner) {
+	if !mayPassThrough(ctx, c.transport.location.Zones, owner) {
 		return groupcommit.Answer{}, groupcommit.ErrRegionNotAllowed
 	}
-	return callPeerTimed(ctx, c, owner, methodGather, request, func(answer groupcommit.Answer, elapsed time.Duration) time.Duration {
+	return callPeerTimed(ctx, c, owner, methodGroupCommit, request, func(answer groupcommit.Answer, elapsed time.Duration) time.Duration {
 		return elapsed - answer.Took
 	})
 }
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -19,16 +19,16 @@
 // slowTransport answers after a delay, or never.
 type slowTransport struct {
 	peer.Transport
-	delay      atomic.Int64 // ns
-	silent     atomic.Bool
-	inProgress atomic.Int64
+	delay        atomic.Int64 // ns
+	unresponsive atomic.Bool
+	inProgress   atomic.Int64
 }
 
 // Call implements peer.Transport.
 func (s *slowTransport) Call(ctx context.Context, _ peer.Address, _ string, _ []byte) ([]byte, error) {
 	s.inProgress.Add(1)
 	defer s.inProgress.Add(-1)
-	if s.silent.Load() {
+	if s.unresponsive.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -39,7 +39,7 @@
 }
 
 // Guards against timeouts that are permanently too short for a zone, or too long after a slow or
-// silent period.
+// unresponsive period.
 func TestPeerTimeoutFollowsZoneLatency(t *testing.T) {
 	const least, most = 30 * time.Millisecond, 200 * time.Millisecond
 	process := locality.ProcessName("far", "node", "1")
@@ -61,14 +61,14 @@
 					}
 				}
 				for name, disturb := range map[string]func(){
-					"calm":   func() {},
-					"slow":   func() { transport.delay.Store(int64(100 * latency)) },
-					"silent": func() { transport.silent.Store(true) },
+					"calm":         func() {},
+					"slow":         func() { transport.delay.Store(int64(100 * latency)) },
+					"unresponsive": func() { transport.unresponsive.Store(true) },
 				} {
 					disturb()
 					callFor(4500 * time.Millisecond)
 					transport.delay.Store(int64(latency))
-					transport.silent.Store(false)
+					transport.unresponsive.Store(false)
 					callFor(2 * time.Second)
 					for range 20 {
 						require.NoError(t, call(), name)
@@ -83,7 +83,7 @@
 }
 
 // Guards against detecting a dead connection only after the timeout of the calls that wait on it.
-func TestSilenceTimeoutIsWithinCallTimeouts(t *testing.T) {
+func TestUnresponsiveTimeoutIsWithinCallTimeouts(t *testing.T) {
 	p := newPeers(Options{Metrics: NewMetrics()})
 	require.Positive(t, p.options.UnresponsiveAfter)
 	require.LessOrEqual(t, p.options.UnresponsiveAfter, minProofTimeout)
@@ -94,7 +94,7 @@
 func TestAbandonedCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &slowTransport{}
-		transport.silent.Store(true)
+		transport.unresponsive.Store(true)
 		client := &peerClient{transport: newUncountedTransport(transport, nil)}
 		for range 1000 {
 			go func() {
--- a/internal/server/question.go
+++ b/internal/server/proofquery.go
@@ -9,8 +9,6 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// This file queries the store for the proofs that the verifier keeps.
-
 const (
 	// queryInterval is the minimum time between two store queries; each unanswered query adds as
 	// much again. At most maxOutstandingQueries are unanswered at once. Overlapping queries
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -112,7 +112,7 @@
 		if s.invalidEntries.add(row) {
 			s.options.Metrics.InvalidEntries.Inc()
 			s.options.Logger.WithError(err).WithField("worker", row.Name).WithField("revision", uint64(row.Version)).
-				Warn("skipping invalid entry of the worker list")
+				Warn("skipping invalid entry of the worker list; correct its record")
 		}
 		return backend.Update{Record: backend.Record{ID: row.Name}, End: backend.Unusable}, true
 	}
--- a/internal/server/regions_test.go
+++ b/internal/server/regions_test.go
@@ -14,11 +14,11 @@
 )
 
 var (
-	testVantage = locality.Location{Zones: locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
-	remoteOne   = holderIn("b1", "far-one")
-	remoteTwo   = holderIn("b1", "far-other")
-	nearbyOne   = holderIn("a2", "near-one")
-	nearbyTwo   = holderIn("a1", "near-other")
+	testLocation = locality.Location{Zones: locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
+	remoteOne    = holderIn("b1", "far-one")
+	remoteTwo    = holderIn("b1", "far-other")
+	nearbyOne    = holderIn("a2", "near-one")
+	nearbyTwo    = holderIn("a1", "near-other")
 )
 
 // holderIn returns a process on a node of the given zone.
@@ -28,7 +28,7 @@
 
 // Guards against proof requests to other regions while the node's own region answers.
 func TestProofsAreRequestedWithinTheRegionFirst(t *testing.T) {
-	v := newVerifier(Options{Settings: Settings{Regions: testVantage.Zones, Zone: testVantage.Zone}}, evacuation.New(nil))
+	v := newVerifier(Options{Settings: Settings{Regions: testLocation.Zones, Zone: testLocation.Zone}}, evacuation.New(nil))
 	owners := []budget.Holder{remoteOne, nearbyOne, remoteTwo}
 	for range 50 {
 		require.Equal(t, nearbyOne, v.choosePeer(owners))
@@ -44,7 +44,7 @@
 
 // relayClientFor returns a client with the given candidates.
 func relayClientFor(candidates ...budget.Holder) *relayClient {
-	return &relayClient{vantage: testVantage, candidates: func() []budget.Holder { return append([]budget.Holder(nil), candidates...) }}
+	return &relayClient{location: testLocation, candidates: func() []budget.Holder { return append([]budget.Holder(nil), candidates...) }}
 }
 
 // chosenRelays returns the nodes chosen for a call that is not bound to regions.
@@ -80,7 +80,7 @@
 
 // Guards against having no relay when the whole region has lost the store.
 func TestOwnersInOtherRegionsAreRelayCandidates(t *testing.T) {
-	candidates := withRemoteOwners(testVantage, []budget.Holder{nearbyOne, remoteOne}, []budget.Holder{remoteOne, remoteTwo, nearbyTwo})
+	candidates := withRemoteOwners(testLocation, []budget.Holder{nearbyOne, remoteOne}, []budget.Holder{remoteOne, remoteTwo, nearbyTwo})
 	require.Equal(t, []budget.Holder{nearbyOne, remoteOne, remoteTwo}, candidates)
 	require.Empty(t, withRemoteOwners(locality.Location{}, nil, []budget.Holder{remoteOne}), "no regions configured")
 }
@@ -97,7 +97,7 @@
 func TestMessagesAreCountedByDistance(t *testing.T) {
 	counted := map[locality.Distance][3]int{}
 	m := &meteredTransport{
-		Transport: fixedTransport{}, vantage: testVantage,
+		Transport: fixedTransport{}, location: testLocation,
 		owners: func() []budget.Holder { return []budget.Holder{remoteOne} },
 		count: func(distance locality.Distance, sent, received int) {
 			before := counted[distance]
--- a/internal/server/relay.go
+++ b/internal/server/relay.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// maxRelays is how many nodes are asked to make a call, one after the other.
+	// maxRelays is how many nodes are tried for a call, one after the other.
 	maxRelays = 2
 	// relayTimeoutFactor is the timeout of a relayed call as a multiple of the store's usual
 	// timeout.
@@ -33,7 +33,7 @@
 	outcomeUnknown                   // the call may have had an effect
 )
 
-// commitRequest asks a process to commit a transaction.
+// commitRequest is a request to commit a transaction.
 type commitRequest struct {
 	Process     string // process addressed by the request
 	Transaction store.Transaction
@@ -46,7 +46,7 @@
 	Rows    []store.Row // current rows of a conflict
 }
 
-// rangeRequest asks a process to read rows.
+// rangeRequest is a request to read rows.
 type rangeRequest struct {
 	Process               string // process addressed by the request
 	Table, Part, From, To string
@@ -116,13 +116,13 @@
 // relayClient makes store calls through other nodes. It implements store.Relayer.
 type relayClient struct {
 	transport  *meteredTransport
-	vantage    locality.Location
+	location   locality.Location
 	candidates func() []budget.Holder // nodes that may relay a call, newest first
 	timeout    func() time.Duration   // usual timeout of a store call
 	countCall  func()                 // counts the calls sent to other nodes
 
-	mutex      sync.Mutex
-	lastHelper budget.Holder // node that answered last; empty after it failed
+	mutex     sync.Mutex
+	lastRelay budget.Holder // node that answered last; empty after it failed
 	// failures counts consecutive nodes that did not answer the call.
 	failures int
 }
@@ -179,23 +179,23 @@
 // node's region, or of any region while those fail. A call bound to regions only goes through
 // nodes of these regions. failure is the error to return if none of them answers.
 func (r *relayClient) choose(ctx context.Context) (chosen []budget.Holder, failure error) {
-	candidates := slices.DeleteFunc(r.candidates(), func(holder budget.Holder) bool { return !mayPassThrough(ctx, r.vantage.Zones, holder) })
+	candidates := slices.DeleteFunc(r.candidates(), func(holder budget.Holder) bool { return !mayPassThrough(ctx, r.location.Zones, holder) })
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	r.mutex.Lock()
-	lastHelper, failures := r.lastHelper, r.failures
+	lastRelay, failures := r.lastRelay, r.failures
 	r.mutex.Unlock()
 	if failures < maxRelays {
-		locality.OwnRegionFirst(r.vantage, candidates, budget.Holder.Zone)
+		locality.OwnRegionFirst(r.location, candidates, budget.Holder.Zone)
 	}
 	chosen = make([]budget.Holder, 0, maxRelays+1)
-	if lastHelper.Process != "" && mayPassThrough(ctx, r.vantage.Zones, lastHelper) {
-		chosen = append(chosen, lastHelper)
+	if lastRelay.Process != "" && mayPassThrough(ctx, r.location.Zones, lastRelay) {
+		chosen = append(chosen, lastRelay)
 	}
 	for _, holder := range candidates {
 		if len(chosen) == maxRelays {
 			break
 		}
-		if holder != lastHelper {
+		if holder != lastRelay {
 			chosen = append(chosen, holder)
 		}
 	}
@@ -207,20 +207,20 @@
 
 // withRemoteOwners adds slot owners in other regions to the recently seen nodes. Those are mostly
 // of this node's region, which may have lost the store as a whole.
-func withRemoteOwners(vantage locality.Location, met, owners []budget.Holder) []budget.Holder {
+func withRemoteOwners(location locality.Location, recent, owners []budget.Holder) []budget.Holder {
 	for _, owner := range owners {
-		if vantage.DistanceTo(owner.Zone()) == locality.OtherRegion && !slices.Contains(met, owner) {
-			met = append(met, owner)
+		if location.DistanceTo(owner.Zone()) == locality.OtherRegion && !slices.Contains(recent, owner) {
+			recent = append(recent, owner)
 		}
 	}
-	return met
+	return recent
 }
 
 // recordSuccess makes the node that answered the first choice.
-func (r *relayClient) recordSuccess(helper budget.Holder) {
+func (r *relayClient) recordSuccess(holder budget.Holder) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lastHelper, r.failures = helper, 0
+	r.lastRelay, r.failures = holder, 0
 }
 
 // recordFailure counts a failure of a node, and drops it as the first choice.
@@ -228,7 +228,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.failures++
-	if r.lastHelper == holder {
-		r.lastHelper = budget.Holder{}
+	if r.lastRelay == holder {
+		r.lastRelay = budget.Holder{}
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,4 +1,4 @@
-// Package server runs one node of the load balancer in front of the workers. A node follows the
+// Package server runs one node of the load balancer between clients and workers. A node follows the
 // configuration and the worker list, accepts client connections, reports its readiness, and shuts
 // down without cutting off requests. It keeps no state that outlives the process.
 package server
@@ -59,8 +59,8 @@
 	// workers, plus ColdSlack requests. Both 0: the limit is not enforced.
 	ColdOverage float64
 	ColdSlack   float64
-	// StoreWritesPerSecond is the number of writing calls per second that the store accepts from all nodes
-	// together; 0: unspecified.
+	// StoreWritesPerSecond is the number of writing calls per second that the store accepts from
+	// all nodes together; 0: unspecified.
 	StoreWritesPerSecond float64
 	// CrossPartTransactions states that the store supports transactions across parts.
 	CrossPartTransactions bool
@@ -79,8 +79,8 @@
 	Evacuation func(store.Row) (zone string, ok bool)
 }
 
-// vantage returns the node's location.
-func (s Settings) vantage() locality.Location {
+// location returns the node's location.
+func (s Settings) location() locality.Location {
 	return locality.Location{Zones: s.Regions, Zone: s.Zone}
 }
 
@@ -97,11 +97,12 @@
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
 	// PeerNetwork transports messages to other nodes; nil: HTTP over TCP.
 	PeerNetwork PeerNetwork
-	// Guards detect silent connections; the zero value relies on kernel defaults.
+	// Guards detect dead connections; the zero value relies on kernel defaults.
 	Guards Guards
 	// DialTimeout bounds opening a connection to a worker.
 	DialTimeout time.Duration
-	// NewClientHandler and Ready create the handlers of the client address and the readiness address.
+	// NewClientHandler and NewReadyHandler create the handlers of the client address and the
+	// readiness address.
 	NewClientHandler func(*Server) http.Handler
 	NewReadyHandler  func(*Server) http.Handler
 	Metrics          *Metrics
@@ -126,7 +127,7 @@
 	store          relayedStore
 	directory      *directory.Directory // nil: the node runs without peers
 	peers          *peers
-	room           *roomTracker // nil: the node runs without peers
+	capacity       *capacityTracker // nil: the node runs without peers
 	clients        *clientConns
 	drain          chan struct{}
 	bodyBytes      atomic.Int64 // bytes held by request and response bodies
@@ -137,8 +138,8 @@
 	// request bodies and cached turns may use.
 	bodyMemoryDivisor    = 8 // one eighth
 	historyMemoryDivisor = 10
-	// gatherMemoryDivisor sets the part for rows that wait to be written for other nodes.
-	gatherMemoryDivisor = 32
+	// groupCommitMemoryDivisor sets the part for rows that wait to be written for other nodes.
+	groupCommitMemoryDivisor = 32
 	// heapLimitRatio is the part of the memory at which the garbage collector becomes more
 	// aggressive.
 	heapLimitRatio = 0.7
@@ -153,12 +154,12 @@
 	options = options.withDefaults()
 	gate := store.NewGate(options.Store, options.Logger)
 	var workers *backend.Registry
-	evacuations := newEvacuationBoard(options, func(zone string, revision store.Version) int { return workers.ZoneReopened(zone, uint64(revision)) })
+	evacuations := newEvacuationTracker(options, func(zone string, revision store.Version) int { return workers.ZoneReopened(zone, uint64(revision)) })
 	verifier := newVerifier(options, evacuations)
 	workers = newWorkers(options, verifier)
 	peers := newPeers(options)
 	parts := newComponents(options, gate, peers, verifier)
-	finder := &workerFinder{workers: workers, gate: gate, prefixHolders: map[string]prefixHolders{}, countLookup: options.Metrics.WorkerLookup}
+	finder := &workerFinder{workers: workers, gate: gate, prefixWorkers: map[string]prefixWorkers{}, countLookup: options.Metrics.WorkerLookup}
 	var s *Server
 	s = &Server{
 		options:        options,
@@ -169,7 +170,7 @@
 		store:          parts.store,
 		directory:      parts.directory,
 		peers:          peers,
-		room:           parts.room,
+		capacity:       parts.capacity,
 		invalidEntries: invalidEntries{},
 		finder:         finder,
 		clients:        newClientConns(options.Settings.Descriptors),
@@ -184,7 +185,7 @@
 			Transport:       options.Transport,
 			Budgets:         parts.budgets,
 			History:         parts.history,
-			HistoryPeers:    parts.neighbours,
+			HistoryPeers:    parts.historyPeers,
 			TurnDirectory:   parts.directory,
 			ResponseTimes:   peers.client.timeout,
 			ConfigFreshness: verifier.fresh,
@@ -194,9 +195,9 @@
 			ReserveMemory:   func(bytes int64) (func(), bool) { return s.ReserveBodyMemory(bytes) },
 			Finder:          finder,
 			Prober:          options.Prober,
-			Capacity:        parts.room.forwardRoom(),
+			Capacity:        parts.capacity.forwarderCapacity(),
 			Estimator:       scheduling.NewEstimator(),
-			Admission:       admission.NewGate(parts.room.admissionKeepers()),
+			Admission:       admission.NewGate(parts.capacity.utilizationSource()),
 			Metrics:         options.Metrics.Requests,
 			Logger:          options.Logger,
 		}),
@@ -204,7 +205,7 @@
 	verifier.attach(s, parts)
 	s.workerFollower = s.newWorkerFollower()
 	finder.follower, finder.services = s.workerFollower, s.targetedServices
-	parts.room.attach(s)
+	parts.capacity.attach(s)
 	return s
 }
 
@@ -252,8 +253,8 @@
 	return !s.RedirectsClients() && s.workersLoaded.Load() && s.forwarder.Configuration() != nil && s.clients.accepting()
 }
 
-// ReserveBodyMemory reserves memory for a request body, or for a response held until its client has read it.
-// It returns a function that releases the memory; ok is false if too much is in use.
+// ReserveBodyMemory reserves memory for a request body, or for a response held until its client has
+// read it. It returns a function that releases the memory; ok is false if too much is in use.
 func (s *Server) ReserveBodyMemory(bytes int64) (release func(), ok bool) {
 	limit := s.options.Settings.MemoryBytes / bodyMemoryDivisor
 	if s.bodyBytes.Add(bytes) > limit {
@@ -286,7 +287,7 @@
 	}
 	runs := []func(context.Context){s.sweeper.Run, s.workers.Run, s.monitorStalls, s.verifier.run, s.monitorIsolation}
 	if s.directory != nil {
-		runs = append(runs, s.directory.Run, s.room.reporter.Run)
+		runs = append(runs, s.directory.Run, s.capacity.client.Run)
 	}
 	for _, run := range runs {
 		group.Go(func() error {
@@ -294,7 +295,7 @@
 			return nil
 		})
 	}
-	front := &http.Server{
+	clientServer := &http.Server{
 		Handler:           s.options.NewClientHandler(s),
 		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
@@ -303,7 +304,7 @@
 		ConnState:         s.clients.trackState,
 	}
 	ready := &http.Server{Handler: s.options.NewReadyHandler(s), ReadHeaderTimeout: readHeaderTimeout, ErrorLog: newErrorLog(s.options.Logger)}
-	if err := s.serve(group, front, s.options.Settings.ClientAddress, s.listenToClients); err != nil {
+	if err := s.serve(group, clientServer, s.options.Settings.ClientAddress, s.listenToClients); err != nil {
 		return err
 	}
 	if err := s.serve(group, ready, s.options.Settings.ReadyAddress, s.options.Listen); err != nil {
@@ -319,7 +320,7 @@
 	s.options.Logger.WithField("front", s.options.Settings.ClientAddress).Info("node started")
 	group.Go(func() error {
 		defer cancel()
-		s.awaitShutdown(ctx, front)
+		s.awaitShutdown(ctx, clientServer)
 		s.releaseResources(ctx)
 		return errors.Join(ready.Close(), metrics.Close())
 	})
--- a/internal/server/stop.go
+++ b/internal/server/stop.go
@@ -10,7 +10,7 @@
 
 const (
 	// drainDelay is how long a stopping node keeps accepting connections, so that load balancers
-	// notice that it is not ready: two failed health checks and a margin. With a short grace
+	// detect that it is not ready: two failed health checks and a margin. With a short grace
 	// period the delay is limited to maxDrainDelayRatio of it.
 	drainDelay         = 2500 * time.Millisecond
 	maxDrainDelayRatio = 0.32
@@ -23,10 +23,10 @@
 
 // awaitShutdown waits for the end of ctx or for a drain. In a drain it returns once all requests
 // have ended or the grace period is nearly over.
-func (s *Server) awaitShutdown(ctx context.Context, front *http.Server) {
+func (s *Server) awaitShutdown(ctx context.Context, clientServer *http.Server) {
 	select {
 	case <-ctx.Done():
-		front.Close()
+		clientServer.Close()
 		return
 	case <-s.drain:
 	}
@@ -34,10 +34,10 @@
 	_ = timing.Sleep(ctx, drainDelayFor(s.options.Settings.ShutdownGrace))
 	shutdownCtx, cancel := context.WithDeadline(ctx, started.Add(s.options.Settings.ShutdownGrace-exitMargin))
 	defer cancel()
-	err := front.Shutdown(shutdownCtx)
+	err := clientServer.Shutdown(shutdownCtx)
 	s.options.Logger.WithField("ms", time.Since(started).Milliseconds()).WithField("all_ended", err == nil).Info("stopped serving clients")
 	if err != nil {
-		front.Close()
+		clientServer.Close()
 	}
 }
 
--- a/internal/server/knowledge.go
+++ b/internal/server/verifier.go
@@ -35,7 +35,7 @@
 	// feedLostInterval is the time between two such requests while the node's own feed of the
 	// operator's rows is lost. Evacuations must take effect within seconds.
 	feedLostInterval = time.Second
-	// urgentRatio is the part of the freshness bound at which a slot owner also asks other nodes,
+	// urgentRatio is the part of the freshness bound at which a slot owner also queries other nodes,
 	// and a node without slots also queries the store. The latter first waits nonOwnerDelay,
 	// counted from neededSince, so that slot owners reach the store before it.
 	urgentRatio   = 0.7
@@ -45,9 +45,9 @@
 )
 
 // verifier proves that the configuration of this node is the newest and that the node owns its
-// directory slots. Without a recent proof the node must not accept API keys or lend from limits.
-// One store query proves both; a node without slots requests the proof from a slot owner. No
-// proof is requested while the configuration has neither tenants nor limits for cold workers.
+// directory slots. Without a recent proof the node must not accept API keys or issue permits from
+// limits. One store query proves both; a node without slots requests the proof from a slot owner.
+// No proof is requested while the configuration has neither tenants nor limits for cold workers.
 // While the node's own feed of the operator's rows is lost, it also fetches evacuated zones from
 // another node.
 type verifier struct {
@@ -105,7 +105,7 @@
 }
 
 // limitOf returns the limit of a tenant in the current configuration; known is false if the
-// configuration may be too old to lend by, or has no such tenant.
+// configuration may be too old to issue permits, or has no such tenant.
 func (v *verifier) limitOf(name string) (limit tenant.Limit, known bool) {
 	if _, fresh := v.fresh.Age(); !fresh {
 		return tenant.Limit{}, false
@@ -248,8 +248,8 @@
 	return answer
 }
 
-// requestFromPeer requests a proof and the evacuated zones from a slot owner, or from any known
-// node if no owner is known. It reports whether the proof was newer than this node's.
+// requestFromPeer requests a proof and the evacuated zones from a slot owner, or from any recent
+// peer if there is no known owner. It reports whether the proof was newer than this node's.
 func (v *verifier) requestFromPeer(ctx context.Context) bool {
 	if v.peerClient == nil || v.directory == nil {
 		return false
@@ -284,7 +284,7 @@
 // returned no proof.
 func (v *verifier) choosePeer(owners []budget.Holder) budget.Holder {
 	if !v.lastPeerFailed {
-		owners = locality.PreferOwnRegion(v.options.Settings.vantage(), owners, budget.Holder.Zone)
+		owners = locality.PreferOwnRegion(v.options.Settings.location(), owners, budget.Holder.Zone)
 	}
 	return owners[rand.IntN(len(owners))]
 }
@@ -297,10 +297,11 @@
 	return answer, sent, err
 }
 
-// handleProofsAndLimits registers the handlers for proof requests and for tenants' limits.
-func (p *peers) handleProofsAndLimits(lender *quota.Allocator, verifier *verifier) {
-	peer.Handle(p.mux, methodLend, func(_ context.Context, request quota.Request) (quota.Answer, error) {
-		return lender.Answer(request), nil
+// handleProofsAndLimits registers the handlers of proof requests and of permit requests for tenants'
+// limits.
+func (p *peers) handleProofsAndLimits(allocator *quota.Allocator, verifier *verifier) {
+	peer.Handle(p.mux, methodQuotaPermit, func(_ context.Context, request quota.Request) (quota.Answer, error) {
+		return allocator.Answer(request), nil
 	})
 	peer.Handle(p.mux, methodProof, func(_ context.Context, request proofRequest) (proofAnswer, error) {
 		return verifier.answerProof(request), nil
--- a/internal/server/cold.go
+++ b/internal/server/warmup.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// handleColdLending registers the handler for requests to cold workers.
-func (p *peers) handleColdLending(lender *warmup.Allocator) {
-	peer.Handle(p.mux, methodLendCold, func(_ context.Context, request warmup.Request) (warmup.Answer, error) {
-		return lender.Answer(request), nil
+// handleColdPermits registers the handler of permit requests for cold workers.
+func (p *peers) handleColdPermits(allocator *warmup.Allocator) {
+	peer.Handle(p.mux, methodColdPermit, func(_ context.Context, request warmup.Request) (warmup.Answer, error) {
+		return allocator.Answer(request), nil
 	})
 }
