--- a/internal/outlier/board.go
+++ b/internal/outlier/detector.go
@@ -15,7 +15,7 @@
 	clearNoticeDuration = 3 * time.Second
 	// stateTTL is how long the state of a node or worker is kept after its last report.
 	stateTTL = 10 * time.Second
-	// maxWorkers and maxNodes bound a board: workers, and reporting nodes per worker.
+	// maxWorkers and maxNodes bound a detector: workers, and reporting nodes per worker.
 	maxWorkers = 2048
 	maxNodes   = 256
 )
@@ -35,12 +35,12 @@
 // Change is a decision about a worker, for logs and metrics.
 type Change struct {
 	Worker      string // key of the worker's incarnation
-	Ejected     bool   // whether the worker is ejected
+	Ejected     bool   // false: it is readmitted
 	Reason      Reason
 	FailureRate float64       // the worker's failure rate, from 0 to 1
 	Requests    float64       // decayed number of requests behind the decision
 	Nodes       int           // number of nodes that saw failures
-	TrialDelay  time.Duration // until the next trial, if Out
+	TrialDelay  time.Duration // until the next trial, if Ejected
 	EjectedFor  time.Duration // since the ejection
 	Utilization float64       // utilization of the group's capacity; above 1 if requests are queued
 }
@@ -89,7 +89,7 @@
 	lastAdverse   time.Time     // when the last restrictive verdict was returned
 }
 
-// New returns an empty board. onChange is called for each decision; nil ignores them.
+// New returns a Detector without reports. onChange is called for each decision; nil: not called.
 func New(onChange func(Change)) *Detector {
 	if onChange == nil {
 		onChange = func(Change) {}
@@ -97,20 +97,20 @@
 	return &Detector{onChange: onChange, workers: map[string]*worker{}, trust: map[string]float64{}}
 }
 
-// SetUtilization sets the utilization of the group's capacity; above 1 if requests are queued. Until it is
-// called, utilization counts as 0, which never prevents an ejection.
-func (b *Detector) SetUtilization(share float64) { b.utilization = share }
+// SetUtilization sets the utilization of the group's capacity; above 1 if requests are queued.
+// Until it is called, utilization counts as 0, which never prevents an ejection.
+func (d *Detector) SetUtilization(share float64) { d.utilization = share }
 
 // Add merges the report of the node from. It ignores invalid samples, and workers beyond
 // maxWorkers.
-func (b *Detector) Add(from string, samples []Sample, now time.Time) {
-	trust := b.trustIn(from)
+func (d *Detector) Add(from string, samples []Sample, now time.Time) {
+	trust := d.trustIn(from)
 	for _, sample := range samples {
-		if w := b.findOrAddWorker(sample.Worker); w != nil && valid(sample) {
-			b.addSample(w, from, sample, trust, now)
+		if w := d.findOrAddWorker(sample.Worker); w != nil && valid(sample) {
+			d.addSample(w, from, sample, trust, now)
 		}
 	}
-	b.sweep(now)
+	d.sweep(now)
 }
 
 // valid reports whether a sample's counts are consistent. Samples come from other processes.
@@ -119,19 +119,19 @@
 		sample.Paced >= 0 && sample.Pace >= 0
 }
 
-// findOrAddWorker returns the state of a worker, or nil if the board is full.
-func (b *Detector) findOrAddWorker(key string) *worker {
-	w, ok := b.workers[key]
-	if !ok && len(b.workers) < maxWorkers {
+// findOrAddWorker returns the state of a worker, or nil if the detector is full.
+func (d *Detector) findOrAddWorker(key string) *worker {
+	w, ok := d.workers[key]
+	if !ok && len(d.workers) < maxWorkers {
 		w = &worker{key: key, byNode: map[string]*nodeStats{}}
-		b.workers[key] = w
+		d.workers[key] = w
 	}
 	return w
 }
 
 // addSample merges one sample. While the worker is ejected, its requests count as trials, if the
 // node is trusted.
-func (b *Detector) addSample(w *worker, from string, sample Sample, trust float64, now time.Time) {
+func (d *Detector) addSample(w *worker, from string, sample Sample, trust float64, now time.Time) {
 	requests, failures, late := float64(sample.Requests), float64(sample.Failures), float64(sample.Silences)
 	w.lastReport = now
 	stats, ok := w.byNode[from]
@@ -156,32 +156,32 @@
 		return
 	}
 	if trust >= minTrialTrust {
-		b.addTrialOutcome(w, sample, now)
+		d.addTrialOutcome(w, sample, now)
 	}
 }
 
 // addTrialOutcome processes the outcomes of an ejected worker's trials. It reports a failure only
 // if it lengthens the trial delay.
-func (b *Detector) addTrialOutcome(w *worker, sample Sample, now time.Time) {
+func (d *Detector) addTrialOutcome(w *worker, sample Sample, now time.Time) {
 	before := w.ejection.delay
 	if w.ejection.recordOutcome(sample.Requests, sample.Failures, now) {
-		b.readmit(w, TrialsSucceeded, now)
+		d.readmit(w, TrialsSucceeded, now)
 		return
 	}
 	if w.ejection.delay != before {
-		b.notify(w, true, TrialFailed, now)
+		d.notify(w, true, TrialFailed, now)
 	}
 }
 
-func (b *Detector) eject(candidate evidence, now time.Time) {
+func (d *Detector) eject(candidate evidence, now time.Time) {
 	w := candidate.worker
 	w.ejection = newEjection(candidate.failureRate, delayAfter(w.lastDelay, w.readmittedAt, now), now)
 	w.lastDelay = w.ejection.delay
-	b.notify(w, true, TooManyFailures, now)
+	d.notify(w, true, TooManyFailures, now)
 }
 
-func (b *Detector) readmit(w *worker, reason Reason, now time.Time) {
-	b.notify(w, false, reason, now)
+func (d *Detector) readmit(w *worker, reason Reason, now time.Time) {
+	d.notify(w, false, reason, now)
 	w.lastDelay = w.ejection.delay
 	w.ejection = nil
 	w.readmittedAt = now
@@ -189,22 +189,22 @@
 	w.clearSuspicion()
 }
 
-func (b *Detector) notify(w *worker, ejected bool, reason Reason, now time.Time) {
-	b.onChange(Change{
+func (d *Detector) notify(w *worker, ejected bool, reason Reason, now time.Time) {
+	d.onChange(Change{
 		Worker: w.key, Ejected: ejected, Reason: reason, FailureRate: w.ejection.failureRate,
 		Requests: w.evidence.weight, Nodes: w.evidence.nodes, TrialDelay: w.ejection.delay,
-		EjectedFor: now.Sub(w.ejection.since), Utilization: b.utilization,
+		EjectedFor: now.Sub(w.ejection.since), Utilization: d.utilization,
 	})
 }
 
 // Verdicts returns the verdicts on a group's workers for one node: the restrictive ones, and for
 // clearNoticeDuration afterwards the clear ones. Each trial is offered to a single caller, so the
 // result must be sent to one node only.
-func (b *Detector) Verdicts(workers []string, now time.Time) []Verdict {
-	b.evaluateIfDue(workers, now)
+func (d *Detector) Verdicts(workers []string, now time.Time) []Verdict {
+	d.evaluateIfDue(workers, now)
 	var verdicts []Verdict
 	for _, key := range workers {
-		w, ok := b.workers[key]
+		w, ok := d.workers[key]
 		if !ok {
 			continue
 		}
@@ -219,23 +219,23 @@
 	return verdicts
 }
 
-func (b *Detector) evaluateIfDue(workers []string, now time.Time) {
-	if now.Sub(b.evaluatedAt) >= evaluationInterval || !slices.Equal(workers, b.lastGroup) {
-		b.evaluate(workers, now)
+func (d *Detector) evaluateIfDue(workers []string, now time.Time) {
+	if now.Sub(d.evaluatedAt) >= evaluationInterval || !slices.Equal(workers, d.lastGroup) {
+		d.evaluate(workers, now)
 	}
 }
 
-func (b *Detector) evaluate(workers []string, now time.Time) {
-	b.evaluatedAt, b.lastGroup = now, slices.Clone(workers)
+func (d *Detector) evaluate(workers []string, now time.Time) {
+	d.evaluatedAt, d.lastGroup = now, slices.Clone(workers)
 	members := make([]*worker, 0, len(workers))
 	for _, key := range workers {
-		if member := b.findOrAddWorker(key); member != nil {
+		if member := d.findOrAddWorker(key); member != nil {
 			members = append(members, member)
 		}
 	}
-	b.updateTrust(members, now)
-	b.evaluateFailures(members, now)
-	b.evaluateTokenTimes(members, now)
+	d.updateTrust(members, now)
+	d.evaluateFailures(members, now)
+	d.evaluateTokenTimes(members, now)
 }
 
 func (w *worker) verdict(now time.Time) Verdict {
@@ -250,19 +250,19 @@
 }
 
 // sweep removes the state of nodes and workers without recent reports.
-func (b *Detector) sweep(now time.Time) {
-	if now.Sub(b.sweptAt) < stateTTL/4 {
+func (d *Detector) sweep(now time.Time) {
+	if now.Sub(d.sweptAt) < stateTTL/4 {
 		return
 	}
-	b.sweptAt = now
-	for key, w := range b.workers {
+	d.sweptAt = now
+	for key, w := range d.workers {
 		for node, stats := range w.byNode {
 			if now.Sub(stats.lastReport) > stateTTL {
 				delete(w.byNode, node)
 			}
 		}
 		if w.ejection == nil && now.Sub(w.lastReport) > stateTTL {
-			delete(b.workers, key)
+			delete(d.workers, key)
 		}
 	}
 }
--- a/internal/outlier/board_test.go
+++ b/internal/outlier/detector_test.go
@@ -17,17 +17,17 @@
 	return Sample{Worker: key(worker), Requests: requests, Failures: failures}
 }
 
-// group is a board with the workers it covers, its clock and the changes it reported.
+// group is a detector with the workers it covers, its clock and the changes it reported.
 type group struct {
-	board   *Detector
-	workers []string
-	changes []Change
-	now     time.Time
+	detector *Detector
+	workers  []string
+	changes  []Change
+	now      time.Time
 }
 
 func newGroup(workers int) *group {
 	g := &group{workers: slices.Clone(names[:workers]), now: startTime}
-	g.board = New(func(change Change) { g.changes = append(g.changes, change) })
+	g.detector = New(func(change Change) { g.changes = append(g.changes, change) })
 	return g
 }
 
@@ -39,14 +39,14 @@
 		for worker := range g.workers {
 			samples = append(samples, sampleOf(worker, 10, failures(worker)))
 		}
-		g.board.Add(fmt.Sprint("n", node), samples, g.now)
+		g.detector.Add(fmt.Sprint("n", node), samples, g.now)
 	}
-	g.board.Verdicts(g.workers, g.now)
+	g.detector.Verdicts(g.workers, g.now)
 }
 
 // ejected returns the keys of the ejected workers.
 func (g *group) ejected() (out []string) {
-	for _, verdict := range g.board.Verdicts(g.workers, g.now) {
+	for _, verdict := range g.detector.Verdicts(g.workers, g.now) {
 		if verdict.Until > 0 {
 			out = append(out, verdict.Worker)
 		}
@@ -68,26 +68,26 @@
 func TestEjectedWorkersAreBounded(t *testing.T) {
 	for name, test := range map[string]struct {
 		workers, bad, failures int
-		busy                   float64
-		out                    int
+		utilization            float64
+		ejected                int
 	}{
-		"one of many":                   {workers: 10, bad: 1, failures: 6, out: 1},
-		"at most the limit":             {workers: 10, bad: 4, failures: 6, out: 3},
-		"none if most fail":             {workers: 10, bad: 8, failures: 6, out: 0},
-		"one of two":                    {workers: 2, bad: 1, failures: 6, out: 1},
-		"never the only worker":         {workers: 1, bad: 1, failures: 10, out: 0},
-		"none at high load":             {workers: 10, bad: 1, failures: 6, busy: 0.9, out: 0},
-		"useless worker at high load":   {workers: 10, bad: 1, failures: 10, busy: 0.8, out: 1},
-		"only as many as can be spared": {workers: 10, bad: 3, failures: 6, busy: 0.72, out: 2},
-		"up to the limit at low load":   {workers: 10, bad: 3, failures: 6, busy: 0.5, out: 3},
+		"one of many":                   {workers: 10, bad: 1, failures: 6, ejected: 1},
+		"at most the limit":             {workers: 10, bad: 4, failures: 6, ejected: 3},
+		"none if most fail":             {workers: 10, bad: 8, failures: 6, ejected: 0},
+		"one of two":                    {workers: 2, bad: 1, failures: 6, ejected: 1},
+		"never the only worker":         {workers: 1, bad: 1, failures: 10, ejected: 0},
+		"none at high load":             {workers: 10, bad: 1, failures: 6, utilization: 0.9, ejected: 0},
+		"useless worker at high load":   {workers: 10, bad: 1, failures: 10, utilization: 0.8, ejected: 1},
+		"only as many as can be spared": {workers: 10, bad: 3, failures: 6, utilization: 0.72, ejected: 2},
+		"up to the limit at low load":   {workers: 10, bad: 3, failures: 6, utilization: 0.5, ejected: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newGroup(test.workers)
-			g.board.SetUtilization(test.busy)
+			g.detector.SetUtilization(test.utilization)
 			for range 5 {
 				g.report(3, failFirst(test.bad, test.failures))
 			}
-			require.Len(t, g.ejected(), test.out)
+			require.Len(t, g.ejected(), test.ejected)
 		})
 	}
 }
@@ -95,19 +95,19 @@
 // Guards against overload of the remaining workers when the load rises after ejections.
 func TestEjectedWorkerIsReadmittedWhenCapacityIsNeeded(t *testing.T) {
 	g := newGroup(10)
-	g.board.SetUtilization(0.5)
+	g.detector.SetUtilization(0.5)
 	g.report(3, failFirst(2, 6))
 	require.Len(t, g.ejected(), 2)
-	g.board.SetUtilization(0.9)
+	g.detector.SetUtilization(0.9)
 	g.now = g.now.Add(evaluationInterval)
 	require.Len(t, g.ejected(), 1, "nine workers can carry the load")
-	g.board.SetUtilization(1.1)
+	g.detector.SetUtilization(1.1)
 	g.now = g.now.Add(evaluationInterval)
 	require.Empty(t, g.ejected())
 	require.Equal(t, CapacityNeeded, g.changes[len(g.changes)-1].Reason)
 	g.report(3, failFirst(2, 6))
 	require.Empty(t, g.ejected(), "ejected again at high load")
-	require.Positive(t, g.board.Verdicts(g.workers, g.now)[0].Cost, "a readmitted worker that still fails has a cost")
+	require.Positive(t, g.detector.Verdicts(g.workers, g.now)[0].Cost, "a readmitted worker that still fails has a cost")
 }
 
 // Guards against an ejection on the reports of a single faulty node.
@@ -116,16 +116,16 @@
 	g.report(3, failFirst(0, 0))
 	for range 50 {
 		g.now = g.now.Add(evaluationInterval)
-		g.board.Add("n0", []Sample{sampleOf(0, 1000, 1000)}, g.now)
-		g.board.Verdicts(g.workers, g.now)
+		g.detector.Add("n0", []Sample{sampleOf(0, 1000, 1000)}, g.now)
+		g.detector.Verdicts(g.workers, g.now)
 	}
 	require.Empty(t, g.changes)
 	for range 5 {
 		g.now = g.now.Add(evaluationInterval)
-		g.board.Add("n2", []Sample{sampleOf(1, 1, 0), sampleOf(2, 1, 0), sampleOf(3, 1, 0)}, g.now)
-		g.board.Add("n0", []Sample{sampleOf(0, 10, 10)}, g.now)
-		g.board.Add("n1", []Sample{sampleOf(0, 10, 10)}, g.now)
-		g.board.Verdicts(g.workers, g.now)
+		g.detector.Add("n2", []Sample{sampleOf(1, 1, 0), sampleOf(2, 1, 0), sampleOf(3, 1, 0)}, g.now)
+		g.detector.Add("n0", []Sample{sampleOf(0, 10, 10)}, g.now)
+		g.detector.Add("n1", []Sample{sampleOf(0, 10, 10)}, g.now)
+		g.detector.Verdicts(g.workers, g.now)
 	}
 	require.Len(t, g.changes, 1)
 	require.Equal(t, 2, g.changes[0].Nodes)
@@ -146,15 +146,15 @@
 	require.Empty(t, g.ejected())
 	last := g.changes[len(g.changes)-1]
 	require.Equal(t, TrialsSucceeded, last.Reason)
-	require.True(t, g.board.Verdicts(g.workers, g.now)[0].Clear(), "nodes receive a clear verdict")
+	require.True(t, g.detector.Verdicts(g.workers, g.now)[0].Clear(), "nodes receive a clear verdict")
 	g.now = g.now.Add(clearNoticeDuration)
-	require.Empty(t, g.board.Verdicts(g.workers, g.now))
+	require.Empty(t, g.detector.Verdicts(g.workers, g.now))
 }
 
 // offeredTrials calls Verdicts a number of times and returns the verdicts that offer a trial.
 func (g *group) offeredTrials(calls int) (offers []Verdict) {
 	for range calls {
-		for _, verdict := range g.board.Verdicts(g.workers, g.now) {
+		for _, verdict := range g.detector.Verdicts(g.workers, g.now) {
 			if verdict.Trial {
 				offers = append(offers, verdict)
 			}
@@ -166,7 +166,7 @@
 // outcome adds a report of requests to the first worker.
 func (g *group) outcome(requests, failures int) {
 	g.now = g.now.Add(evaluationInterval)
-	g.board.Add("n0", []Sample{sampleOf(0, requests, failures)}, g.now)
+	g.detector.Add("n0", []Sample{sampleOf(0, requests, failures)}, g.now)
 }
 
 // Guards against trying a worker again too early after a failed trial or a relapse.
@@ -232,12 +232,12 @@
 	for range 5 {
 		g.now = g.now.Add(evaluationInterval)
 		for node := range 3 {
-			g.board.Add(fmt.Sprint("n", node), []Sample{
+			g.detector.Add(fmt.Sprint("n", node), []Sample{
 				{Worker: key(0), Requests: 1, Silences: 5}, sampleOf(1, 5, 0), sampleOf(2, 5, 0), sampleOf(3, 5, 0),
 			}, g.now)
 		}
 	}
-	verdicts := g.board.Verdicts(g.workers, g.now)
+	verdicts := g.detector.Verdicts(g.workers, g.now)
 	require.Len(t, verdicts, 1)
 	require.Zero(t, verdicts[0].Until)
 	require.Greater(t, verdicts[0].Cost, lateEventCost/2)
@@ -255,26 +255,26 @@
 		for worker := range 10 {
 			samples = append(samples, Sample{Worker: key(worker), Requests: 1, Pace: step, Paced: 3})
 		}
-		g.board.Add(fmt.Sprint("n", node), samples, g.now)
+		g.detector.Add(fmt.Sprint("n", node), samples, g.now)
 	}
-	require.Empty(t, g.board.Verdicts(g.workers, g.now))
+	require.Empty(t, g.detector.Verdicts(g.workers, g.now))
 }
 
-// Guards against unbounded growth of a board's state.
+// Guards against unbounded growth of a detector's state.
 func TestStateIsBoundedAndExpires(t *testing.T) {
-	board := New(nil)
+	detector := New(nil)
 	now := startTime
 	for index := range maxWorkers + 100 {
-		board.Add("n0", []Sample{sampleOf(index, 1, 0)}, now)
+		detector.Add("n0", []Sample{sampleOf(index, 1, 0)}, now)
 	}
 	for node := range maxNodes + 100 {
-		board.Add(fmt.Sprint("m", node), []Sample{sampleOf(0, 1, 0)}, now)
+		detector.Add(fmt.Sprint("m", node), []Sample{sampleOf(0, 1, 0)}, now)
 	}
-	require.Len(t, board.workers, maxWorkers)
-	require.Len(t, board.workers[key(0)].byNode, maxNodes)
-	board.Add("n0", []Sample{sampleOf(0, 1, 0)}, now.Add(2*stateTTL))
-	require.Len(t, board.workers, 1)
-	require.Len(t, board.workers[key(0)].byNode, 1)
+	require.Len(t, detector.workers, maxWorkers)
+	require.Len(t, detector.workers[key(0)].byNode, maxNodes)
+	detector.Add("n0", []Sample{sampleOf(0, 1, 0)}, now.Add(2*stateTTL))
+	require.Len(t, detector.workers, 1)
+	require.Len(t, detector.workers[key(0)].byNode, 1)
 }
 
 // Guards against verdicts out of range and too many ejections, for arbitrary reports and clock
@@ -282,11 +282,11 @@
 func TestVerdictsStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 12).Draw(t, "workers")
-		board := New(nil)
+		detector := New(nil)
 		now := startTime
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(-100, 2000).Draw(t, "ms")) * time.Millisecond)
-			board.SetUtilization(rapid.Float64Range(0, 2).Draw(t, "busy"))
+			detector.SetUtilization(rapid.Float64Range(0, 2).Draw(t, "busy"))
 			node := rapid.IntRange(0, 5).Draw(t, "node")
 			var samples []Sample
 			for worker := range workers {
@@ -296,9 +296,9 @@
 					Pace: time.Duration(rapid.IntRange(0, 10).Draw(t, "pace")) * time.Millisecond, Paced: rapid.IntRange(0, 9).Draw(t, "paced"),
 				})
 			}
-			board.Add(fmt.Sprint(node), samples, now)
+			detector.Add(fmt.Sprint(node), samples, now)
 			out := 0
-			for _, verdict := range board.Verdicts(names[:workers], now) {
+			for _, verdict := range detector.Verdicts(names[:workers], now) {
 				if verdict.Until > 0 {
 					out++
 				}
@@ -322,7 +322,7 @@
 				samples = append(samples, Sample{Worker: key(worker), Requests: 1, Pace: pace, Paced: 3})
 			}
 		}
-		g.board.Add(fmt.Sprint("n", node), samples, g.now)
+		g.detector.Add(fmt.Sprint("n", node), samples, g.now)
 	}
 }
 
@@ -330,7 +330,7 @@
 func TestSlowWorkerStaysSlowUntilTrialSucceeds(t *testing.T) {
 	g := newGroup(10)
 	g.reportTokenTimes(5, func(worker int) time.Duration { return healthyTokenTime * time.Duration(1+4*shareIf(worker == 0, 1)) })
-	verdicts := g.board.Verdicts(g.workers, g.now)
+	verdicts := g.detector.Verdicts(g.workers, g.now)
 	require.Len(t, verdicts, 1)
 	require.InDelta(t, 5, verdicts[0].Slow, 0.1)
 	healthyOnly := func(worker int) time.Duration { return healthyTokenTime * time.Duration(shareIf(worker > 0, 1)) }
@@ -338,21 +338,21 @@
 	for range 20 {
 		g.reportTokenTimes(5, healthyOnly)
 		trials += len(g.offeredTrials(10))
-		require.Positive(t, g.board.Verdicts(g.workers, g.now)[0].Slow)
+		require.Positive(t, g.detector.Verdicts(g.workers, g.now)[0].Slow)
 	}
 	require.InDelta(t, float64(20*evaluationInterval/slowTrialInterval), trials, 1)
-	g.board.Add("n7", []Sample{{Worker: key(0), Requests: 1, Pace: healthyTokenTime, Paced: 3}}, g.now)
+	g.detector.Add("n7", []Sample{{Worker: key(0), Requests: 1, Pace: healthyTokenTime, Paced: 3}}, g.now)
 	g.reportTokenTimes(5, healthyOnly)
-	require.True(t, g.board.Verdicts(g.workers, g.now)[0].Clear())
+	require.True(t, g.detector.Verdicts(g.workers, g.now)[0].Clear())
 }
 
 // Guards against a worker that stays slow forever because no node tests it.
 func TestUntestedSlowWorkerExpires(t *testing.T) {
 	g := newGroup(10)
 	g.reportTokenTimes(5, func(worker int) time.Duration { return healthyTokenTime * time.Duration(1+4*shareIf(worker == 0, 1)) })
-	require.Len(t, g.board.Verdicts(g.workers, g.now), 1)
+	require.Len(t, g.detector.Verdicts(g.workers, g.now), 1)
 	g.now = g.now.Add(slowTTL - evaluationInterval)
-	require.Positive(t, g.board.Verdicts(g.workers, g.now)[0].Slow)
+	require.Positive(t, g.detector.Verdicts(g.workers, g.now)[0].Slow)
 	g.now = g.now.Add(evaluationInterval)
-	require.True(t, g.board.Verdicts(g.workers, g.now)[0].Clear())
+	require.True(t, g.detector.Verdicts(g.workers, g.now)[0].Clear())
 }
--- a/internal/outlier/judge.go
+++ b/internal/outlier/evaluation.go
@@ -62,7 +62,7 @@
 // collectEvidence merges the reports of all nodes about a worker. It discounts the node whose
 // reports weigh most against the worker, since the fault may be that node's own links: no single
 // node can cause an ejection.
-func (b *Detector) collectEvidence(w *worker, h hypotheses, now time.Time) evidence {
+func (d *Detector) collectEvidence(w *worker, h hypotheses, now time.Time) evidence {
 	if !w.suspected {
 		return evidence{worker: w}
 	}
@@ -71,7 +71,7 @@
 	nodes := 0
 	for node, stats := range w.byNode {
 		stats.suspicion.decay(now, suspicionHalfLife)
-		weighted := stats.suspicion.scaled(b.trustIn(node))
+		weighted := stats.suspicion.scaled(d.trustIn(node))
 		all.requests += weighted.requests
 		all.failures += weighted.failures
 		strongest = max(strongest, h.logLikelihoodRatio(weighted))
@@ -98,29 +98,29 @@
 	return median(failureRates)
 }
 
-// evaluateFailures readmits untried and needed workers of a group, then ejects workers, beginning
-// with the strongest evidence.
-func (b *Detector) evaluateFailures(workers []*worker, now time.Time) {
+// evaluateFailures readmits ejected workers that have no trial outcome or whose capacity is needed.
+// Then it ejects workers, beginning with the strongest evidence.
+func (d *Detector) evaluateFailures(workers []*worker, now time.Time) {
 	h := hypothesesFor(medianFailureRate(workers, now))
 	var candidates []evidence
 	for _, w := range workers {
-		w.evidence = b.collectEvidence(w, h, now)
+		w.evidence = d.collectEvidence(w, h, now)
 		switch {
 		case w.ejection != nil && w.ejection.isUntried(now):
-			b.readmit(w, NoTrialOutcome, now)
+			d.readmit(w, NoTrialOutcome, now)
 		case w.ejection == nil && w.evidence.corroborated > ejectionThreshold:
 			candidates = append(candidates, w.evidence)
 		case w.ejection == nil && w.evidence.total <= 0:
 			w.clearSuspicion()
 		}
 	}
-	b.readmitNeeded(workers, now)
+	d.readmitNeeded(workers, now)
 	slices.SortFunc(candidates, func(a, c evidence) int {
 		return cmp.Or(cmp.Compare(c.corroborated, a.corroborated), cmp.Compare(a.worker.key, c.worker.key))
 	})
 	for _, candidate := range candidates {
-		if b.canEject(workers, candidate) {
-			b.eject(candidate, now)
+		if d.canEject(workers, candidate) {
+			d.eject(candidate, now)
 		}
 	}
 }
@@ -138,9 +138,9 @@
 }
 
 // canEject reports whether the group's limit and capacity permit another ejection.
-func (b *Detector) canEject(workers []*worker, candidate evidence) bool {
+func (d *Detector) canEject(workers []*worker, candidate evidence) bool {
 	ejected, lostCapacity := countEjected(workers)
-	return ejected+1 <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity+1-candidate.failureRate, ejectUtilization)
+	return ejected+1 <= maxEjected(len(workers)) && d.hasCapacity(len(workers), lostCapacity+1-candidate.failureRate, ejectUtilization)
 }
 
 // maxEjected returns how many of a group's workers may be ejected: never the only one, and at least
@@ -154,8 +154,8 @@
 
 // hasCapacity reports whether utilization stays within maxUtilization when the group loses the
 // capacity of lostCapacity healthy workers.
-func (b *Detector) hasCapacity(workers int, lostCapacity, maxUtilization float64) bool {
-	return b.utilization*float64(workers) <= maxUtilization*(float64(workers)-lostCapacity)
+func (d *Detector) hasCapacity(workers int, lostCapacity, maxUtilization float64) bool {
+	return d.utilization*float64(workers) <= maxUtilization*(float64(workers)-lostCapacity)
 }
 
 // countEjected returns the number of ejected workers, and how many healthy workers would provide
@@ -172,17 +172,17 @@
 
 // readmitNeeded readmits ejected workers, the lowest failure rate first, while the group exceeds
 // its ejection limit or the others lack capacity. For capacity, it readmits no useless worker.
-func (b *Detector) readmitNeeded(workers []*worker, now time.Time) {
+func (d *Detector) readmitNeeded(workers []*worker, now time.Time) {
 	for {
 		ejected, lostCapacity := countEjected(workers)
-		if ejected <= maxEjected(len(workers)) && b.hasCapacity(len(workers), lostCapacity, readmitUtilization) {
+		if ejected <= maxEjected(len(workers)) && d.hasCapacity(len(workers), lostCapacity, readmitUtilization) {
 			return
 		}
 		best := bestEjected(workers)
 		if best == nil || best.ejection.failureRate >= uselessFailureRate && ejected <= maxEjected(len(workers)) {
 			return
 		}
-		b.readmit(best, CapacityNeeded, now)
+		d.readmit(best, CapacityNeeded, now)
 	}
 }
 
--- a/internal/outlier/load_test.go
+++ b/internal/outlier/load_test.go
@@ -17,11 +17,11 @@
 	healthyTokenTime = 3 * time.Millisecond // per token
 )
 
-// fleet simulates nodes that choose workers by a board's verdicts alone.
+// fleet simulates nodes that choose workers by a detector's verdicts alone.
 type fleet struct {
 	nodes, workers int
 	perSecond      float64                                    // requests of all nodes
-	busy           float64                                    // utilization passed to the board
+	utilization    float64                                    // utilization passed to the detector
 	fails          func(worker int, at time.Duration) float64 // failure rate
 	slow           func(worker int, at time.Duration) float64 // slowdown factor; up to 1: not slow
 	linkLoss       func(node int) float64                     // share of requests that fail because of a node's own links
@@ -65,7 +65,7 @@
 	start := time.Unix(1000, 0)
 	now := time.Duration(0)
 	out := map[string]bool{}
-	board := New(func(change Change) {
+	detector := New(func(change Change) {
 		var worker int
 		_, _ = fmt.Sscanf(change.Worker, "w%d", &worker)
 		if change.Ejected && change.Reason == TooManyFailures {
@@ -81,7 +81,7 @@
 		}
 		got.maxEjected = max(got.maxEjected, len(out))
 	})
-	board.SetUtilization(f.busy)
+	detector.SetUtilization(f.utilization)
 	keys := names[:f.workers]
 	seen := make([]map[int]*Sample, f.nodes)
 	verdicts := make([]map[string]Verdict, f.nodes)
@@ -151,10 +151,10 @@
 				continue
 			}
 			at := start.Add(now)
-			board.Add(fmt.Sprint("n", node), samples, at)
+			detector.Add(fmt.Sprint("n", node), samples, at)
 			before := verdicts[node]
 			verdicts[node] = map[string]Verdict{}
-			for _, verdict := range board.Verdicts(keys, at) {
+			for _, verdict := range detector.Verdicts(keys, at) {
 				verdict.Trial = verdict.Trial || verdict.Until > 0 && before[verdict.Worker].Trial
 				verdicts[node][verdict.Worker] = verdict
 				if verdict.Slow > 0 {
@@ -211,7 +211,7 @@
 // largeFleet is 77 nodes with 45 workers at 60% utilization.
 func largeFleet() fleet {
 	return fleet{
-		nodes: 77, workers: 45, perSecond: 1200, busy: 0.6, faultStart: 3 * time.Second, runFor: 9500 * time.Millisecond,
+		nodes: 77, workers: 45, perSecond: 1200, utilization: 0.6, faultStart: 3 * time.Second, runFor: 9500 * time.Millisecond,
 		fails: func(int, time.Duration) float64 { return baselineFailureRate },
 	}
 }
@@ -233,7 +233,7 @@
 	}
 }
 
-// Guards against slow or missed detection of workers that fail 45% of their requests while their
+// Guards against slow or failed detection of workers that fail 45% of their requests while their
 // health checks succeed. Callers time out after 3 s; detection may take half of that.
 func TestPartiallyFailingWorkersAreEjected(t *testing.T) {
 	const bad = 6
@@ -256,7 +256,7 @@
 	})
 }
 
-// Guards against missing workers that alternate between failing all and no requests, and against
+// Guards against not ejecting workers that alternate between failing all and no requests, and against
 // keeping them ejected long after they recover.
 func TestFlappingWorkersAreEjectedAndReadmitted(t *testing.T) {
 	for _, gap := range []time.Duration{900 * time.Millisecond, 1400 * time.Millisecond} {
--- a/internal/outlier/slow.go
+++ b/internal/outlier/slow.go
@@ -38,7 +38,7 @@
 }
 
 // evaluateTokenTimes updates the slowdown and the cost of a group's workers.
-func (b *Detector) evaluateTokenTimes(workers []*worker, now time.Time) {
+func (d *Detector) evaluateTokenTimes(workers []*worker, now time.Time) {
 	tokenTimes := make([]weightedValue, 0, len(workers))
 	for _, w := range workers {
 		w.tokenTime = 0
--- a/internal/outlier/trust.go
+++ b/internal/outlier/trust.go
@@ -26,8 +26,8 @@
 )
 
 // updateTrust recomputes the trust in each node. While no worker is suspected, all are trusted.
-func (b *Detector) updateTrust(workers []*worker, now time.Time) {
-	clear(b.trust)
+func (d *Detector) updateTrust(workers []*worker, now time.Time) {
+	clear(d.trust)
 	if !slices.ContainsFunc(workers, func(w *worker) bool { return w.suspected }) {
 		return
 	}
@@ -46,7 +46,7 @@
 	}
 	for node, count := range used {
 		if trust := trustFor(count, failing[node]); trust < 1 {
-			b.trust[node] = trust
+			d.trust[node] = trust
 		}
 	}
 }
@@ -62,8 +62,8 @@
 }
 
 // trustIn returns the trust in a node, from 0 to 1.
-func (b *Detector) trustIn(node string) float64 {
-	if trust, ok := b.trust[node]; ok {
+func (d *Detector) trustIn(node string) float64 {
+	if trust, ok := d.trust[node]; ok {
 		return trust
 	}
 	return 1
