--- a/internal/groupcommit/pick.go
+++ b/internal/groupcommit/batch.go
@@ -11,7 +11,7 @@
 const (
 	// maxBatchRows is the most rows that the table accepts in one transaction.
 	maxBatchRows = 100
-	// maxBatchBytes leaves room for the encoding of values, which adds a third, below the table's
+	// maxBatchBytes leaves a margin for the encoding of values, which adds a third, below the table's
 	// limit of 1 MB per transaction.
 	maxBatchBytes = 600 << 10
 )
--- a/internal/groupcommit/decide_test.go
+++ b/internal/groupcommit/batching_test.go
@@ -16,19 +16,19 @@
 // more rows than allowed commits.
 func TestWriteCallsStayWithinShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pace := CommitLimit{PerSecond: rapid.Float64Range(10, 10_000).Draw(t, "writes"), Groups: Groups * rapid.IntRange(1, 4).Draw(t, "regions"), CrossPartition: rapid.Bool().Draw(t, "across")}
+		limit := CommitLimit{PerSecond: rapid.Float64Range(10, 10_000).Draw(t, "writes"), Groups: Groups * rapid.IntRange(1, 4).Draw(t, "regions"), CrossPartition: rapid.Bool().Draw(t, "across")}
 		total := 0.0
-		for range pace.Groups {
+		for range limit.Groups {
 			rows := rapid.Float64Range(0, 10_000).Draw(t, "rate")
-			queues := float64(pace.queues())
+			queues := float64(limit.queues())
 			each := queues / max(rows, 0.001) // seconds between two rows of a queue
-			calls := queues / (each + pace.BatchDelay(rows, 1).Seconds())
-			if pace.BatchDelay(rows, 1) < maxBatchDelay {
+			calls := queues / (each + limit.BatchDelay(rows, 1).Seconds())
+			if limit.BatchDelay(rows, 1) < maxBatchDelay {
 				total += calls
 			}
 		}
-		require.LessOrEqual(t, total, groupCommitShare*pace.PerSecond*1.001)
-		require.Zero(t, pace.BatchDelay(pace.groupCalls(), 1))
+		require.LessOrEqual(t, total, groupCommitShare*limit.PerSecond*1.001)
+		require.Zero(t, limit.BatchDelay(limit.groupCalls(), 1))
 	})
 	require.Zero(t, CommitLimit{Groups: Groups}.BatchDelay(1e6, 1), "the commit limit is unknown")
 	require.False(t, CommitLimit{Groups: Groups}.GroupNearLimit(1e6, true))
@@ -37,12 +37,12 @@
 // TestNearLimitHysteresis guards against flapping: between the two thresholds the state stays as
 // it was.
 func TestNearLimitHysteresis(t *testing.T) {
-	pace := CommitLimit{PerSecond: 1500, Groups: Groups}
-	between := (nearLimitEnter + nearLimitLeave) / 2 * pace.groupCalls()
-	require.True(t, pace.GroupNearLimit(between, true))
-	require.False(t, pace.GroupNearLimit(between, false))
-	require.True(t, pace.GroupNearLimit(nearLimitEnter*pace.groupCalls(), false))
-	require.False(t, pace.GroupNearLimit(nearLimitLeave*pace.groupCalls()*0.99, true))
+	limit := CommitLimit{PerSecond: 1500, Groups: Groups}
+	between := (nearLimitEnter + nearLimitLeave) / 2 * limit.groupCalls()
+	require.True(t, limit.GroupNearLimit(between, true))
+	require.False(t, limit.GroupNearLimit(between, false))
+	require.True(t, limit.GroupNearLimit(nearLimitEnter*limit.groupCalls(), false))
+	require.False(t, limit.GroupNearLimit(nearLimitLeave*limit.groupCalls()*0.99, true))
 }
 
 // TestRateConvergesWithinTwoWindows guards against rate estimates that lag behind a change.
--- a/internal/groupcommit/cluster_test.go
+++ b/internal/groupcommit/cluster_test.go
@@ -33,16 +33,16 @@
 	roundTrip = 2 * time.Millisecond
 	// turnTimeout bounds the time to store a turn.
 	turnTimeout = 5 * time.Second
-	// missedPeriod is how long an owner that did not answer is skipped.
-	missedPeriod = 500 * time.Millisecond
+	// noAnswerPeriod is how long an owner that did not answer is skipped.
+	noAnswerPeriod = 500 * time.Millisecond
 )
 
 // testCluster is a set of nodes that share a table with a limited commit rate.
 type testCluster struct {
-	t      *testing.T
-	across bool // the table accepts transactions across partitions
-	table  *storetest.LimitedTable
-	nodes  []*testNode
+	t              *testing.T
+	crossPartition bool // the table accepts transactions across partitions
+	table          *storetest.LimitedTable
+	nodes          []*testNode
 
 	mutex       sync.Mutex
 	owners      [Groups]int // by group: index of the node that other nodes take for its owner
@@ -53,7 +53,7 @@
 	tableCut    map[int]bool // nodes that get no reply from the table
 	paused      map[int]chan struct{}
 	requests    atomic.Int64
-	calls       atomic.Int64 // commits by gatherers
+	calls       atomic.Int64 // group commits
 	turns       atomic.Int64
 	running     sync.WaitGroup
 
@@ -70,14 +70,14 @@
 
 // testNode is a node of a testCluster.
 type testNode struct {
-	cluster  *testCluster
-	index    int
-	gate     *store.Gate
-	keeper   *history.TurnStore
-	gatherer *Committer
+	cluster   *testCluster
+	index     int
+	gate      *store.Gate
+	turnStore *history.TurnStore
+	committer *Committer
 
-	mutex  sync.Mutex
-	missed map[int]time.Time // by slot: when the owner last failed to answer
+	mutex      sync.Mutex
+	noAnswerAt map[int]time.Time // by slot: when the owner last failed to answer
 }
 
 // RecordCommit implements Metrics.
@@ -93,9 +93,9 @@
 
 // newTestCluster returns a cluster with a table limited to 1,500 commits per second. Each group is
 // owned by one node.
-func newTestCluster(t *testing.T, across bool) *testCluster {
+func newTestCluster(t *testing.T, crossPartition bool) *testCluster {
 	c := &testCluster{
-		t: t, table: storetest.NewLimitedTable(storetest.LimitedOptions{CommitsPerSecond: 1500, RoundTrip: 8 * time.Millisecond, CommitTime: 5 * time.Millisecond, CrossPart: across}), across: across,
+		t: t, table: storetest.NewLimitedTable(storetest.LimitedOptions{CommitsPerSecond: 1500, RoundTrip: 8 * time.Millisecond, CommitTime: 5 * time.Millisecond, CrossPart: crossPartition}), crossPartition: crossPartition,
 		claims: map[int][]int{}, unreachable: map[int]bool{}, replyLost: map[int]bool{}, oldBuild: map[int]bool{}, tableCut: map[int]bool{}, paused: map[int]chan struct{}{},
 	}
 	for group := range Groups {
@@ -152,25 +152,25 @@
 
 func (c *testCluster) newNode(index int) *testNode {
 	logger := &log.Logger{Handler: discard.New()}
-	node := &testNode{cluster: c, index: index, gate: store.NewGate(nodeTable{LimitedTable: c.table, cluster: c, index: index}, logger), missed: map[int]time.Time{}}
+	node := &testNode{cluster: c, index: index, gate: store.NewGate(nodeTable{LimitedTable: c.table, cluster: c, index: index}, logger), noAnswerAt: map[int]time.Time{}}
 	slots := Slots{Layout: directory.NewLayout(nil)}
-	node.gatherer = NewCommitter(CommitterOptions{
+	node.committer = NewCommitter(CommitterOptions{
 		Process: processOf(index),
 		Owns: func(group int) bool {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			return slices.Contains(c.claims[group], index)
 		},
-		Store: node.gate, TableUnreachable: node.gate.Suspect, Limit: CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.across},
+		Store: node.gate, TableUnreachable: node.gate.Suspect, Limit: CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.crossPartition},
 		MaxPendingBytes: 8 << 20, Meter: c, Logger: logger,
 	})
 	writer := NewWriter(WriterOptions{
-		Process: processOf(index), Slots: slots, Owners: node, Peers: c, Committer: node.gatherer,
+		Process: processOf(index), Slots: slots, Owners: node, Peers: c, Committer: node.committer,
 		ThrottledSince: node.gate.ThrottledSince,
-		Limit:          CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.across}, Nodes: func() int { return slotOwners },
+		Limit:          CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.crossPartition}, Nodes: func() int { return slotOwners },
 		Meter: c, Logger: logger,
 	})
-	node.keeper = history.New(history.Options{Store: node.gate, CacheBytes: 1, Together: writer})
+	node.turnStore = history.New(history.Options{Store: node.gate, CacheBytes: 1, Together: writer})
 	return node
 }
 
@@ -181,21 +181,21 @@
 	n.cluster.mutex.Unlock()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return budget.Holder{Process: processOf(index), Address: fmt.Sprint(index)}, time.Since(n.missed[slot]) >= missedPeriod
+	return budget.Holder{Process: processOf(index), Address: fmt.Sprint(index)}, time.Since(n.noAnswerAt[slot]) >= noAnswerPeriod
 }
 
 // RecordAnswer implements Owners.
 func (n *testNode) RecordAnswer(slot int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delete(n.missed, slot)
+	delete(n.noAnswerAt, slot)
 }
 
 // RecordNoAnswer implements Owners.
 func (n *testNode) RecordNoAnswer(slot int, _ budget.Holder) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.missed[slot] = time.Now()
+	n.noAnswerAt[slot] = time.Now()
 }
 
 // Gather implements Peers.
@@ -224,7 +224,7 @@
 		}
 	}
 	answers := make(chan Answer, 1)
-	go func() { answers <- c.nodes[index].gatherer.Answer(context.WithoutCancel(ctx), request) }()
+	go func() { answers <- c.nodes[index].committer.Answer(context.WithoutCancel(ctx), request) }()
 	select {
 	case answer := <-answers:
 		if replyLost {
@@ -272,7 +272,7 @@
 		ctx, cancel := context.WithTimeout(c.t.Context(), turnTimeout)
 		defer cancel()
 		start := time.Now()
-		err := node.keeper.Write(ctx, turn, nil, time.Hour)
+		err := node.turnStore.Write(ctx, turn, nil, time.Hour)
 		result := turnResult{start: start, elapsed: time.Since(start), err: err, turn: turn.ID}
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
--- a/internal/groupcommit/pace.go
+++ b/internal/groupcommit/commit_limit.go
@@ -30,36 +30,36 @@
 }
 
 // queues returns the number of queues of a group. Rows that may share a commit share a queue.
-func (p CommitLimit) queues() int {
-	if p.CrossPartition {
+func (l CommitLimit) queues() int {
+	if l.CrossPartition {
 		return 1
 	}
 	return partitionsPerGroup
 }
 
 // groupCalls returns the commit rate allowed to one group, per second; 0 means unknown.
-func (p CommitLimit) groupCalls() float64 {
-	return groupCommitShare * p.PerSecond / float64(max(1, p.Groups))
+func (l CommitLimit) groupCalls() float64 {
+	return groupCommitShare * l.PerSecond / float64(max(1, l.Groups))
 }
 
 // BatchDelay returns how long the first row of a commit waits for more rows. rate is the group's
 // rows per second; share is the part of the group's commit rate that is currently usable, from 0
 // to 1. The delay keeps the group within that rate, up to maxBatchDelay. It is 0 while the row
 // rate does not exceed the commit rate.
-func (p CommitLimit) BatchDelay(rate, share float64) time.Duration {
-	calls := share * p.groupCalls()
+func (l CommitLimit) BatchDelay(rate, share float64) time.Duration {
+	calls := share * l.groupCalls()
 	if calls <= 0 || rate <= calls {
 		return 0
 	}
-	queues := float64(p.queues())
+	queues := float64(l.queues())
 	delay := queues/(targetUtilization*calls) - queues/rate // a queue's commit interval is the wait for its first row plus the delay
 	return min(time.Duration(delay*float64(time.Second)), maxBatchDelay)
 }
 
 // GroupNearLimit reports whether the row rate of one group, in rows per second, is near the
 // group's share of the commit limit. was is the previous result.
-func (p CommitLimit) GroupNearLimit(rate float64, was bool) bool {
-	calls := p.groupCalls()
+func (l CommitLimit) GroupNearLimit(rate float64, was bool) bool {
+	calls := l.groupCalls()
 	switch {
 	case calls <= 0:
 		return false
@@ -71,8 +71,8 @@
 }
 
 // ClusterNearLimit is GroupNearLimit for the row rate of all nodes together.
-func (p CommitLimit) ClusterNearLimit(rate float64, was bool) bool {
-	return p.GroupNearLimit(rate/float64(max(1, p.Groups)), was)
+func (l CommitLimit) ClusterNearLimit(rate float64, was bool) bool {
+	return l.GroupNearLimit(rate/float64(max(1, l.Groups)), was)
 }
 
 // Window lengths of the rate estimates: long enough to contain some rows, and short enough to
--- a/internal/groupcommit/gatherer.go
+++ b/internal/groupcommit/committer.go
@@ -28,8 +28,8 @@
 	// Process is the name of this process. Owns reports whether it owns the slot of a group.
 	Process string
 	Owns    func(group int) bool
-	// Store is the table, reached directly or through relays. Lost reports that the table is
-	// currently unreachable by every route.
+	// Store is the table, reached directly or through relays. TableUnreachable
+	// reports that the table is currently unreachable by every route.
 	Store            store.Store
 	TableUnreachable func() bool
 	// Region is the region of this node. Received rows may be relayed only through nodes of this
@@ -46,7 +46,7 @@
 type Metrics interface {
 	// RecordCommit records a commit: its number of rows, and whether the table accepted it.
 	RecordCommit(rows int, taken bool)
-	// RecordWait records how long the gatherer held the rows of a request.
+	// RecordWait records how long the committer held the rows of a request.
 	RecordWait(waited time.Duration)
 	// RecordForward records the outcome of rows that this node sent to an owner.
 	RecordForward(outcome Outcome)
@@ -72,30 +72,30 @@
 	queues      map[string]*queue
 }
 
-// NewCommitter returns a gatherer with empty queues.
+// NewCommitter returns a committer with empty queues.
 func NewCommitter(options CommitterOptions) *Committer {
-	gatherer := &Committer{options: options}
-	for number := range gatherer.groups {
-		gatherer.groups[number] = group{rate: rate{window: groupRateWindow}, queues: map[string]*queue{}}
+	committer := &Committer{options: options}
+	for number := range committer.groups {
+		committer.groups[number] = group{rate: rate{window: groupRateWindow}, queues: map[string]*queue{}}
 	}
-	return gatherer
+	return committer
 }
 
 // Answer queues the rows of a request and commits them together with those of others. It returns
 // once the rows are in the table, or when the sender's timeout or ctx ends.
-func (g *Committer) Answer(ctx context.Context, request Request) Answer {
-	if request.Process != g.options.Process || request.Group < 0 || request.Group >= Groups || !g.options.Owns(request.Group) {
+func (c *Committer) Answer(ctx context.Context, request Request) Answer {
+	if request.Process != c.options.Process || request.Group < 0 || request.Group >= Groups || !c.options.Owns(request.Group) {
 		return Answer{}
 	}
 	if len(request.Rows) == 0 || len(request.Rows) > maxBatchRows {
-		return g.buildAnswer(request.Group, nil, OutcomeFailed)
+		return c.buildAnswer(request.Group, nil, OutcomeFailed)
 	}
-	if g.options.TableUnreachable() {
-		return g.buildAnswer(request.Group, nil, OutcomeFailed)
+	if c.options.TableUnreachable() {
+		return c.buildAnswer(request.Group, nil, OutcomeFailed)
 	}
-	queue, pending := g.enqueue(request)
+	queue, pending := c.enqueue(request)
 	if pending == nil {
-		return g.buildAnswer(request.Group, queue, OutcomeFull)
+		return c.buildAnswer(request.Group, queue, OutcomeFull)
 	}
 	timer := time.NewTimer(request.Within)
 	defer timer.Stop()
@@ -106,33 +106,33 @@
 	case <-ctx.Done():
 	}
 	if outcome == OutcomeLate {
-		g.cancel(queue, pending)
+		c.cancel(queue, pending)
 	}
-	answer := g.buildAnswer(request.Group, queue, outcome)
+	answer := c.buildAnswer(request.Group, queue, outcome)
 	answer.Took = time.Since(pending.arrived)
-	g.options.Meter.RecordWait(answer.Took)
+	c.options.Meter.RecordWait(answer.Took)
 	return answer
 }
 
 // enqueue adds the rows to their queue and starts the queue's worker if it is idle. pending is nil
 // if the queue or the memory limit is full.
-func (g *Committer) enqueue(request Request) (queue *queue, pending *pendingRequest) {
+func (c *Committer) enqueue(request Request) (queue *queue, pending *pendingRequest) {
 	size, now := request.size(), time.Now()
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	group := &g.groups[request.Group]
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	group := &c.groups[request.Group]
 	if !request.Again {
 		group.rate.add(len(request.Rows), now)
 	}
-	queue = g.queueFor(group, request.Rows[0].Part)
-	if queue == nil || queue.rows+len(request.Rows) > maxQueueRows || g.pendingBytes+size > g.options.MaxPendingBytes {
+	queue = c.queueFor(group, request.Rows[0].Part)
+	if queue == nil || queue.rows+len(request.Rows) > maxQueueRows || c.pendingBytes+size > c.options.MaxPendingBytes {
 		return queue, nil
 	}
 	pending = &pendingRequest{rows: request.Rows, bytes: size, arrived: now, deadline: now.Add(request.Within), outcome: make(chan Outcome, 1)}
-	g.add(queue, pending)
+	c.add(queue, pending)
 	if !queue.running {
 		queue.running = true
-		go g.run(queue)
+		go c.run(queue)
 	}
 	return queue, pending
 }
@@ -140,8 +140,8 @@
 // queueFor returns the queue of a partition, or that of its whole group if the table accepts
 // transactions across partitions. It is nil once a group already has queues for as many partitions
 // as it can have. The caller holds the mutex.
-func (g *Committer) queueFor(group *group, partition string) *queue {
-	if g.options.Limit.CrossPartition {
+func (c *Committer) queueFor(group *group, partition string) *queue {
+	if c.options.Limit.CrossPartition {
 		partition = ""
 	}
 	existing, ok := group.queues[partition]
@@ -154,23 +154,23 @@
 
 // buildAnswer combines an outcome with the state of its group, and logs when the group reaches or
 // leaves its commit limit. queue may be nil.
-func (g *Committer) buildAnswer(number int, queue *queue, outcome Outcome) Answer {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	group, now := &g.groups[number], time.Now()
+func (c *Committer) buildAnswer(number int, queue *queue, outcome Outcome) Answer {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	group, now := &c.groups[number], time.Now()
 	rate := group.rate.at(now)
 	throttled := !group.throttledAt.IsZero() && now.Sub(group.throttledAt) < throttledPeriod
-	nearLimit := throttled || g.options.Limit.GroupNearLimit(rate, group.nearLimit)
+	nearLimit := throttled || c.options.Limit.GroupNearLimit(rate, group.nearLimit)
 	if nearLimit != group.nearLimit {
 		group.nearLimit = nearLimit
-		g.options.Logger.WithField("short", nearLimit).WithField("group", number).WithField("rows_per_s", int(rate)).
-			WithField("writes_per_s", int(g.options.Limit.PerSecond)).WithField("throttled", throttled).
-			WithField("bytes", g.pendingBytes).Info("nearness to the table's commit limit changed; senders forward rows to this owner while short is true")
+		c.options.Logger.WithField("short", nearLimit).WithField("group", number).WithField("rows_per_s", int(rate)).
+			WithField("writes_per_s", int(c.options.Limit.PerSecond)).WithField("throttled", throttled).
+			WithField("bytes", c.pendingBytes).Info("nearness to the table's commit limit changed; senders forward rows to this owner while short is true")
 	}
 	answer := Answer{Owner: true, Outcome: outcome, Short: nearLimit}
 	if queue != nil {
 		answer.Throttled = queue.pause > 0
-		answer.Expect = g.estimateWait(queue, rate, now)
+		answer.Expect = c.estimateWait(queue, rate, now)
 	}
 	return answer
 }
@@ -178,17 +178,17 @@
 // estimateWait estimates the time to write rows that arrive now: the commit in flight, the batch
 // delay or backoff, their own commit, and further ones if more rows are pending than fit in one.
 // The caller holds the mutex.
-func (g *Committer) estimateWait(queue *queue, rate float64, now time.Time) time.Duration {
-	call := g.callTime.Timeout(minCallEstimate, maxCommitTime)
+func (c *Committer) estimateWait(queue *queue, rate float64, now time.Time) time.Duration {
+	call := c.callTime.Timeout(minCallEstimate, maxCommitTime)
 	if queue.inFlight {
 		call = max(call, min(now.Sub(queue.callStart), maxCommitTime))
 	}
 	calls := time.Duration(2 + queue.rows/maxBatchRows)
-	return calls*call + max(g.batchDelay(queue.group, now), queue.pause)
+	return calls*call + max(c.batchDelay(queue.group, now), queue.pause)
 }
 
 // batchDelay returns how long the first row of a commit currently waits for more rows. The caller
 // holds the mutex.
-func (g *Committer) batchDelay(group *group, now time.Time) time.Duration {
-	return g.options.Limit.BatchDelay(group.rate.at(now), group.share.at(now))
+func (c *Committer) batchDelay(group *group, now time.Time) time.Duration {
+	return c.options.Limit.BatchDelay(group.rate.at(now), group.share.at(now))
 }
--- a/internal/groupcommit/doc.go
+++ b/internal/groupcommit/doc.go
@@ -58,7 +58,8 @@
 // Outcome is the result of asking an owner to write rows.
 type Outcome string
 
-// The outcomes. After any of them but OutcomeStored the rows may or may not be in the table.
+// The outcomes; an owner's outcome is sent to the requesting node. After any of them but
+// OutcomeStored the rows may or may not be in the table.
 const (
 	OutcomeStored Outcome = "kept"
 	OutcomeFull   Outcome = "full"   // the queue or the memory limit is full
--- a/internal/groupcommit/load_test.go
+++ b/internal/groupcommit/load_test.go
@@ -25,13 +25,13 @@
 // or exceeds the table's commit limit.
 func TestWriteRateAboveTableLimit(t *testing.T) {
 	for _, test := range []struct {
-		perSecond int
-		across    bool
+		perSecond      int
+		crossPartition bool
 	}{{targetRate, false}, {highRate, false}, {targetRate, true}, {highRate, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			perSecond := test.perSecond
 			const duration = 4 * time.Second
-			c := newTestCluster(t, test.across)
+			c := newTestCluster(t, test.crossPartition)
 			start := time.Now()
 			go func() {
 				time.Sleep(2 * time.Second)
@@ -41,7 +41,7 @@
 				taken, throttled := c.table.Counts()
 				perSecondOf := func(calls int) float64 { return float64(calls) / (duration - 2*time.Second).Seconds() }
 				batched := perSecondOf(int(c.calls.Load() - batchedBefore))
-				t.Logf("%d turns a second: %.0f commits a second, %.0f by gatherers, %.1f throttled", perSecond,
+				t.Logf("%d turns a second: %.0f commits a second, %.0f by committers, %.1f throttled", perSecond,
 					perSecondOf(taken-before), batched, perSecondOf(throttled-throttledBefore))
 				require.LessOrEqual(t, batched, groupCommitShare*1500, "group commit exceeds its share of the commit rate")
 				require.LessOrEqual(t, perSecondOf(throttled-throttledBefore), 15.0, "more than one commit in a hundred is throttled")
@@ -84,8 +84,8 @@
 		what[owner] = value
 	}
 	failures := map[string]struct {
-		begin, end func(c *testCluster)
-		across     bool // also run with transactions across partitions
+		begin, end     func(c *testCluster)
+		crossPartition bool // also run with transactions across partitions
 	}{
 		"owner killed": {
 			begin: func(c *testCluster) { set(c, c.unreachable, true) },
@@ -122,7 +122,7 @@
 		},
 		"throttled table": {
 			begin: func(c *testCluster) { c.table.SetRate(150) },
-			end:   func(c *testCluster) { c.table.SetRate(1500) }, across: true,
+			end:   func(c *testCluster) { c.table.SetRate(1500) }, crossPartition: true,
 		},
 		"slow table": {
 			begin: func(c *testCluster) { c.table.SetSlowdown(10) },
@@ -137,18 +137,18 @@
 					return storetest.None
 				})
 			},
-			end:    func(c *testCluster) { c.table.SetFault(nil) },
-			across: true,
+			end:            func(c *testCluster) { c.table.SetFault(nil) },
+			crossPartition: true,
 		},
 	}
 	for name, failure := range failures {
-		for _, across := range []bool{false, true} {
-			if across && !failure.across {
+		for _, crossPartition := range []bool{false, true} {
+			if crossPartition && !failure.crossPartition {
 				continue
 			}
-			t.Run(fmt.Sprintf("%s, across %v", name, across), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, across %v", name, crossPartition), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					c := newTestCluster(t, across)
+					c := newTestCluster(t, crossPartition)
 					start := time.Now()
 					time.AfterFunc(failureStart, func() { failure.begin(c) })
 					time.AfterFunc(failureEnd, func() { failure.end(c) })
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -24,7 +24,7 @@
 )
 
 // queue holds the rows that can share a commit: those of one partition, or of a whole group if the
-// table accepts transactions across partitions. The gatherer's mutex guards it.
+// table accepts transactions across partitions. The committer's mutex guards it.
 type queue struct {
 	group     *group
 	pending   []*pendingRequest
@@ -57,65 +57,65 @@
 }
 
 // add queues a request. The caller holds the mutex.
-func (g *Committer) add(queue *queue, pending *pendingRequest) {
+func (c *Committer) add(queue *queue, pending *pendingRequest) {
 	queue.pending = append(queue.pending, pending)
 	queue.rows += len(pending.rows)
-	g.pendingBytes += pending.bytes
+	c.pendingBytes += pending.bytes
 }
 
 // release subtracts a request from the totals of pending rows. The caller holds the mutex.
-func (g *Committer) release(queue *queue, request *pendingRequest) {
+func (c *Committer) release(queue *queue, request *pendingRequest) {
 	queue.rows -= len(request.rows)
-	g.pendingBytes -= request.bytes
+	c.pendingBytes -= request.bytes
 }
 
 // cancel removes a request that is still pending. A commit in flight is not affected.
-func (g *Committer) cancel(queue *queue, request *pendingRequest) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (c *Committer) cancel(queue *queue, request *pendingRequest) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	if index := slices.Index(queue.pending, request); index >= 0 {
 		queue.pending = slices.Delete(queue.pending, index, index+1)
-		g.release(queue, request)
+		c.release(queue, request)
 	}
 }
 
 // run is the worker of a queue: it commits one batch at a time until the queue is empty.
-func (g *Committer) run(queue *queue) {
+func (c *Committer) run(queue *queue) {
 	for {
-		due, more := g.nextCall(queue)
+		due, more := c.nextCall(queue)
 		if !more {
 			return
 		}
 		time.Sleep(time.Until(due))
-		if batch, split := g.takeBatch(queue); len(batch) > 0 {
-			g.writeBatch(queue, batch, split)
+		if batch, split := c.takeBatch(queue); len(batch) > 0 {
+			c.writeBatch(queue, batch, split)
 		}
 	}
 }
 
 // nextCall returns the earliest start of the queue's next commit. If nothing is pending, more is
 // false and the worker counts as stopped.
-func (g *Committer) nextCall(queue *queue) (due time.Time, more bool) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (c *Committer) nextCall(queue *queue) (due time.Time, more bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	queue.inFlight = false
 	if len(queue.pending) == 0 {
 		queue.running = false
 		return time.Time{}, false
 	}
-	batchDelay := g.batchDelay(queue.group, time.Now())
-	return queue.due(batchDelay, g.callTime.Timeout(minCallEstimate, maxCommitTime)), true
+	batchDelay := c.batchDelay(queue.group, time.Now())
+	return queue.due(batchDelay, c.callTime.Timeout(minCallEstimate, maxCommitTime)), true
 }
 
 // takeBatch removes the next batch from the queue. split reports whether each partition needs a
 // commit of its own.
-func (g *Committer) takeBatch(queue *queue) (batch []*pendingRequest, split bool) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (c *Committer) takeBatch(queue *queue) (batch []*pendingRequest, split bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := time.Now()
 	batch, queue.pending = selectBatch(queue.pending)
 	for _, selected := range batch {
-		g.release(queue, selected)
+		c.release(queue, selected)
 	}
 	queue.callStart, queue.inFlight = now, len(batch) > 0
 	return batch, now.Before(queue.group.splitUntil)
@@ -123,59 +123,59 @@
 
 // writeBatch commits requests in one transaction. If that fails, it commits each partition
 // separately, because only one may be unavailable. Throttled requests are queued again.
-func (g *Committer) writeBatch(queue *queue, requests []*pendingRequest, split bool) {
+func (c *Committer) writeBatch(queue *queue, requests []*pendingRequest, split bool) {
 	partitions := splitByPartition(requests)
 	if !split || len(partitions) == 1 {
-		err := g.commit(requests)
-		if err == nil || errors.Is(err, store.ErrThrottled) || len(partitions) == 1 || g.options.TableUnreachable() {
-			g.complete(queue, requests, err)
+		err := c.commit(requests)
+		if err == nil || errors.Is(err, store.ErrThrottled) || len(partitions) == 1 || c.options.TableUnreachable() {
+			c.complete(queue, requests, err)
 			return
 		}
-		g.splitPartitions(queue, err)
+		c.splitPartitions(queue, err)
 	}
 	var group sync.WaitGroup
 	for _, partition := range partitions {
-		group.Go(func() { g.complete(queue, partition, g.commit(partition)) })
+		group.Go(func() { c.complete(queue, partition, c.commit(partition)) })
 	}
 	group.Wait()
 }
 
 // commit writes the rows of requests in one transaction, with a timeout.
-func (g *Committer) commit(requests []*pendingRequest) error {
+func (c *Committer) commit(requests []*pendingRequest) error {
 	transaction := buildTransaction(requests)
-	limit := min(max(commitTimeoutFactor*store.PatienceAtLeast(g.options.Store, 0), minCommitTime), maxCommitTime)
-	bound := locality.WithContentRegions(context.Background(), locality.Regions{g.options.Region})
+	limit := min(max(commitTimeoutFactor*store.PatienceAtLeast(c.options.Store, 0), minCommitTime), maxCommitTime)
+	bound := locality.WithContentRegions(context.Background(), locality.Regions{c.options.Region})
 	ctx, cancel := context.WithTimeout(bound, limit)
 	defer cancel()
 	start := time.Now()
-	_, err := store.CommitUnlessThrottled(ctx, g.options.Store, transaction)
+	_, err := store.CommitUnlessThrottled(ctx, c.options.Store, transaction)
 	if err == nil {
-		g.callTime.Observe(time.Since(start))
+		c.callTime.Observe(time.Since(start))
 	}
-	g.options.Meter.RecordCommit(len(transaction.Put), err == nil)
+	c.options.Meter.RecordCommit(len(transaction.Put), err == nil)
 	return err
 }
 
 // splitPartitions makes the group commit each partition separately for splitPeriod.
-func (g *Committer) splitPartitions(queue *queue, err error) {
-	g.mutex.Lock()
+func (c *Committer) splitPartitions(queue *queue, err error) {
+	c.mutex.Lock()
 	queue.group.splitUntil = time.Now().Add(splitPeriod)
-	g.mutex.Unlock()
-	g.options.Logger.WithError(err).WithField("for_ms", splitPeriod.Milliseconds()).
+	c.mutex.Unlock()
+	c.options.Logger.WithError(err).WithField("for_ms", splitPeriod.Milliseconds()).
 		Warn("commit across partitions failed; committing each partition separately")
 }
 
 // complete reports the outcome of requests to their senders, or queues them again if they were
 // throttled.
-func (g *Committer) complete(queue *queue, requests []*pendingRequest, err error) {
+func (c *Committer) complete(queue *queue, requests []*pendingRequest, err error) {
 	if errors.Is(err, store.ErrThrottled) {
-		g.requeue(queue, requests)
+		c.requeue(queue, requests)
 		return
 	}
 	outcome := OutcomeFailed
 	if err == nil {
 		outcome = OutcomeStored
-		g.resetBackoff(queue)
+		c.resetBackoff(queue)
 	}
 	for _, done := range requests {
 		done.outcome <- outcome
@@ -183,23 +183,23 @@
 }
 
 // resetBackoff ends the backoff of a queue after a successful commit.
-func (g *Committer) resetBackoff(queue *queue) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (c *Committer) resetBackoff(queue *queue) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	queue.backoff.Reset()
 	queue.pause = 0
 }
 
 // requeue queues throttled requests again, except expired ones, and starts a backoff.
-func (g *Committer) requeue(queue *queue, requests []*pendingRequest) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (c *Committer) requeue(queue *queue, requests []*pendingRequest) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := time.Now()
 	queue.group.throttledAt, queue.pause = now, queue.backoff.Next()
 	queue.group.share.onThrottled(now)
 	for _, throttled := range requests {
 		if now.Before(throttled.deadline) {
-			g.add(queue, throttled)
+			c.add(queue, throttled)
 		}
 	}
 }
--- a/internal/groupcommit/relay_test.go
+++ b/internal/groupcommit/relay_test.go
@@ -45,14 +45,14 @@
 			unreachable.SetFault(func(string, bool) storetest.Fault { return storetest.ConnectionReset })
 			relays := relayNodes{table: storetest.New(), region: region}
 			table := store.NewRelayed(store.NewGate(unreachable, logger), relays, logger)
-			gatherer := NewCommitter(CommitterOptions{
+			committer := NewCommitter(CommitterOptions{
 				Process: "p", Owns: func(int) bool { return true }, Store: table, TableUnreachable: table.Unreachable, Region: "here",
 				Limit: CommitLimit{PerSecond: 1500, Groups: Groups}, MaxPendingBytes: 1 << 20, Meter: &testCluster{}, Logger: logger,
 			})
 			for turn := range 20 {
 				name := fmt.Sprint("turn", turn)
 				rows := []store.Row{{Key: store.Key{Table: "turns", Part: fmt.Sprint("t", turn%partitionsPerGroup), Name: name}}}
-				answer := gatherer.Answer(t.Context(), Request{Process: "p", Rows: rows, Within: time.Second})
+				answer := committer.Answer(t.Context(), Request{Process: "p", Rows: rows, Within: time.Second})
 				require.Equal(t, want, answer.Outcome)
 				require.Equal(t, want == OutcomeStored, relays.table.Has("turns", name))
 			}
--- a/internal/groupcommit/allowance_test.go
+++ b/internal/groupcommit/write_share_test.go
@@ -27,13 +27,13 @@
 
 // TestBatchDelayGrowsAsWriteShareShrinks guards against exceeding the reduced commit rate.
 func TestBatchDelayGrowsAsWriteShareShrinks(t *testing.T) {
-	pace := CommitLimit{PerSecond: 1500, Groups: Groups}
+	limit := CommitLimit{PerSecond: 1500, Groups: Groups}
 	rate := 1400.0 / Groups
-	whole, half := pace.BatchDelay(rate, 1), pace.BatchDelay(rate, 0.5)
+	whole, half := limit.BatchDelay(rate, 1), limit.BatchDelay(rate, 0.5)
 	require.Greater(t, half, whole)
 	calls := func(delay time.Duration) float64 {
 		return Groups * partitionsPerGroup / (delay.Seconds() + partitionsPerGroup/rate)
 	}
-	require.LessOrEqual(t, calls(whole), groupCommitShare*pace.PerSecond)
-	require.LessOrEqual(t, calls(half), groupCommitShare*pace.PerSecond/2)
+	require.LessOrEqual(t, calls(whole), groupCommitShare*limit.PerSecond)
+	require.LessOrEqual(t, calls(half), groupCommitShare*limit.PerSecond/2)
 }
--- a/internal/groupcommit/writer.go
+++ b/internal/groupcommit/writer.go
@@ -53,15 +53,15 @@
 	// Owner returns the owner of a slot. The result is false if the owner is
 	// unknown or has recently failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// RecordAnswer records that the owner of a slot answered; Missed records that it did not.
+	// RecordAnswer records that the owner of a slot answered; RecordNoAnswer records that it did not.
 	RecordAnswer(slot int)
 	RecordNoAnswer(slot int, asked budget.Holder)
 }
 
 // Peers sends requests to other nodes.
 type Peers interface {
-	// Gather sends a request to an owner. It returns ErrRegionNotAllowed if the rows may not pass to the
-	// owner's region.
+	// Gather sends a request to the owner of a group. It returns ErrRegionNotAllowed if the rows may
+	// not pass to the owner's region.
 	Gather(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
@@ -74,7 +74,7 @@
 	Slots   Slots
 	Owners  Owners
 	Peers   Peers
-	// Patience estimates how long other nodes take to answer; nil means unknown.
+	// Patience estimates the response times of other nodes; nil means unknown.
 	Patience  timing.TimeoutFunc
 	Committer *Committer // this process's own
 	// ThrottledSince reports whether the table has throttled a commit of this node since the given
@@ -115,7 +115,7 @@
 	reportedAt       time.Time // when an owner last reported that the table is near its limit
 	rate             rate      // rows of this node
 	nearLimit        bool      // the estimated rate of all nodes is near the limit
-	nodes            int       // cached result of Options.Nodes
+	nodes            int       // cached result of WriterOptions.Nodes
 	nodesCheckedAt   time.Time
 	expectedWait     [Groups]time.Duration
 	unsupportedUntil map[string]time.Time // by process; it gets no requests until then
