--- a/internal/quota/booking_test.go
+++ b/internal/quota/booking_test.go
@@ -10,13 +10,13 @@
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
-// exhaustedLender is a lender without a free permit, whose first one was issued longAgo.
-func exhaustedLender(leases *fakeLeases, longAgo time.Duration) *Allocator {
-	l := newTestLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
-	l.Answer(Request{Tenant: "t", Program: "p"})
+// exhaustedAllocator is an allocator without a free permit, whose first one was issued longAgo.
+func exhaustedAllocator(leases *fakeLeases, longAgo time.Duration) *Allocator {
+	allocator := newTestAllocator(leases, tenant.Limit{PerSecond: 20, Burst: 20})
+	allocator.Answer(Request{Tenant: "t", Program: "p"})
 	time.Sleep(longAgo)
-	lendAll(l)
-	return l
+	issueAll(allocator)
+	return allocator
 }
 
 // holdable is a request of a running program that may be held.
@@ -25,65 +25,65 @@
 // Guards against refusing a running program whose request could be held for a short time.
 func TestRunningProgramCanBookPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := exhaustedLender(&fakeLeases{}, testTolerance.Window-500*time.Millisecond)
-		answer := l.Answer(Request{Tenant: "t", Program: "p", UnderWay: true})
-		require.False(t, answer.Lent, "a request without patience must not be held")
+		allocator := exhaustedAllocator(&fakeLeases{}, testTolerance.Window-500*time.Millisecond)
+		answer := allocator.Answer(Request{Tenant: "t", Program: "p", UnderWay: true})
+		require.False(t, answer.Lent, "a request without a hold time must not be held")
 		require.Positive(t, answer.Soon)
-		booked := l.Answer(Request{Tenant: "t", Program: "p", UnderWay: true, Patience: answer.Soon})
+		booked := allocator.Answer(Request{Tenant: "t", Program: "p", UnderWay: true, Patience: answer.Soon})
 		require.True(t, booked.Lent)
 		require.Equal(t, answer.Soon, booked.Wait)
-		require.False(t, l.Answer(holdable).Lent, "the only free permit is booked")
+		require.False(t, allocator.Answer(holdable).Lent, "the only free permit is booked")
 		time.Sleep(booked.Wait)
-		require.False(t, l.Answer(Request{Tenant: "t"}).Lent, "the booked permit must not go to another request")
+		require.False(t, allocator.Answer(Request{Tenant: "t"}).Lent, "the booked permit must not go to another request")
 	})
 }
 
 // Guards against new programs booking permits that running ones need.
 func TestNewProgramCannotBookPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := exhaustedLender(&fakeLeases{}, testTolerance.Window-500*time.Millisecond)
-		answer := l.Answer(Request{Tenant: "t", Program: "another", Patience: time.Second})
+		allocator := exhaustedAllocator(&fakeLeases{}, testTolerance.Window-500*time.Millisecond)
+		answer := allocator.Answer(Request{Tenant: "t", Program: "another", Patience: time.Second})
 		require.False(t, answer.Lent)
 		require.Zero(t, answer.Soon)
 	})
 }
 
-// Guards against bookings beyond the lease, after which a successor may lend.
+// Guards against bookings beyond the lease, after which a successor may issue.
 func TestBookingEndsWithLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leases := &fakeLeases{}
-		l := exhaustedLender(leases, testTolerance.Window-500*time.Millisecond)
+		allocator := exhaustedAllocator(leases, testTolerance.Window-500*time.Millisecond)
 		leases.lease.Until = time.Now().Add(100 * time.Millisecond)
-		require.False(t, l.Answer(holdable).Lent)
+		require.False(t, allocator.Answer(holdable).Lent)
 		leases.lease.Until = time.Now().Add(time.Second)
-		require.True(t, l.Answer(holdable).Lent)
+		require.True(t, allocator.Answer(holdable).Lent)
 	})
 }
 
-// Guards against lowering a tenant while booked permits are outstanding, or are used and still
+// Guards against revoking a full limit while booked permits are outstanding, or are used and still
 // count.
-func TestBookedPermitsPreventLower(t *testing.T) {
+func TestBookedPermitsPreventRevocation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		leases := &fakeLeases{raises: true} // full share 44, base 24, reserve 6
-		l := newTestLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
+		leases := &fakeLeases{allows: true} // full share 44, base 24, reserve 6
+		allocator := newTestAllocator(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 		for range 32 {
-			require.True(t, l.Answer(Request{Tenant: "t"}).Lent)
-			synctest.Wait() // the tenant is raised
+			require.True(t, allocator.Answer(Request{Tenant: "t"}).Lent)
+			synctest.Wait() // the full limit is allowed
 		}
 		time.Sleep(testTolerance.Window / 2)
-		require.Equal(t, 12, lendAll(l), "the rest of the full share is lent")
+		require.Equal(t, 12, issueAll(allocator), "the rest of the full share is issued")
 		time.Sleep(testTolerance.Window/2 - 700*time.Millisecond)
 		booked := 0
-		for l.Answer(holdable).Lent {
+		for allocator.Answer(holdable).Lent {
 			booked++
 		}
 		require.Equal(t, 6, booked)
 		for range 40 { // the first permits leave the window while the booked ones enter it
 			time.Sleep(20 * time.Millisecond)
-			l.Answer(Request{Tenant: "t"})
+			allocator.Answer(Request{Tenant: "t"})
 			synctest.Wait()
 		}
-		require.Zero(t, leases.lowers, "12 and 6 permits count, which is above lowerThreshold of the base allowance")
+		require.Zero(t, leases.revocations, "12 and 6 permits count, which is above revokeThreshold of the base allowance")
 	})
 }
 
@@ -105,14 +105,14 @@
 	})
 }
 
-// Guards against a small share whose tenant is never raised because its base allowance is not
+// Guards against a small share whose full limit is never allowed because its base allowance is not
 // a whole number of permits.
-func TestSmallShareIsRaised(t *testing.T) {
+func TestFullLimitOfSmallShareIsAllowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		leases := &fakeLeases{raises: true} // full share 9 and 4 of the slack, base 5.4
-		l := newTestLender(leases, tenant.Limit{PerSecond: 4.5, Burst: 4.5})
-		lent := lendAll(l)
-		triggerRaise(l)
-		require.Equal(t, 13, lent+lendAll(l)+1) // triggerRaise took one
+		leases := &fakeLeases{allows: true} // full share 9 and 4 of the slack, base 5.4
+		allocator := newTestAllocator(leases, tenant.Limit{PerSecond: 4.5, Burst: 4.5})
+		issued := issueAll(allocator)
+		triggerFullLimit(allocator)
+		require.Equal(t, 13, issued+issueAll(allocator)+1) // triggerFullLimit took one
 	})
 }
--- a/internal/quota/borrower.go
+++ b/internal/quota/client.go
@@ -23,7 +23,7 @@
 	minOwnerTimeout = 60 * time.Millisecond
 	maxOwnerTimeout = 200 * time.Millisecond
 	// minHedgeDelay is the shortest time without an answer after which the next owner is
-	// asked in parallel. The delay is longer if the node asked last is known to be slower.
+	// asked in parallel. The delay is longer if the node asked last usually takes longer.
 	minHedgeDelay = 20 * time.Millisecond
 	// unusedPermitTTL is how long a returned permit may be used by another request of the
 	// same tenant. It is short because the permit counts from its issue, not from its use.
@@ -41,8 +41,8 @@
 	// Owner returns the owner of a slot. ok is false if the owner is unknown or has just
 	// failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// RecordAnswer records that the owner of a slot answered, and Missed that the process that was
-	// asked did not answer as the owner.
+	// RecordAnswer records that the owner of a slot answered, and RecordNoAnswer that the process
+	// that was asked did not answer as the owner.
 	RecordAnswer(slot int)
 	RecordNoAnswer(slot int, asked budget.Holder)
 }
@@ -111,23 +111,23 @@
 
 var _ forward.RateLimiter = (*Client)(nil)
 
-// NewClient returns a borrower without cached permits.
+// NewClient returns a client without cached permits.
 func NewClient(options ClientOptions) *Client {
 	return &Client{options: options, unused: map[string][]time.Time{}, programShares: map[string]programShare{}, lastSweep: time.Now()}
 }
 
 // Admit implements forward.RateLimiter. It first asks the owner of the program's share, then the
 // owners of the other shares if that one refuses or is slow to answer.
-func (b *Client) Admit(ctx context.Context, ask forward.RateLimitRequest) error {
-	if b.takeUnused(ask.Tenant) {
+func (c *Client) Admit(ctx context.Context, request forward.RateLimitRequest) error {
+	if c.takeUnused(request.Tenant) {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	acquisition := &acquisition{borrower: b, ask: ask, answers: make(chan shareAnswer, shares)}
-	acquisition.first = b.firstShare(ask)
+	acquisition := &acquisition{client: c, request: request, answers: make(chan shareAnswer, shares)}
+	acquisition.first = c.firstShare(request)
 	outcome, err := acquisition.run(ctx)
-	if err != nil || outcome.lent {
+	if err != nil || outcome.issued {
 		return err
 	}
 	if wait, booked := acquisition.book(ctx, &outcome); booked {
@@ -144,12 +144,12 @@
 	if outcome.bookableIn == 0 || outcome.bookableIn > hold {
 		return 0, false
 	}
-	answer, reached := a.borrower.askOwner(ctx, Request{
-		Tenant: a.ask.Tenant, Share: outcome.bookableShare, Program: a.ask.Program, UnderWay: true, Patience: hold,
+	answer, reached := a.client.askOwner(ctx, Request{
+		Tenant: a.request.Tenant, Share: outcome.bookableShare, Program: a.request.Program, UnderWay: true, Patience: hold,
 	})
 	switch {
 	case answer.Lent:
-		a.borrower.rememberShare(a.ask, outcome.bookableShare)
+		a.client.rememberShare(a.request, outcome.bookableShare)
 	case reached:
 		outcome.wait = answer.Wait
 	}
@@ -179,74 +179,76 @@
 }
 
 // firstShare returns the share to ask first, one of this node's region. All nodes of a region
-// pick the same share for a program, unless they know that another share admitted it.
-func (b *Client) firstShare(ask forward.RateLimitRequest) int {
-	if ask.Program == "" {
-		local := sharesInRegion(b.options.Layout, b.options.Region, ask.Tenant)
+// pick the same share for a program, unless they have recorded that another share admitted it.
+func (c *Client) firstShare(request forward.RateLimitRequest) int {
+	if request.Program == "" {
+		local := sharesInRegion(c.options.Layout, c.options.Region, request.Tenant)
 		return local[rand.IntN(len(local))]
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if known, ok := b.programShares[programKey(ask)]; ok {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if known, ok := c.programShares[programKey(request)]; ok {
 		return known.share
 	}
-	return b.defaultShare(ask)
+	return c.defaultShare(request)
 }
 
-func (b *Client) defaultShare(ask forward.RateLimitRequest) int {
-	local := sharesInRegion(b.options.Layout, b.options.Region, ask.Tenant)
-	return local[xxhash.Sum64String(ask.Program)%uint64(len(local))]
+func (c *Client) defaultShare(request forward.RateLimitRequest) int {
+	local := sharesInRegion(c.options.Layout, c.options.Region, request.Tenant)
+	return local[xxhash.Sum64String(request.Program)%uint64(len(local))]
 }
 
-func programKey(ask forward.RateLimitRequest) string { return ask.Tenant + "/" + ask.Program }
+func programKey(request forward.RateLimitRequest) string {
+	return request.Tenant + "/" + request.Program
+}
 
 // rememberShare records the share that admitted a program, if it is not the default one.
-func (b *Client) rememberShare(ask forward.RateLimitRequest, share int) {
-	if ask.Program == "" {
+func (c *Client) rememberShare(request forward.RateLimitRequest, share int) {
+	if request.Program == "" {
 		return
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := time.Now()
-	if now.Sub(b.lastSweep) > programTTL {
-		b.lastSweep = now
-		maps.DeleteFunc(b.programShares, func(_ string, known programShare) bool { return now.Sub(known.lastUsed) > programTTL })
+	if now.Sub(c.lastSweep) > programTTL {
+		c.lastSweep = now
+		maps.DeleteFunc(c.programShares, func(_ string, known programShare) bool { return now.Sub(known.lastUsed) > programTTL })
 	}
-	if share == b.defaultShare(ask) {
-		delete(b.programShares, programKey(ask))
+	if share == c.defaultShare(request) {
+		delete(c.programShares, programKey(request))
 		return
 	}
-	b.programShares[programKey(ask)] = programShare{share: share, lastUsed: now}
+	c.programShares[programKey(request)] = programShare{share: share, lastUsed: now}
 }
 
 // Return implements forward.RateLimiter. The permit stays usable for unusedPermitTTL.
-func (b *Client) Return(tenant string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.unused[tenant] = append(b.unused[tenant], time.Now().Add(unusedPermitTTL))
+func (c *Client) Return(tenant string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.unused[tenant] = append(c.unused[tenant], time.Now().Add(unusedPermitTTL))
 }
 
 // takeUnused takes a returned permit of a tenant and reports whether there was one.
-func (b *Client) takeUnused(tenant string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	unused := b.unused[tenant]
+func (c *Client) takeUnused(tenant string) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	unused := c.unused[tenant]
 	now := time.Now()
 	for len(unused) > 0 && !now.Before(unused[0]) {
 		unused = unused[1:]
 	}
 	if len(unused) == 0 {
-		delete(b.unused, tenant)
+		delete(c.unused, tenant)
 		return false
 	}
-	b.unused[tenant] = unused[1:]
+	c.unused[tenant] = unused[1:]
 	return true
 }
 
 // acquisition obtains one permit from the owners of a tenant's shares.
 type acquisition struct {
-	borrower *Client
-	ask      forward.RateLimitRequest
+	client   *Client
+	request  forward.RateLimitRequest
 	first    int // share that is asked first
 	asked    int // number of shares asked so far
 	answers  chan shareAnswer
@@ -285,12 +287,12 @@
 			hedge.Reset(a.hedgeDelay())
 		case answer := <-a.answers:
 			running--
-			a.borrower.options.OnOutcome(answer.outcome())
+			a.client.options.OnOutcome(answer.outcome())
 			a.underWay = a.underWay || answer.UnderWay
 			switch {
 			case answer.Lent:
-				a.borrower.rememberShare(a.ask, answer.share)
-				return refusals{lent: true}, nil
+				a.client.rememberShare(a.request, answer.share)
+				return refusals{issued: true}, nil
 			case !answer.reached:
 				outcome.unavailable++
 			default:
@@ -305,13 +307,13 @@
 // hedgeDelay returns how long to wait for the owner asked last before the next one is asked.
 func (a *acquisition) hedgeDelay() time.Duration {
 	share := (a.first + a.asked - 1) % shares
-	owner, _ := a.borrower.options.Owners.Owner(slotOf(a.borrower.options.Layout, a.ask.Tenant, share))
-	return a.borrower.options.ResponseTimes.For(owner.Process, minHedgeDelay, maxOwnerTimeout)
+	owner, _ := a.client.options.Owners.Owner(slotOf(a.client.options.Layout, a.request.Tenant, share))
+	return a.client.options.ResponseTimes.For(owner.Process, minHedgeDelay, maxOwnerTimeout)
 }
 
 // refusals collects the answers of owners that issued no permit.
 type refusals struct {
-	lent           bool          // an owner issued a permit; the other fields are then zero
+	issued         bool          // an owner issued a permit; the other fields are then zero
 	unavailable    int           // shares whose owner did not answer or may not issue permits
 	wait           time.Duration // shortest retry delay
 	used, capacity int           // sums over the answers: permits in the last window, and their maximum
@@ -334,49 +336,49 @@
 func (a *acquisition) refusalError(outcome refusals) error {
 	if outcome.unavailable == shares {
 		return fault.Newf(fault.Unavailable, "retry after the delay in Retry-After",
-			"no node that can currently enforce the rate limit of tenant %q responded", a.ask.Tenant).WithRetryAfter(unavailableRetryAfter + rand.N(unavailableRetryAfter/2))
+			"no node that can currently enforce the rate limit of tenant %q responded", a.request.Tenant).WithRetryAfter(unavailableRetryAfter + rand.N(unavailableRetryAfter/2))
 	}
 	return fault.Newf(fault.RateLimited, "retry after the delay in Retry-After, or ask the operator for a higher limit",
 		"tenant %q has reached its rate limit: %d of %d allowed requests were counted in the last window (%d of %d shares of the limit responded)",
-		a.ask.Tenant, outcome.used, outcome.capacity, shares-outcome.unavailable, shares).WithRetryAfter(outcome.wait)
+		a.request.Tenant, outcome.used, outcome.capacity, shares-outcome.unavailable, shares).WithRetryAfter(outcome.wait)
 }
 
 // askShare asks the owner of a share and sends its answer to the answers channel.
 func (a *acquisition) askShare(ctx context.Context, share int, underWay bool) {
-	answer, reached := a.borrower.askOwner(ctx, Request{
-		Tenant: a.ask.Tenant, Share: share, Program: a.ask.Program, UnderWay: underWay,
+	answer, reached := a.client.askOwner(ctx, Request{
+		Tenant: a.request.Tenant, Share: share, Program: a.request.Program, UnderWay: underWay,
 	})
 	a.answers <- shareAnswer{Answer: answer, share: share, reached: reached}
 }
 
 // askOwner asks the owner of the share that a request names. reached is false if no process
 // answers that owns the share and may issue permits.
-func (b *Client) askOwner(ctx context.Context, request Request) (answer Answer, reached bool) {
-	slot := slotOf(b.options.Layout, request.Tenant, request.Share)
-	owner, ok := b.options.Owners.Owner(slot)
+func (c *Client) askOwner(ctx context.Context, request Request) (answer Answer, reached bool) {
+	slot := slotOf(c.options.Layout, request.Tenant, request.Share)
+	owner, ok := c.options.Owners.Owner(slot)
 	if !ok {
 		return Answer{}, false
 	}
-	if owner.Process == b.options.Self.Process {
-		answer := b.options.Allocator.Answer(request)
+	if owner.Process == c.options.Self.Process {
+		answer := c.options.Allocator.Answer(request)
 		return answer, answer.Able
 	}
-	limited, cancel := context.WithTimeout(ctx, b.options.ResponseTimes.For(owner.Process, minOwnerTimeout, maxOwnerTimeout))
+	limited, cancel := context.WithTimeout(ctx, c.options.ResponseTimes.For(owner.Process, minOwnerTimeout, maxOwnerTimeout))
 	defer cancel()
 	sent := time.Now()
-	answer, err := b.options.Peers.RequestPermit(limited, owner, request)
+	answer, err := c.options.Peers.RequestPermit(limited, owner, request)
 	if ctx.Err() != nil && err != nil {
 		return Answer{}, false
 	}
 	if err != nil {
-		b.options.Owners.RecordNoAnswer(slot, owner)
+		c.options.Owners.RecordNoAnswer(slot, owner)
 		return Answer{}, false
 	}
-	b.options.OnProof(answer.Proof, sent)
+	c.options.OnProof(answer.Proof, sent)
 	if !answer.Owner {
-		b.options.Owners.RecordNoAnswer(slot, owner)
+		c.options.Owners.RecordNoAnswer(slot, owner)
 		return Answer{}, false
 	}
-	b.options.Owners.RecordAnswer(slot)
+	c.options.Owners.RecordAnswer(slot)
 	return answer, answer.Able
 }
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -52,8 +52,8 @@
 	cluster   *cluster
 	self      budget.Holder
 	directory *directory.Directory
-	borrower  *Client
-	lender    *Allocator
+	client    *Client
+	allocator *Allocator
 	cancel    context.CancelFunc
 	paused    time.Time // end of the pause of the process
 }
@@ -69,8 +69,8 @@
 	return c
 }
 
-// vantageOf returns the location of the node at an address; the address's index selects its region.
-func (c *cluster) vantageOf(address string) locality.Location {
+// locationOf returns the location of the node at an address; the address's index selects its region.
+func (c *cluster) locationOf(address string) locality.Location {
 	regions := c.places.Regions()
 	if len(regions) == 0 {
 		return locality.Location{}
@@ -134,13 +134,13 @@
 	c.starts++
 	n := &node{cluster: c, self: budget.Holder{Process: fmt.Sprintf("p%d", c.starts), Address: address}}
 	peers := clusterPeers{c, n}
-	vantage := c.vantageOf(address)
+	location := c.locationOf(address)
 	layout := directory.NewLayout(c.places)
 	n.directory = directory.New(directory.Options{
 		Store: faultyStore{c.table, n}, Self: n.self, Peers: peers, PermitDuration: testTolerance.Window, Logger: &log.Logger{Handler: discard.New()},
-		Vantage: vantage,
+		Vantage: location,
 	})
-	n.lender = NewAllocator(AllocatorOptions{
+	n.allocator = NewAllocator(AllocatorOptions{
 		Leases: n.directory, Tolerance: testTolerance, Layout: layout,
 		LimitOf: func(string) (tenant.Limit, bool) {
 			c.mutex.Lock()
@@ -149,8 +149,8 @@
 		},
 		Proof: func() staleness.Proof { return staleness.Proof{} },
 	})
-	n.borrower = NewClient(ClientOptions{
-		Self: n.self, Layout: layout, Region: vantage.OwnRegion(), Owners: n.directory, Peers: peers, Allocator: n.lender, OnProof: func(staleness.Proof, time.Time) {}, OnOutcome: func(Outcome) {},
+	n.client = NewClient(ClientOptions{
+		Self: n.self, Layout: layout, Region: location.OwnRegion(), Owners: n.directory, Peers: peers, Allocator: n.allocator, OnProof: func(staleness.Proof, time.Time) {}, OnOutcome: func(Outcome) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -209,7 +209,7 @@
 	p.cluster.mutex.Lock()
 	defer p.cluster.mutex.Unlock()
 	n, ok := p.cluster.nodes[address]
-	regionsSplit := p.cluster.regionsSplit && p.cluster.vantageOf(address) != p.cluster.vantageOf(p.from.self.Address)
+	regionsSplit := p.cluster.regionsSplit && p.cluster.locationOf(address) != p.cluster.locationOf(p.from.self.Address)
 	if !ok || regionsSplit || p.cluster.isolated[address] || p.cluster.isolated[p.from.self.Address] {
 		return nil, errUnreachable
 	}
@@ -235,10 +235,10 @@
 	if err != nil {
 		return Answer{}, err
 	}
-	if p.cluster.vantageOf(owner.Address) != p.cluster.vantageOf(p.from.self.Address) {
+	if p.cluster.locationOf(owner.Address) != p.cluster.locationOf(p.from.self.Address) {
 		p.cluster.set(func() { p.cluster.crossRegion++ })
 	}
-	return n.lender.Answer(request), nil
+	return n.allocator.Answer(request), nil
 }
 
 // send has a node request one permit for a tenant, and records whether it was issued.
@@ -252,7 +252,7 @@
 	n.waitWhilePaused()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	err := n.borrower.Admit(ctx, forward.RateLimitRequest{Tenant: name, Program: program})
+	err := n.client.Admit(ctx, forward.RateLimitRequest{Tenant: name, Program: program})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err != nil {
--- a/internal/quota/programs.go
+++ b/internal/quota/programs.go
@@ -9,7 +9,7 @@
 	// activeTimeout is how long after its last request a program is expected to send more. It
 	// covers usual tool and model calls.
 	activeTimeout = 2 * time.Second
-	// forecastPart is how far ahead hasRoom looks, as a part of the window. It is about the
+	// forecastPart is how far ahead hasCapacity looks, as a part of the window. It is about the
 	// usual duration of a program.
 	forecastPart = 0.7
 	// forecastSlack is the factor by which the forecast may exceed the share. Programs are
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -145,9 +145,9 @@
 	})
 }
 
-// Guards against successors that lend what predecessors already lent: with the store down,
-// owners lend just the base allowance, and their successors only the rest.
-func TestSuccessorsLendOnlyTheRest(t *testing.T) {
+// Guards against successors that issue what predecessors already issued: with the store down,
+// owners issue just the base allowance, and their successors only the rest.
+func TestSuccessorsIssueOnlyTheRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := tenant.Limit{PerSecond: 100, Burst: 100}
 		c := newTestCluster(6, limit)
@@ -168,7 +168,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		burst()
 		require.LessOrEqual(t, float64(maxInWindow(c.admitted["hot"], testTolerance.Window)), bound(limit))
-		require.Greater(t, len(c.admitted["hot"]), 500, "successors lend the rest")
+		require.Greater(t, len(c.admitted["hot"]), 500, "successors issue the rest")
 		c.stop()
 	})
 }
@@ -263,6 +263,7 @@
 	})
 }
 
+// Guards against a retry delay after which there is still no permit.
 func TestRefusalHasUsableRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSettledCluster(4, tenant.Limit{PerSecond: 2, Burst: 2})
--- a/internal/quota/regions_test.go
+++ b/internal/quota/regions_test.go
@@ -85,7 +85,7 @@
 	})
 }
 
-// Guards against lending a share twice, or failing its usual traffic, while regions are partitioned.
+// Guards against issuing a share twice, or failing its usual traffic, while regions are partitioned.
 func TestLimitHoldsDuringRegionPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := tenant.Limit{PerSecond: 30, Burst: 30}
--- a/internal/quota/promises.go
+++ b/internal/quota/retry_times.go
@@ -15,11 +15,11 @@
 
 // add returns the retry delay for one more refused caller and records it. waitAfter returns the
 // time until a permit is free for a caller behind queue others.
-func (p *retryTimes) add(now time.Time, waitAfter func(queue int) time.Duration) time.Duration {
-	*p = slices.DeleteFunc(*p, func(retry time.Time) bool { return !retry.After(now) })
-	wait := waitAfter(len(*p))
-	if len(*p) < maxRetryTimes {
-		*p = append(*p, now.Add(wait))
+func (r *retryTimes) add(now time.Time, waitAfter func(queue int) time.Duration) time.Duration {
+	*r = slices.DeleteFunc(*r, func(retry time.Time) bool { return !retry.After(now) })
+	wait := waitAfter(len(*r))
+	if len(*r) < maxRetryTimes {
+		*r = append(*r, now.Add(wait))
 	}
 	return wait
 }
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -20,13 +20,13 @@
 	// regionBits is the number of low bits of a tenant's hash that select its slots. The bits
 	// above select its first region.
 	regionBits = 32
-	// basePart of a share is lent without a write to the store. Tenants usually send about
+	// basePart of a share is issued without a write to the store. Tenants usually send about
 	// half of what their limits allow in a window; the rest and the tolerance leave about
 	// as much for the successor of a failed owner.
 	basePart = 0.6
-	// slackPart of the tolerance's absolute slack is lent as part of each limit. Small tenants
+	// slackPart of the tolerance's absolute slack is issued as part of each limit. Small tenants
 	// need it because their programs arrive unevenly. The rest of the slack, and the
-	// proportional overage, cover permits lent by failed owners, permits that are still unused
+	// proportional overage, cover permits issued by failed owners, permits that are still unused
 	// when their window ends, and permits reused after they were returned.
 	slackPart = 0.6
 )
@@ -76,7 +76,7 @@
 // allowances are the numbers of permits that one share may issue in any window.
 type allowances struct {
 	full    float64 // the full share
-	base    float64 // part that may be lent without raising the tenant in the store
+	base    float64 // part that may be issued without allowing the full limit in the store
 	reserve float64 // excess over the share that covers permits of failed owners
 }
 
@@ -93,15 +93,15 @@
 }
 
 // nearBase reports whether the base allowance is almost used up. For a small share the last
-// whole permit may lie below raiseThreshold.
-func (a allowances) nearBase(lent float64) bool {
-	return lent >= raiseThreshold*a.base || lent+1 > a.base
+// whole permit may lie below allowThreshold.
+func (a allowances) nearBase(issued float64) bool {
+	return issued >= allowThreshold*a.base || issued+1 > a.base
 }
 
-// lendable returns how many permits a share may issue in the window that ends now under its
+// available returns how many permits a share may issue in the window that ends now under its
 // owner's lease. While permits of earlier owners may still count, they are deducted. It is 0
-// then if lease.Before.All is set.
-func (a allowances) lendable(lease directory.Lease, tenant string, now time.Time, window time.Duration) float64 {
+// then if lease.Prior.All is set.
+func (a allowances) available(lease directory.Lease, tenant string, now time.Time, window time.Duration) float64 {
 	most := a.base
 	if slices.Contains(lease.FullLimitTenants, tenant) {
 		most = a.full
@@ -120,7 +120,7 @@
 }
 
 // mayBook reports whether one more permit may be booked. Booked permits may be used after the
-// lease has passed to a successor, in addition to all that the successor lends one window
+// lease has passed to a successor, in addition to all that the successor issues one window
 // later. The reserve covers them, once the bookings of earlier owners are over.
 func (a allowances) mayBook(lease directory.Lease, booked int, now time.Time, window time.Duration) bool {
 	return now.Sub(lease.Since) >= window && float64(booked+1) <= a.reserve
--- a/internal/quota/succession_test.go
+++ b/internal/quota/succession_test.go
@@ -16,11 +16,11 @@
 func TestLimitHoldsWithPermitsBookedByPredecessor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := tenant.Limit{PerSecond: 20, Burst: 20}
-		leases := &fakeLeases{raises: true}
-		leaving := newTestLender(leases, limit)
+		leases := &fakeLeases{allows: true}
+		leaving := newTestAllocator(leases, limit)
 		leases.lease.FullLimitTenants = []string{"t"}
 		var used []time.Time
-		for range lendAll(leaving) {
+		for range issueAll(leaving) {
 			used = append(used, time.Now())
 		}
 		time.Sleep(testTolerance.Window - 500*time.Millisecond)
@@ -29,13 +29,13 @@
 		}
 		require.NotEmpty(t, used, "no request was booked")
 
-		next := &fakeLeases{raises: true}
-		successor := newTestLender(next, limit)
+		next := &fakeLeases{allows: true}
+		successor := newTestAllocator(next, limit)
 		next.lease.Since = time.Now()
 		next.lease.FullLimitTenants = []string{"t"}
 		next.lease.Prior = directory.PriorPermits{FullLimitTenants: []string{"t"}}
 		for end := time.Now().Add(2 * testTolerance.Window); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-			for range lendAll(successor) {
+			for range issueAll(successor) {
 				used = append(used, time.Now())
 			}
 		}
@@ -49,9 +49,9 @@
 func TestSuccessorCannotBookForOneWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		leases := &fakeLeases{}
-		successor := newTestLender(leases, tenant.Limit{PerSecond: 20, Burst: 20})
+		successor := newTestAllocator(leases, tenant.Limit{PerSecond: 20, Burst: 20})
 		leases.lease.Since = time.Now()
-		lendAll(successor)
+		issueAll(successor)
 		time.Sleep(testTolerance.Window - 500*time.Millisecond)
 		require.False(t, successor.Answer(holdable).Lent)
 		leases.lease.Since = time.Now().Add(-testTolerance.Window)
--- a/internal/quota/window.go
+++ b/internal/quota/window.go
@@ -4,7 +4,7 @@
 
 const (
 	// steps is the number of parts of a window. A permit counts until the whole step in which
-	// it was lent has left the window, so up to a fiftieth of the window too long.
+	// it was issued has left the window, so up to a fiftieth of the window too long.
 	steps = 50
 	// stepsAhead is how many steps ahead permits may be booked.
 	stepsAhead = 10
