--- a/internal/warmup/lender.go
+++ b/internal/warmup/allocator.go
@@ -41,24 +41,24 @@
 type Allocator struct {
 	leases Leases
 	slots  Slots
-	// bearing returns the capacity of a cold worker of a service in the current configuration.
-	bearing func(service string) ColdCapacity
+	// coldCapacity returns the capacity of a cold worker of a service in the current configuration.
+	coldCapacity func(service string) ColdCapacity
 
 	mutex     sync.Mutex
 	accounts  map[string]*account // by worker
 	lastSweep time.Time
 }
 
-// account counts what this process has lent for a worker.
+// account counts the permits that this process has issued for a worker.
 type account struct {
-	lease    uint64 // number of the lease under which it was lent
+	lease    uint64 // number of the lease under which they were issued
 	window   *quota.SlidingWindow
 	lastUsed time.Time
 }
 
-// NewAllocator returns a lender that has issued no permits.
-func NewAllocator(leases Leases, slots Slots, bearing func(service string) ColdCapacity) *Allocator {
-	return &Allocator{leases: leases, slots: slots, bearing: bearing, accounts: map[string]*account{}, lastSweep: time.Now()}
+// NewAllocator returns an allocator that has issued no permits.
+func NewAllocator(leases Leases, slots Slots, coldCapacity func(service string) ColdCapacity) *Allocator {
+	return &Allocator{leases: leases, slots: slots, coldCapacity: coldCapacity, accounts: map[string]*account{}, lastSweep: time.Now()}
 }
 
 // Slots assigns each worker to a slot of its own region, so that the owner is close to the
@@ -74,22 +74,22 @@
 }
 
 // Answer issues a permit, or returns when to retry.
-func (l *Allocator) Answer(request Request) Answer {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (a *Allocator) Answer(request Request) Answer {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	now := time.Now()
-	lease, owned := l.leases.Lease(l.slots.slotOf(request.Worker, request.Zone))
-	bearing := l.bearing(request.Service)
-	answer := Answer{Owner: owned, Able: owned && bearing.PerSecond > 0 && lease.Valid(now)}
+	lease, owned := a.leases.Lease(a.slots.slotOf(request.Worker, request.Zone))
+	coldCapacity := a.coldCapacity(request.Service)
+	answer := Answer{Owner: owned, Able: owned && coldCapacity.PerSecond > 0 && lease.Valid(now)}
 	if !answer.Able {
 		return answer
 	}
-	if start := lendingStart(lease); now.Before(start) {
+	if start := issueStart(lease); now.Before(start) {
 		answer.Wait = start.Sub(now)
 		return answer
 	}
-	account := l.accountFor(request.Worker, lease, bearing, now)
-	answer.Used, answer.Most = account.window.Total(now), bearing.maxLent()
+	account := a.accountFor(request.Worker, lease, coldCapacity, now)
+	answer.Used, answer.Most = account.window.Total(now), coldCapacity.maxPermits()
 	most := answer.Most
 	if request.Begins {
 		most = max(1, int(newProgramPart*float64(most)))
@@ -103,10 +103,10 @@
 	return answer
 }
 
-// lendingStart returns when a new owner may start to issue permits: nothing lent earlier counts
+// issueStart returns when a new owner may start to issue permits: nothing issued earlier counts
 // from then on. If its predecessor's slot was unsettled, an owner before that may still have
-// lent until its lease ended.
-func lendingStart(lease directory.Lease) time.Time {
+// issued permits until its lease ended.
+func issueStart(lease directory.Lease) time.Time {
 	begin := lease.Since.Add(Window)
 	if lease.Prior.All {
 		begin = begin.Add(directory.MaxLeaseDuration)
@@ -116,23 +116,23 @@
 
 // accountFor returns the account of a worker under a lease. A new account starts with the
 // requests in flight from nodes that still treat the worker as warm.
-func (l *Allocator) accountFor(worker string, lease directory.Lease, bearing ColdCapacity, now time.Time) *account {
-	l.sweep(now)
-	known, ok := l.accounts[worker]
+func (a *Allocator) accountFor(worker string, lease directory.Lease, coldCapacity ColdCapacity, now time.Time) *account {
+	a.sweep(now)
+	known, ok := a.accounts[worker]
 	if !ok || known.lease != lease.Number {
 		known = &account{lease: lease.Number, window: quota.NewSlidingWindow(Window, now)}
-		known.window.Add(bearing.unpermitted(), now)
-		l.accounts[worker] = known
+		known.window.Add(coldCapacity.unpermitted(), now)
+		a.accounts[worker] = known
 	}
 	known.lastUsed = now
 	return known
 }
 
 // sweep drops the accounts of workers that were not asked for lately, as they are warm or gone.
-func (l *Allocator) sweep(now time.Time) {
-	if now.Sub(l.lastSweep) < 2*Window {
+func (a *Allocator) sweep(now time.Time) {
+	if now.Sub(a.lastSweep) < 2*Window {
 		return
 	}
-	l.lastSweep = now
-	maps.DeleteFunc(l.accounts, func(_ string, known *account) bool { return now.Sub(known.lastUsed) > 2*Window })
+	a.lastSweep = now
+	maps.DeleteFunc(a.accounts, func(_ string, known *account) bool { return now.Sub(known.lastUsed) > 2*Window })
 }
--- a/internal/warmup/borrower.go
+++ b/internal/warmup/client.go
@@ -29,8 +29,8 @@
 	// Owner returns the owner of a slot. ok is false if the owner is unknown or has just
 	// failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// RecordAnswer records that the owner of a slot answered, and Missed that the process that was
-	// asked did not answer as the owner.
+	// RecordAnswer records that the owner of a slot answered, and RecordNoAnswer that the process
+	// that was asked did not answer as the owner.
 	RecordAnswer(slot int)
 	RecordNoAnswer(slot int, asked budget.Holder)
 }
@@ -81,72 +81,72 @@
 
 var _ forward.WarmupLimiter = (*Client)(nil)
 
-// NewClient returns a borrower without cached refusals.
+// NewClient returns a client without cached refusals.
 func NewClient(options ClientOptions) *Client {
 	return &Client{options: options, denied: map[denialKey]time.Time{}}
 }
 
 // Acquire implements forward.WarmupLimiter. While a refusal is cached for the worker, it returns the
 // remaining delay without a call.
-func (b *Client) Acquire(ctx context.Context, ask forward.WarmupRequest) forward.WarmupPermit {
+func (c *Client) Acquire(ctx context.Context, request forward.WarmupRequest) forward.WarmupPermit {
 	asked := time.Now()
-	kind := denialKey{worker: ask.Worker, begins: ask.FirstTurn}
-	if wait := b.deniedFor(kind, asked); wait > 0 {
+	kind := denialKey{worker: request.Worker, begins: request.FirstTurn}
+	if wait := c.deniedFor(kind, asked); wait > 0 {
 		return forward.WarmupPermit{RetryAfter: wait}
 	}
-	answer, reached := b.ask(ctx, Request{Worker: ask.Worker, Zone: ask.Zone, Service: ask.Service, Begins: ask.FirstTurn})
+	answer, reached := c.askOwner(ctx, Request{Worker: request.Worker, Zone: request.Zone, Service: request.Service, Begins: request.FirstTurn})
 	switch {
 	case !reached:
-		b.options.OnOutcome(OutcomeUnavailable)
+		c.options.OnOutcome(OutcomeUnavailable)
 		return forward.WarmupPermit{RetryAfter: unavailableWait}
 	case !answer.Lent:
-		b.options.OnOutcome(OutcomeExhausted)
-		b.cacheDenial(kind, answer.Wait)
+		c.options.OnOutcome(OutcomeExhausted)
+		c.cacheDenial(kind, answer.Wait)
 		return forward.WarmupPermit{RetryAfter: answer.Wait}
 	default:
-		b.options.OnOutcome(OutcomeGranted)
+		c.options.OnOutcome(OutcomeGranted)
 		return forward.WarmupPermit{ExpiresAt: asked.Add(PermitTTL)}
 	}
 }
 
-// ask asks the owner of a worker's slot for a permit. reached is false if no process answers
+// askOwner asks the owner of a worker's slot for a permit. reached is false if no process answers
 // that owns the slot and may issue permits.
-func (b *Client) ask(ctx context.Context, request Request) (answer Answer, reached bool) {
-	slot := b.options.Slots.slotOf(request.Worker, request.Zone)
-	owner, ok := b.options.Owners.Owner(slot)
+func (c *Client) askOwner(ctx context.Context, request Request) (answer Answer, reached bool) {
+	slot := c.options.Slots.slotOf(request.Worker, request.Zone)
+	owner, ok := c.options.Owners.Owner(slot)
 	if !ok {
 		return Answer{}, false
 	}
-	if owner.Process == b.options.Self.Process {
-		answer := b.options.Allocator.Answer(request)
+	if owner.Process == c.options.Self.Process {
+		answer := c.options.Allocator.Answer(request)
 		return answer, answer.Able
 	}
-	limited, cancel := context.WithTimeout(ctx, b.options.ResponseTimes.For(owner.Process, minOwnerTimeout, maxOwnerTimeout))
+	limited, cancel := context.WithTimeout(ctx, c.options.ResponseTimes.For(owner.Process, minOwnerTimeout, maxOwnerTimeout))
 	defer cancel()
-	answer, err := b.options.Peers.RequestColdPermit(limited, owner, request)
+	answer, err := c.options.Peers.RequestColdPermit(limited, owner, request)
 	if err != nil && ctx.Err() != nil {
 		return Answer{}, false
 	}
 	if err != nil || !answer.Owner {
-		b.options.Owners.RecordNoAnswer(slot, owner)
+		c.options.Owners.RecordNoAnswer(slot, owner)
 		return Answer{}, false
 	}
-	b.options.Owners.RecordAnswer(slot)
+	c.options.Owners.RecordAnswer(slot)
 	return answer, answer.Able
 }
 
 // deniedFor returns how long a refusal is still cached; 0 or less if none is.
-func (b *Client) deniedFor(kind denialKey, now time.Time) time.Duration {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.denied[kind].Sub(now)
+func (c *Client) deniedFor(kind denialKey, now time.Time) time.Duration {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.denied[kind].Sub(now)
 }
 
 // cacheDenial caches a refusal for at most maxDenialTTL, and drops expired ones.
-func (b *Client) cacheDenial(kind denialKey, wait time.Duration) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+func (c *Client) cacheDenial(kind denialKey, wait time.Duration) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := time.Now()
-	maps.DeleteFunc(b.denied, func(_ denialKey, until time.Time) bool { return !until.After(now) })
-	b.denied[kind] = now.Add(min(wait, maxDenialTTL))
+	maps.DeleteFunc(c.denied, func(_ denialKey, until time.Time) bool { return !until.After(now) })
+	c.denied[kind] = now.Add(min(wait, maxDenialTTL))
 }
--- a/internal/warmup/cluster_test.go
+++ b/internal/warmup/cluster_test.go
@@ -18,7 +18,7 @@
 
 // cluster is a set of nodes that issue and request permits for one cold worker.
 type cluster struct {
-	bearing ColdCapacity
+	coldCapacity ColdCapacity
 
 	mutex   sync.Mutex
 	owner   *node // of the worker's slot, in the store
@@ -30,10 +30,10 @@
 
 // node is one process. A process that is started in its place replaces it.
 type node struct {
-	cluster  *cluster
-	process  string
-	borrower *Client
-	lender   *Allocator
+	cluster   *cluster
+	process   string
+	client    *Client
+	allocator *Allocator
 
 	dead      bool
 	isolated  bool      // partitioned from other nodes
@@ -42,14 +42,14 @@
 
 	leaseNumber uint64 // of its lease
 	since       time.Time
-	// unsettled is set if an owner before the predecessor may still have lent.
+	// unsettled is set if an owner before the predecessor may still have issued permits.
 	unsettled  bool
 	renewed    time.Time
 	knownOwner *node // owner of the slot in the last state that the node read
 }
 
-func newTestCluster(nodes int, bearing ColdCapacity) *cluster {
-	c := &cluster{bearing: bearing, nodes: make([]*node, nodes)}
+func newTestCluster(nodes int, coldCapacity ColdCapacity) *cluster {
+	c := &cluster{coldCapacity: coldCapacity, nodes: make([]*node, nodes)}
 	for index := range nodes {
 		c.start(index)
 	}
@@ -62,9 +62,9 @@
 	defer c.mutex.Unlock()
 	c.claims++
 	n := &node{cluster: c, process: fmt.Sprint("p", c.claims)}
-	n.lender = NewAllocator(n, Slots{}, func(string) ColdCapacity { return c.bearing })
-	n.borrower = NewClient(ClientOptions{
-		Self: budget.Holder{Process: n.process, Address: n.process}, Owners: n, Peers: n, Allocator: n.lender, OnOutcome: func(Outcome) {},
+	n.allocator = NewAllocator(n, Slots{}, func(string) ColdCapacity { return c.coldCapacity })
+	n.client = NewClient(ClientOptions{
+		Self: budget.Holder{Process: n.process, Address: n.process}, Owners: n, Peers: n, Allocator: n.allocator, OnOutcome: func(Outcome) {},
 	})
 	if before := c.nodes[index]; before != nil {
 		before.dead = true
@@ -155,7 +155,7 @@
 	if asked.isDead() {
 		return Answer{}, errUnreachable
 	}
-	answer := asked.lender.Answer(request)
+	answer := asked.allocator.Answer(request)
 	asked.waitWhilePaused()
 	time.Sleep(2 * time.Millisecond)
 	return answer, nil
@@ -168,18 +168,18 @@
 	n := c.nodes[index]
 	c.mutex.Unlock()
 	n.waitWhilePaused()
-	loan := n.borrower.Acquire(context.Background(), forward.WarmupRequest{Worker: "w", Service: "s"})
+	permit := n.client.Acquire(context.Background(), forward.WarmupRequest{Worker: "w", Service: "s"})
 	n.waitWhilePaused()
 	if n.isDead() {
 		return forward.WarmupPermit{}
 	}
-	if !time.Now().Before(loan.ExpiresAt) {
+	if !time.Now().Before(permit.ExpiresAt) {
 		c.set(func() { c.refused++ })
-		return loan
+		return permit
 	}
 	time.Sleep(delay)
 	c.recordArrival()
-	return loan
+	return permit
 }
 
 func (c *cluster) recordArrival() { c.set(func() { c.arrived = append(c.arrived, time.Now()) }) }
--- a/internal/warmup/doc.go
+++ b/internal/warmup/doc.go
@@ -32,9 +32,9 @@
 )
 
 const (
-	// lendablePart is the part of a cold worker's bound that may be lent. The rest covers
-	// requests from nodes that do not yet know, or cannot learn, that the worker is cold.
-	lendablePart = 0.75
+	// permitPart is the part of a cold worker's bound that may be issued. The rest covers
+	// requests from nodes that have not been informed, or cannot be informed, that the worker is cold.
+	permitPart = 0.75
 	// propagationDelay is how long nodes may still treat a worker as warm after it turned cold:
 	// updates of the worker list take 0.3 to 0.4 s.
 	propagationDelay = 400 * time.Millisecond
@@ -51,15 +51,15 @@
 	Slack     float64 // requests added to that bound
 }
 
-// maxLent returns how many permits may count at any time; at least 1.
-func (b ColdCapacity) maxLent() int {
-	limit := b.PerSecond * Window.Seconds()
-	if bound := b.PerSecond*b.Overage + b.Slack; bound > 0 {
-		limit = min(limit, lendablePart*bound)
+// maxPermits returns how many permits may count at any time; at least 1.
+func (c ColdCapacity) maxPermits() int {
+	limit := c.PerSecond * Window.Seconds()
+	if bound := c.PerSecond*c.Overage + c.Slack; bound > 0 {
+		limit = min(limit, permitPart*bound)
 	}
 	return max(1, int(limit))
 }
 
 // unpermitted returns the assumed number of requests without a permit in flight to a worker
 // that has just turned cold, from nodes that still treat it as warm.
-func (b ColdCapacity) unpermitted() int { return int(b.PerSecond * propagationDelay.Seconds()) }
+func (c ColdCapacity) unpermitted() int { return int(c.PerSecond * propagationDelay.Seconds()) }
