--- a/internal/budget/book.go
+++ b/internal/budget/accounts.go
@@ -26,13 +26,13 @@
 	giveBackParallelism = 4
 )
 
-// Options configures a Accounts.
+// Options configures Accounts.
 type Options struct {
 	Store store.Store
 	Self  Holder
 	Peers Peers // nil: no other node is asked for tokens
-	// Patience adapts the timeout of a request to the latency observed to that process.
-	// Nil means that no latency is known.
+	// Patience estimates the response times of other processes, from which the timeouts of
+	// requests follow. Nil means that no latency is known.
 	Patience timing.TimeoutFunc
 	// Vantage is the location of this process. Processes in the same region are asked
 	// first.
@@ -66,9 +66,9 @@
 		"the turn may need %d tokens, but the store refused %d tokens to another node %v ago", tokens, l.Spent, l.SpentAgo.Round(time.Millisecond))
 }
 
-// Locator shares knowledge of programs between processes.
+// Locator shares between processes which of them ran turns of a program.
 type Locator interface {
-	// Locate returns what is known of a program and records that this process runs a turn
+	// Locate returns what is recorded for a program and records that this process runs a turn
 	// of it.
 	Locate(ctx context.Context, program string) LocateResult
 	// RecordRefusal records that the store refused a turn of that many tokens.
@@ -92,7 +92,7 @@
 	lastSweep         time.Time
 }
 
-// NewAccounts returns a book without accounts.
+// NewAccounts returns Accounts without any account.
 func NewAccounts(options Options) *Accounts {
 	return &Accounts{
 		options:          options,
@@ -128,13 +128,13 @@
 	// is unavailable, recent peers and the owner are not asked for the tokens of such a
 	// turn, as it could not end.
 	MustPersist bool
-	// Named, if not nil, is called with the other processes that may hold tokens of the
+	// OnHolders, if not nil, is called with the other processes that may hold tokens of the
 	// program, if any are known, before the store is called. It may be called more than
 	// once.
 	OnHolders func([]Holder)
 }
 
-// reportHolders calls Named, if it is set and there are holders.
+// reportHolders calls OnHolders, if it is set and there are holders.
 func (c Claim) reportHolders(others []Holder) {
 	if c.OnHolders != nil && len(others) > 0 {
 		c.OnHolders(others)
@@ -145,15 +145,15 @@
 // store reports the budget as exhausted. It fails with fault.Unavailable if the store
 // does not answer before ctx ends, or if a process that may hold or grant tokens does not.
 // Nothing is reserved if it fails.
-func (b *Accounts) Reserve(ctx context.Context, claim Claim) (*Reservation, error) {
-	account := b.accountOf(claim.Program)
+func (a *Accounts) Reserve(ctx context.Context, claim Claim) (*Reservation, error) {
+	account := a.accountOf(claim.Program)
 	reservation := &Reservation{Tokens: claim.Tokens, account: account}
 	if account.reserve(claim.Tokens) {
-		reservation.LastWorker, reservation.Holders = account.cachedWorker(), b.responsiveHolders(account)
+		reservation.LastWorker, reservation.Holders = account.cachedWorker(), a.responsiveHolders(account)
 		return reservation, nil
 	}
 	var sources tokenSources
-	if err := b.draw(ctx, account, claim, &sources); err != nil {
+	if err := a.draw(ctx, account, claim, &sources); err != nil {
 		var reported *fault.Error
 		if errors.As(err, &reported) {
 			return nil, err
@@ -163,7 +163,7 @@
 	}
 	defer func() { <-account.sharesLock }()
 	account.addHoldersFromRows()
-	reservation.Holders = b.responsiveHolders(account)
+	reservation.Holders = a.responsiveHolders(account)
 	reservation.LastWorker, reservation.Drawn = account.lastKnownWorker(), true
 	reservation.HandedOver, reservation.LocatorUsed, reservation.Granted = sources.handedOver, sources.locatorFound, sources.granted
 	return reservation, nil
@@ -179,16 +179,16 @@
 	})
 }
 
-func (b *Accounts) accountOf(program string) *account {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+func (a *Accounts) accountOf(program string) *account {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	now := time.Now()
-	b.sweep(now)
-	known, ok := b.accounts[program]
+	a.sweep(now)
+	known, ok := a.accounts[program]
 	if !ok {
-		known = newAccount(program, b.options.Self)
-		known.hasOwnedParts = b.options.Granter != nil
-		b.accounts[program] = known
+		known = newAccount(program, a.options.Self)
+		known.hasOwnedParts = a.options.Granter != nil
+		a.accounts[program] = known
 	}
 	known.lastUsed = now
 	return known
@@ -196,19 +196,19 @@
 
 // sweep periodically drops idle accounts and old records of unresponsive processes.
 // Tokens that this node still holds for a dropped account stay drawn.
-func (b *Accounts) sweep(now time.Time) {
-	if now.Sub(b.lastSweep) < accountIdleTimeout/4 {
+func (a *Accounts) sweep(now time.Time) {
+	if now.Sub(a.lastSweep) < accountIdleTimeout/4 {
 		return
 	}
-	b.lastSweep = now
-	for program, account := range b.accounts {
+	a.lastSweep = now
+	for program, account := range a.accounts {
 		if now.Sub(account.lastUsed) > accountIdleTimeout {
-			delete(b.accounts, program)
+			delete(a.accounts, program)
 		}
 	}
-	for process, known := range b.unresponsive {
+	for process, known := range a.unresponsive {
 		if now.Sub(known.retryAt) > accountIdleTimeout {
-			delete(b.unresponsive, process)
+			delete(a.unresponsive, process)
 		}
 	}
 }
@@ -216,13 +216,13 @@
 // GiveBack returns to the store the tokens that this node holds for programs with a
 // recent turn. It is called when the node stops. Tokens that cannot be returned before
 // ctx ends stay drawn. The result is the number of tokens returned.
-func (b *Accounts) GiveBack(ctx context.Context) (returned int) {
+func (a *Accounts) GiveBack(ctx context.Context) (returned int) {
 	var mutex sync.Mutex
 	var group errgroup.Group
 	group.SetLimit(giveBackParallelism)
-	for _, account := range b.recentAccounts(time.Now()) {
+	for _, account := range a.recentAccounts(time.Now()) {
 		group.Go(func() error {
-			tokens := b.giveBack(ctx, account)
+			tokens := a.giveBack(ctx, account)
 			mutex.Lock()
 			defer mutex.Unlock()
 			returned += tokens
@@ -233,11 +233,11 @@
 	return returned
 }
 
-func (b *Accounts) recentAccounts(now time.Time) []*account {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+func (a *Accounts) recentAccounts(now time.Time) []*account {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	var recent []*account
-	for _, account := range b.accounts {
+	for _, account := range a.accounts {
 		if now.Sub(account.lastUsed) < giveBackMaxIdle {
 			recent = append(recent, account)
 		}
@@ -248,7 +248,7 @@
 // giveBack returns an account's free tokens to its shares, at most as many to each share
 // as are drawn from it. They need not go back to the share that they came from, as only
 // the sum over all shares matters.
-func (b *Accounts) giveBack(ctx context.Context, account *account) (returned int) {
+func (a *Accounts) giveBack(ctx context.Context, account *account) (returned int) {
 	select {
 	case account.sharesLock <- struct{}{}:
 	case <-ctx.Done():
@@ -257,12 +257,12 @@
 	defer func() { <-account.sharesLock }()
 	tokens := account.takeFree()
 	for _, share := range account.shares {
-		found := share.giveBack(ctx, b.options.Store, tokens, account.lastKnownWorker())
+		found := share.giveBack(ctx, a.options.Store, tokens, account.lastKnownWorker())
 		returned += found.returned
 		tokens += found.drawn - found.returned - found.returnInDoubt
 	}
-	if returned > 0 && b.options.Locator != nil {
-		b.options.Locator.RecordReturned(ctx, account.program)
+	if returned > 0 && a.options.Locator != nil {
+		a.options.Locator.RecordReturned(ctx, account.program)
 	}
 	return returned
 }
--- a/internal/budget/book_test.go
+++ b/internal/budget/accounts_test.go
@@ -19,15 +19,15 @@
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 )
 
-func newTestBook(table store.Store, process string) *Accounts {
+func newTestAccounts(table store.Store, process string) *Accounts {
 	return NewAccounts(Options{Store: table, Self: Holder{Process: process, Address: process}})
 }
 
-// cluster is a set of books that can send requests to each other.
+// cluster is the accounts of several nodes that can send requests to each other.
 type cluster struct {
-	table store.Store
-	mutex sync.Mutex
-	books map[string]*Accounts
+	table        store.Store
+	mutex        sync.Mutex
+	nodeAccounts map[string]*Accounts
 	// delivery, if not nil, decides whether a request arrives and whether its answer
 	// does.
 	delivery func() (asked, answered bool)
@@ -61,15 +61,15 @@
 }
 
 func newCluster(table store.Store) *cluster {
-	return &cluster{table: table, books: map[string]*Accounts{}, unreachable: map[string]bool{}, closed: map[string]bool{}}
+	return &cluster{table: table, nodeAccounts: map[string]*Accounts{}, unreachable: map[string]bool{}, closed: map[string]bool{}}
 }
 
-func (c *cluster) book(process string) *Accounts {
-	book := NewAccounts(Options{Store: c.table, Self: Holder{Process: process, Address: process}, Peers: c})
+func (c *cluster) newAccounts(process string) *Accounts {
+	accounts := NewAccounts(Options{Store: c.table, Self: Holder{Process: process, Address: process}, Peers: c})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.books[process] = book
-	return book
+	c.nodeAccounts[process] = accounts
+	return accounts
 }
 
 // HandOver implements Peers.
@@ -80,7 +80,7 @@
 		asked, answered = c.delivery()
 	}
 	c.requests++
-	to, closed := c.books[address], c.closed[address]
+	to, closed := c.nodeAccounts[address], c.closed[address]
 	asked = asked && !c.unreachable[address]
 	c.mutex.Unlock()
 	if closed {
@@ -102,10 +102,10 @@
 func TestBudgetIsEnforcedAcrossNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
-		books := []*Accounts{nodes.book("a"), nodes.book("b")}
+		nodeAccounts := []*Accounts{nodes.newAccounts("a"), nodes.newAccounts("b")}
 		used := 0
 		for turn := range 100 {
-			reservation, err := books[turn%2].Reserve(t.Context(), Claim{Program: "p", Budget: 5000, Tokens: 500})
+			reservation, err := nodeAccounts[turn%2].Reserve(t.Context(), Claim{Program: "p", Budget: 5000, Tokens: 500})
 			if err != nil {
 				require.True(t, fault.Is(err, fault.BudgetExhausted), err)
 				require.Equal(t, fault.RanNo, fault.From(err).Ran)
@@ -125,11 +125,11 @@
 // single share.
 func TestTurnMayReserveTheWholeBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := newTestBook(storetest.New(), "a")
-		reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 575, Tokens: 575})
+		accounts := newTestAccounts(storetest.New(), "a")
+		reservation, err := accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 575, Tokens: 575})
 		require.NoError(t, err, "a turn may draw from all shares together")
 		reservation.Settle(575, "")
-		_, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 575, Tokens: 575})
+		_, err = accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 575, Tokens: 575})
 		require.True(t, fault.Is(err, fault.BudgetExhausted))
 		time.Sleep(time.Minute)
 	})
@@ -149,7 +149,7 @@
 				return storetest.None
 			})
 			start := time.Now()
-			_, err := newTestBook(table, "a").Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
+			_, err := newTestAccounts(table, "a").Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 			require.NoError(t, err)
 			require.Less(t, time.Since(start), 200*time.Millisecond)
 		})
@@ -162,14 +162,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
-		book := newTestBook(table, "a")
+		accounts := newTestAccounts(table, "a")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err := book.Reserve(ctx, Claim{Program: "p", Budget: 6000, Tokens: 500})
+		_, err := accounts.Reserve(ctx, Claim{Program: "p", Budget: 6000, Tokens: 500})
 		require.True(t, fault.Is(err, fault.Unavailable), err)
 		require.Equal(t, fault.RanNo, fault.From(err).Ran)
 		table.SetFault(nil)
-		_, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
+		_, err = accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 		require.NoError(t, err)
 	})
 }
@@ -187,16 +187,16 @@
 				}
 				return storetest.None
 			})
-			book := newTestBook(table, "a")
-			reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
+			accounts := newTestAccounts(table, "a")
+			reservation, err := accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
 			require.NoError(t, err)
 			reservation.Settle(200, "")
 			for range 2 {
-				reservation, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
+				reservation, err = accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
 				require.NoError(t, err, "the first draw counts once")
 				reservation.Settle(200, "")
 			}
-			_, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
+			_, err = accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 200})
 			require.True(t, fault.Is(err, fault.BudgetExhausted))
 			time.Sleep(time.Minute)
 		})
@@ -208,12 +208,12 @@
 func TestLastWorkerIsStoredWithTheAccount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		book, other := newTestBook(table, "a"), newTestBook(table, "b")
-		reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
+		accounts, other := newTestAccounts(table, "a"), newTestAccounts(table, "b")
+		reservation, err := accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 		require.NoError(t, err)
 		reservation.Settle(500, "w7")
 		for range 6 {
-			reservation, err = book.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
+			reservation, err = accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 6000, Tokens: 500})
 			require.NoError(t, err)
 			reservation.Settle(500, "w7")
 		}
@@ -258,23 +258,23 @@
 		}
 		return storetest.Fault(draw(int(storetest.AppliedThenReset) + 1))
 	})
-	books := make([]*Accounts, 3)
+	nodeAccounts := make([]*Accounts, 3)
 	nodes := newCluster(table)
 	nodes.delivery = func() (asked, answered bool) { return draw(100) >= faulty, draw(100) >= faulty }
 	restart := func(index int) {
-		if books[index] != nil && draw(2) == 0 {
+		if nodeAccounts[index] != nil && draw(2) == 0 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-			books[index].GiveBack(ctx)
+			nodeAccounts[index].GiveBack(ctx)
 			cancel()
 		}
-		books[index] = nodes.book(fmt.Sprintf("%d-%d", index, draw(1<<30)))
+		nodeAccounts[index] = nodes.newAccounts(fmt.Sprintf("%d-%d", index, draw(1<<30)))
 	}
-	for index := range books {
+	for index := range nodeAccounts {
 		restart(index)
 	}
 	generated, largest := 0, 0
 	for range 60 {
-		index := draw(len(books))
+		index := draw(len(nodeAccounts))
 		switch draw(12) {
 		case 0:
 			restart(index)
@@ -282,12 +282,12 @@
 			table.ApplyLate(draw)
 		case 2:
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-			books[index].GiveBack(ctx)
+			nodeAccounts[index].GiveBack(ctx)
 			cancel()
 		default:
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			maxTokens := 50 + draw(300)
-			reservation, err := books[index].Reserve(ctx, Claim{Program: "p", Budget: budget, Tokens: maxTokens})
+			reservation, err := nodeAccounts[index].Reserve(ctx, Claim{Program: "p", Budget: budget, Tokens: maxTokens})
 			cancel()
 			if err == nil {
 				used := draw(maxTokens + 1)
@@ -310,10 +310,10 @@
 func TestUnusedTokensAreAvailableToOtherNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
-		reservation, err := nodes.book("a").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
+		reservation, err := nodes.newAccounts("a").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
 		require.NoError(t, err)
 		reservation.Settle(0, "")
-		_, err = nodes.book("b").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
+		_, err = nodes.newAccounts("b").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
 		require.NoError(t, err, "no turn has run")
 	})
 }
@@ -333,17 +333,17 @@
 				}
 				return down
 			})
-			book := nodes.book("a")
+			accounts := nodes.newAccounts("a")
 			for range 3 {
 				ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
-				_, err := book.Reserve(ctx, Claim{Program: "p", Budget: 900, Tokens: 589})
+				_, err := accounts.Reserve(ctx, Claim{Program: "p", Budget: 900, Tokens: 589})
 				cancel()
 				require.True(t, fault.Is(err, fault.Unavailable), err)
 				all.Store(true) // from now on the whole store is down
 			}
 			table.SetFault(nil)
 			table.ApplyLate(func(int) int { return 0 })
-			_, err := nodes.book("b").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
+			_, err := nodes.newAccounts("b").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
 			require.NoError(t, err, "fault %d: no turn has run", down)
 			time.Sleep(time.Minute)
 		})
@@ -357,9 +357,9 @@
 		table := storetest.New()
 		nodes := newCluster(table)
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-		a, b := nodes.book("a"), nodes.book("b")
-		for _, book := range []*Accounts{a, b} {
-			reservation, err := book.Reserve(t.Context(), claim)
+		a, b := nodes.newAccounts("a"), nodes.newAccounts("b")
+		for _, accounts := range []*Accounts{a, b} {
+			reservation, err := accounts.Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			reservation.Settle(100, "w1")
 		}
@@ -387,17 +387,17 @@
 		table := storetest.New()
 		nodes := newCluster(table)
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-		reservation, err := nodes.book("a").Reserve(t.Context(), claim)
+		reservation, err := nodes.newAccounts("a").Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		reservation.Settle(300, "w7")
 		claim.Continues = true
-		two := nodes.book("b")
+		two := nodes.newAccounts("b")
 		reservation, err = two.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		require.Equal(t, "w7", reservation.LastWorker)
 		require.True(t, reservation.HandedOver)
 		reservation.Settle(500, "w8")
-		three := nodes.book("c")
+		three := nodes.newAccounts("c")
 		_, err = three.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		commits, _ := table.Calls()
@@ -411,10 +411,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-		_, err := nodes.book("a").Reserve(t.Context(), claim)
+		_, err := nodes.newAccounts("a").Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		nodes.delivery = func() (asked, answered bool) { return false, false }
-		two := nodes.book("b")
+		two := nodes.newAccounts("b")
 		start := time.Now()
 		for range 10 {
 			_, err := two.Reserve(t.Context(), claim)
@@ -431,8 +431,8 @@
 	for _, lost := range []storetest.Fault{storetest.None, storetest.Refused, storetest.ResponseLost, storetest.ConnectionReset, storetest.AppliedThenReset} {
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
-			book := newTestBook(table, "a")
-			reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
+			accounts := newTestAccounts(table, "a")
+			reservation, err := accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
 			require.NoError(t, err)
 			reservation.Settle(300, "")
 			calls := 0
@@ -442,13 +442,13 @@
 				}
 				return lost // the retry arrives
 			})
-			book.GiveBack(t.Context())
+			accounts.GiveBack(t.Context())
 			table.SetFault(nil)
 			for next, tokens := range []int{589, 10} { // the first one prefetches one token
-				_, err = newTestBook(table, fmt.Sprint("b", next)).Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: tokens})
+				_, err = newTestAccounts(table, fmt.Sprint("b", next)).Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: tokens})
 				require.NoError(t, err, "fault %d", lost)
 			}
-			_, err = newTestBook(table, "c").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 1})
+			_, err = newTestAccounts(table, "c").Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 1})
 			require.True(t, fault.Is(err, fault.BudgetExhausted), "fault %d: %v", lost, err)
 			time.Sleep(time.Minute)
 		})
@@ -462,12 +462,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			table := storetest.New()
 			claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-			_, err := newTestBook(table, "a").Reserve(t.Context(), claim)
+			_, err := newTestAccounts(table, "a").Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			commits, _ := table.Calls()
 			require.Equal(t, 1, commits, "a first turn takes one store call")
 			claim.Continues = continues
-			_, err = newTestBook(table, "b").Reserve(t.Context(), claim)
+			_, err = newTestAccounts(table, "b").Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			commits, reads := table.Calls()
 			require.Equal(t, 3, commits+reads)
@@ -485,7 +485,7 @@
 			table := storetest.New()
 			nodes := newCluster(table)
 			claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-			a, b := nodes.book("a"), nodes.book("b")
+			a, b := nodes.newAccounts("a"), nodes.newAccounts("b")
 			for _, program := range []string{"p", "q", "other"} {
 				claim.Program = program
 				reservation, err := a.Reserve(t.Context(), claim)
@@ -506,12 +506,12 @@
 			require.Less(t, time.Since(start), 200*time.Millisecond)
 
 			claim.Program = "q"
-			for _, kept := range []bool{true, false} {
-				claim.MustPersist = kept // if set, the turn cannot end without the store
+			for _, mustPersist := range []bool{true, false} {
+				claim.MustPersist = mustPersist // if set, the turn cannot end without the store
 				ctx, cancel = context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer cancel()
 				_, err = b.Reserve(ctx, claim)
-				require.Equal(t, kept, fault.Is(err, fault.Unavailable), err)
+				require.Equal(t, mustPersist, fault.Is(err, fault.Unavailable), err)
 			}
 			time.Sleep(time.Minute)
 		})
@@ -524,16 +524,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		nodes := newCluster(table)
-		book := nodes.book("one")
+		accounts := nodes.newAccounts("one")
 		for node := range 100 {
-			book.addPeers(Holder{Process: fmt.Sprint(node), Address: fmt.Sprint(node)})
+			accounts.addPeers(Holder{Process: fmt.Sprint(node), Address: fmt.Sprint(node)})
 		}
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
 		for turn := range 100 {
 			go func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer cancel()
-				_, _ = book.Reserve(ctx, Claim{Program: fmt.Sprint("p", turn), Budget: 60_000, Tokens: 500})
+				_, _ = accounts.Reserve(ctx, Claim{Program: fmt.Sprint("p", turn), Budget: 60_000, Tokens: 500})
 			}()
 		}
 		time.Sleep(time.Second)
@@ -549,7 +549,7 @@
 func TestLostHandOverAnswerIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
-		a, b := nodes.book("a"), nodes.book("b")
+		a, b := nodes.newAccounts("a"), nodes.newAccounts("b")
 		reservation, err := a.Reserve(t.Context(), Claim{Program: "p", Budget: 589, Tokens: 589})
 		require.NoError(t, err)
 		reservation.Settle(0, "")
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -39,7 +39,7 @@
 // draw obtains the tokens that this node lacks for a turn, from other nodes or the store,
 // and reserves them for the turn. If it succeeds, the caller holds account.sharesLock and
 // must release it.
-func (b *Accounts) draw(ctx context.Context, account *account, claim Claim, sources *tokenSources) error {
+func (a *Accounts) draw(ctx context.Context, account *account, claim Claim, sources *tokenSources) error {
 	select {
 	case account.sharesLock <- struct{}{}:
 	case <-ctx.Done():
@@ -47,7 +47,7 @@
 	}
 	var throttled store.Backoff
 	for {
-		taken, err := b.drawOnce(ctx, account, claim, sources)
+		taken, err := a.drawOnce(ctx, account, claim, sources)
 		account.publishRows()
 		if taken {
 			return nil
@@ -86,7 +86,7 @@
 // It fails with fault.BudgetExhausted if the turn exceeds the whole budget, if a recent
 // refusal by the store still applies, or if all shares were read and are exhausted and no
 // other process may still hand over or grant the missing tokens.
-func (b *Accounts) drawOnce(ctx context.Context, account *account, claim Claim, sources *tokenSources) (taken bool, failure error) {
+func (a *Accounts) drawOnce(ctx context.Context, account *account, claim Claim, sources *tokenSources) (taken bool, failure error) {
 	budget, tokens := claim.Budget, claim.Tokens
 	if account.reserve(tokens) {
 		return true, nil
@@ -97,33 +97,33 @@
 	if err := account.checkExhausted(budget, tokens); err != nil {
 		return false, err
 	}
-	b.requestFromHolders(ctx, account, tokens, sources)
+	a.requestFromHolders(ctx, account, tokens, sources)
 	if !account.anyRowRead() || account.wasExhausted() {
-		located := b.requestFromLocated(ctx, account, tokens, sources)
+		located := a.requestFromLocated(ctx, account, tokens, sources)
 		if account.reserve(tokens) {
 			return true, nil
 		}
-		if located.refuses(tokens) && !b.mayRecover(account) {
+		if located.refuses(tokens) && !a.mayRecover(account) {
 			return false, located.refusal(tokens)
 		}
 	}
-	if b.storeUnavailable() && !claim.MustPersist && b.reserveWithoutStore(ctx, account, claim, sources) {
+	if a.storeUnavailable() && !claim.MustPersist && a.reserveWithoutStore(ctx, account, claim, sources) {
 		return true, nil
 	}
 	failures := 0
-	claim.reportHolders(b.responsiveHolders(account))
+	claim.reportHolders(a.responsiveHolders(account))
 	for _, index := range account.shareOrder(budget, account.shortfall(tokens)) {
-		limited, cancel := context.WithTimeout(ctx, store.PatienceAtLeast(b.options.Store, shareTimeout))
-		err := b.drawFromShare(limited, account, index, claim, sources)
+		limited, cancel := context.WithTimeout(ctx, store.PatienceAtLeast(a.options.Store, shareTimeout))
+		err := a.drawFromShare(limited, account, index, claim, sources)
 		cancel()
-		b.recordShareResult(err)
+		a.recordShareResult(err)
 		if err != nil {
 			failure = err
-			b.requestFromLocated(ctx, account, tokens, sources)
+			a.requestFromLocated(ctx, account, tokens, sources)
 			if !claim.MustPersist {
-				b.broadcastRequest(ctx, account, tokens, sources)
+				a.broadcastRequest(ctx, account, tokens, sources)
 			}
-			if failures++; failures > 1 && !claim.MustPersist && b.requestGrant(ctx, account, claim, sources) {
+			if failures++; failures > 1 && !claim.MustPersist && a.requestGrant(ctx, account, claim, sources) {
 				return true, nil
 			}
 		}
@@ -137,21 +137,21 @@
 			break // all shares lie in the same throttled table
 		}
 	}
-	if (failure == nil || !claim.MustPersist) && b.requestGrant(ctx, account, claim, sources) {
+	if (failure == nil || !claim.MustPersist) && a.requestGrant(ctx, account, claim, sources) {
 		return true, nil
 	}
 	if failure != nil {
 		return false, failure
 	}
-	if b.mayRecover(account) {
+	if a.mayRecover(account) {
 		return false, errHolderUnresponsive
 	}
-	if b.ownerUnanswered(claim, sources) {
+	if a.ownerUnanswered(claim, sources) {
 		return false, errOwnerUnresponsive
 	}
 	account.markExhausted()
-	if b.options.Locator != nil {
-		b.options.Locator.RecordRefusal(account.program, tokens)
+	if a.options.Locator != nil {
+		a.options.Locator.RecordRefusal(account.program, tokens)
 	}
 	return false, exhaustedError(account.undrawn(budget), budget, tokens)
 }
@@ -159,17 +159,17 @@
 // reserveWithoutStore obtains a turn's tokens while the store is unavailable: from
 // processes that the locator returns, from recent peers and from the owner. It reports
 // whether the turn's tokens are reserved.
-func (b *Accounts) reserveWithoutStore(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
-	b.requestFromLocated(ctx, account, claim.Tokens, sources)
-	b.broadcastRequest(ctx, account, claim.Tokens, sources)
-	return account.reserve(claim.Tokens) || b.requestGrant(ctx, account, claim, sources)
+func (a *Accounts) reserveWithoutStore(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
+	a.requestFromLocated(ctx, account, claim.Tokens, sources)
+	a.broadcastRequest(ctx, account, claim.Tokens, sources)
+	return account.reserve(claim.Tokens) || a.requestGrant(ctx, account, claim, sources)
 }
 
 // drawFromShare draws from one share until the turn has its tokens or the share is
 // exhausted. If it finds that other processes have drawn from the share, it asks them
 // first. A nil error means that the turn has its tokens or that the row is known to be
 // current.
-func (b *Accounts) drawFromShare(ctx context.Context, account *account, index int, claim Claim, sources *tokenSources) error {
+func (a *Accounts) drawFromShare(ctx context.Context, account *account, index int, claim Claim, sources *tokenSources) error {
 	budget, tokens := claim.Budget, claim.Tokens
 	share, limit := account.shares[index], account.limit(budget, index)
 	certain := false
@@ -183,17 +183,17 @@
 			return nil
 		}
 		if left == 0 || claim.Continues && !share.hasRow() {
-			found, err := share.read(ctx, b.options.Store)
+			found, err := share.read(ctx, a.options.Store)
 			if err != nil {
 				return err
 			}
 			account.addFree(found.drawn)
 			certain = true
-			b.requestFromHolders(ctx, account, tokens, sources)
+			a.requestFromHolders(ctx, account, tokens, sources)
 			continue
 		}
 		wanted := drawSize(index, left, missing, prefetchSize(account.undrawnWithOwnedParts(budget)-missing, tokens))
-		found, done, err := share.commit(ctx, b.options.Store, store.CommitUnlessThrottled, wanted, account.lastKnownWorker())
+		found, done, err := share.commit(ctx, a.options.Store, store.CommitUnlessThrottled, wanted, account.lastKnownWorker())
 		if err != nil {
 			return err
 		}
@@ -203,7 +203,7 @@
 		}
 		certain = !done
 		if !done {
-			b.requestFromHolders(ctx, account, tokens, sources)
+			a.requestFromHolders(ctx, account, tokens, sources)
 		}
 	}
 }
--- a/internal/budget/giveback_test.go
+++ b/internal/budget/giveback_test.go
@@ -40,13 +40,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := &failingPartStore{Store: storetest.New(), part: rowKey("p", 1).Part}
 		table.closed.Store(true)
-		book := newTestBook(table.Store, "a")
-		reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
+		accounts := newTestAccounts(table.Store, "a")
+		reservation, err := accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 589})
 		require.NoError(t, err)
 		reservation.Settle(300, "")
-		book.options.Store = table
+		accounts.options.Store = table
 		table.closed.Store(false)
-		book.GiveBack(t.Context())
+		accounts.GiveBack(t.Context())
 		require.GreaterOrEqual(t, totalDrawn(t, table.Store, "p"), 300, "used tokens stay drawn")
 		time.Sleep(time.Minute)
 	})
--- a/internal/budget/grant_test.go
+++ b/internal/budget/grant_test.go
@@ -47,11 +47,11 @@
 	return Grant{Tokens: tokens}, !g.loseAnswers
 }
 
-// newOwnedBook returns a book of the cluster that requests grants from owner.
-func newOwnedBook(nodes *cluster, process string, owner *fakeOwner) *Accounts {
-	book := nodes.book(process)
-	book.options.Granter = ownerClient{owner, book.options.Self}
-	return book
+// newOwnedAccounts returns accounts in the cluster that request grants from owner.
+func newOwnedAccounts(nodes *cluster, process string, owner *fakeOwner) *Accounts {
+	accounts := nodes.newAccounts(process)
+	accounts.options.Granter = ownerClient{owner, accounts.options.Self}
+	return accounts
 }
 
 // largeClaim is for a budget with owned parts.
@@ -67,7 +67,7 @@
 			table.SetFault(func(string, bool) storetest.Fault { return outage })
 			ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 			defer cancel()
-			a := newOwnedBook(nodes, "a", owner)
+			a := newOwnedAccounts(nodes, "a", owner)
 			reservation, err := a.Reserve(ctx, largeClaim)
 			require.NoError(t, err)
 			require.True(t, reservation.Granted)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestKeptTurnIsNotGranted guards against starting a turn that cannot end without the
+// TestTurnThatMustPersistIsNotGranted guards against starting a turn that cannot end without the
 // store.
-func TestKeptTurnIsNotGranted(t *testing.T) {
+func TestTurnThatMustPersistIsNotGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		nodes, owner := newCluster(table), newFakeOwner()
@@ -93,7 +93,7 @@
 		defer cancel()
 		claim := largeClaim
 		claim.MustPersist = true
-		_, err := newOwnedBook(nodes, "a", owner).Reserve(ctx, claim)
+		_, err := newOwnedAccounts(nodes, "a", owner).Reserve(ctx, claim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
 		require.Zero(t, owner.requests)
 		time.Sleep(time.Minute)
@@ -116,7 +116,7 @@
 // unusable while the store is available, and against using the parts of further owners.
 func TestOwnedPartIsGrantedOnceRowsAreExhausted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		used, err := spendAll(t, newOwnedBook(newCluster(storetest.New()), "a", newFakeOwner()), largeClaim)
+		used, err := spendAll(t, newOwnedAccounts(newCluster(storetest.New()), "a", newFakeOwner()), largeClaim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted), err)
 		part := ownedPart(largeClaim.Budget)
 		require.Greater(t, used, largeClaim.Budget-OwnedParts*part+part-largeClaim.Tokens)
@@ -131,7 +131,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		owner := newFakeOwner()
 		owner.unresponsive = true
-		a := newOwnedBook(newCluster(storetest.New()), "a", owner)
+		a := newOwnedAccounts(newCluster(storetest.New()), "a", owner)
 		_, err := spendAll(t, a, largeClaim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
 		owner.unresponsive = false
@@ -147,7 +147,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		owner := newFakeOwner()
 		owner.loseAnswers = true
-		a := newOwnedBook(newCluster(storetest.New()), "a", owner)
+		a := newOwnedAccounts(newCluster(storetest.New()), "a", owner)
 		_, err := spendAll(t, a, largeClaim)
 		require.True(t, fault.Is(err, fault.Unavailable), err)
 		owner.loseAnswers = false
@@ -163,7 +163,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		nodes, owner := newCluster(table), newFakeOwner()
-		a, b := newOwnedBook(nodes, "a", owner), newOwnedBook(nodes, "b", owner)
+		a, b := newOwnedAccounts(nodes, "a", owner), newOwnedAccounts(nodes, "b", owner)
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
 		reservation, err := a.Reserve(t.Context(), largeClaim)
 		require.NoError(t, err)
@@ -181,7 +181,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		nodes, owner := newCluster(table), newFakeOwner()
-		a, b := newOwnedBook(nodes, "a", owner), newOwnedBook(nodes, "b", owner)
+		a, b := newOwnedAccounts(nodes, "a", owner), newOwnedAccounts(nodes, "b", owner)
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
 		owner.delay = 300 * time.Millisecond
 		ctx, cancel := context.WithTimeout(t.Context(), 250*time.Millisecond)
@@ -204,7 +204,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		owner := newFakeOwner()
 		claim := Claim{Program: "p", Budget: minOwnedBudget - 1, Tokens: 200}
-		used, err := spendAll(t, newOwnedBook(newCluster(storetest.New()), "a", owner), claim)
+		used, err := spendAll(t, newOwnedAccounts(newCluster(storetest.New()), "a", owner), claim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted), err)
 		require.GreaterOrEqual(t, used, claim.Budget-claim.Tokens)
 		require.Zero(t, owner.requests)
@@ -217,7 +217,7 @@
 func TestFirstTurnTakesOneStoreCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		_, err := newOwnedBook(newCluster(table), "a", newFakeOwner()).Reserve(t.Context(), Claim{Program: "p", Budget: 1296, Tokens: 288})
+		_, err := newOwnedAccounts(newCluster(table), "a", newFakeOwner()).Reserve(t.Context(), Claim{Program: "p", Budget: 1296, Tokens: 288})
 		require.NoError(t, err)
 		commits, reads := table.Calls()
 		require.Equal(t, 1, commits+reads)
--- a/internal/budget/hint_test.go
+++ b/internal/budget/hint_test.go
@@ -18,16 +18,16 @@
 func TestHintedRowsAreNotReadFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, _ := newLocatedBooks(table, 3)
+		nodeAccounts, _ := newLocatedAccounts(table, 3)
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-		reservation, err := books[0].Reserve(t.Context(), claim)
+		reservation, err := nodeAccounts[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		reservation.Settle(500, "w1")
 		claim.Continues = true
 		for index, tokens := range []int{3500, 15_000} { // more than the earlier nodes hold
-			book := books[1+index]
+			accounts := nodeAccounts[1+index]
 			claim.Tokens = tokens
-			reservation, err = book.Reserve(t.Context(), claim)
+			reservation, err = accounts.Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			require.True(t, reservation.HandedOver)
 			reservation.Settle(claim.Tokens, "w1")
@@ -44,7 +44,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-		first := newTestBook(table, "a")
+		first := newTestAccounts(table, "a")
 		_, err := first.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		stale := first.accountOf("p").publishedRows
@@ -53,7 +53,7 @@
 		require.NoError(t, err)
 		before, _ := table.Calls()
 
-		second := newTestBook(table, "b")
+		second := newTestAccounts(table, "b")
 		second.accountOf("p").addHints(stale)
 		claim.Continues = true
 		_, err = second.Reserve(t.Context(), claim)
@@ -80,13 +80,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		claim := Claim{Program: "p", Budget: 9000, Tokens: 500, Continues: true}
-		hinted := newTestBook(table, "a")
+		hinted := newTestAccounts(table, "a")
 		hinted.accountOf("p").addHints(exhaustedRows())
 		_, err := hinted.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
-		hinted = newTestBook(table, "b")
+		hinted = newTestAccounts(table, "b")
 		hinted.accountOf("p").addHints(exhaustedRows())
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -140,9 +140,9 @@
 func TestHoldersAreReportedBeforeTheStoreIsCalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, _ := newLocatedBooks(table, 2)
+		nodeAccounts, _ := newLocatedAccounts(table, 2)
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-		_, err := books[0].Reserve(t.Context(), claim)
+		_, err := nodeAccounts[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost })
 		var reported []Holder
@@ -150,7 +150,7 @@
 		claim.OnHolders = func(others []Holder) { reported = others }
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = books[1].Reserve(ctx, claim)
+		_, err = nodeAccounts[1].Reserve(ctx, claim)
 		require.Error(t, err)
 		require.Equal(t, []Holder{{Process: "n0", Address: "n0"}}, reported)
 	})
--- a/internal/budget/latency_test.go
+++ b/internal/budget/latency_test.go
@@ -27,9 +27,9 @@
 	return d.Peers.HandOver(ctx, address, request)
 }
 
-// delayedBook returns a book whose peers answer after delay and whose request timeout is
+// newDelayedAccounts returns accounts whose peers answer after delay and whose request timeout is
 // adapted to that.
-func (c *cluster) delayedBook(process string, delay time.Duration) *Accounts {
+func (c *cluster) newDelayedAccounts(process string, delay time.Duration) *Accounts {
 	return NewAccounts(Options{
 		Store: c.table, Self: Holder{Process: process, Address: process}, Peers: delayedPeers{c, delay},
 		Patience: func(_ string, least, most time.Duration) time.Duration { return min(max(delay+delay/4, least), most) },
@@ -44,11 +44,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				nodes := newCluster(storetest.New())
 				claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-				reservation, err := nodes.book("a").Reserve(t.Context(), claim)
+				reservation, err := nodes.newAccounts("a").Reserve(t.Context(), claim)
 				require.NoError(t, err)
 				reservation.Settle(0, "")
 				claim.Continues = true
-				reservation, err = nodes.delayedBook("b", delay).Reserve(t.Context(), claim)
+				reservation, err = nodes.newDelayedAccounts("b", delay).Reserve(t.Context(), claim)
 				require.NoError(t, err)
 				require.True(t, reservation.HandedOver)
 			})
@@ -62,10 +62,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		claim := Claim{Program: "p", Budget: 60_000, Tokens: 500}
-		reservation, err := nodes.book("a").Reserve(t.Context(), claim)
+		reservation, err := nodes.newAccounts("a").Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		reservation.Settle(0, "")
-		two := nodes.delayedBook("b", 100*time.Millisecond)
+		two := nodes.newDelayedAccounts("b", 100*time.Millisecond)
 		claim.Continues = true
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
--- a/internal/budget/locate_test.go
+++ b/internal/budget/locate_test.go
@@ -43,18 +43,18 @@
 // RecordReturned implements Locator.
 func (l fakeLocator) RecordReturned(_ context.Context, program string) { delete(l.refused, program) }
 
-// newLocatedBooks returns books that share a locator and have not seen each other.
-func newLocatedBooks(table *storetest.Table, count int) (books []*Accounts, calls *int) {
+// newLocatedAccounts returns the accounts of nodes that share a locator and have not seen each other.
+func newLocatedAccounts(table *storetest.Table, count int) (nodeAccounts []*Accounts, calls *int) {
 	nodes := newCluster(table)
 	calls = new(int)
 	shared := fakeLocator{askers: map[string][]Holder{}, calls: calls, refused: map[string]int{}, refusedAt: map[string]time.Time{}}
 	for index := range count {
-		book := nodes.book(fmt.Sprint("n", index))
-		shared.self = book.options.Self
-		book.options.Locator = shared
-		books = append(books, book)
+		accounts := nodes.newAccounts(fmt.Sprint("n", index))
+		shared.self = accounts.options.Self
+		accounts.options.Locator = shared
+		nodeAccounts = append(nodeAccounts, accounts)
 	}
-	return books, calls
+	return nodeAccounts, calls
 }
 
 // TestProgramMovesToANewNodeDuringStoreOutage guards against a new node that needs the
@@ -62,15 +62,15 @@
 func TestProgramMovesToANewNodeDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, _ := newLocatedBooks(table, 4)
+		nodeAccounts, _ := newLocatedAccounts(table, 4)
 		claim := Claim{Program: "p", Budget: 12000, Tokens: 500}
-		reservation, err := books[0].Reserve(t.Context(), claim)
+		reservation, err := nodeAccounts[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		reservation.Settle(100, "w1")
 		table.SetFault(func(string, bool) storetest.Fault { return storetest.Refused })
-		for _, book := range books[1:] {
+		for _, accounts := range nodeAccounts[1:] {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-			reservation, err = book.Reserve(ctx, claim)
+			reservation, err = accounts.Reserve(ctx, claim)
 			cancel()
 			require.NoError(t, err, "no node has seen another before")
 			require.True(t, reservation.HandedOver)
@@ -86,9 +86,9 @@
 func TestMovingAProgramCallsTheStoreOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, calls := newLocatedBooks(table, 4)
-		for _, book := range books {
-			reservation, err := book.Reserve(t.Context(), Claim{Program: "p", Budget: 12000, Tokens: 500})
+		nodeAccounts, calls := newLocatedAccounts(table, 4)
+		for _, accounts := range nodeAccounts {
+			reservation, err := accounts.Reserve(t.Context(), Claim{Program: "p", Budget: 12000, Tokens: 500})
 			require.NoError(t, err)
 			reservation.Settle(100, "w1")
 		}
@@ -103,9 +103,9 @@
 // draw.
 func TestLocatorIsNotAskedOnceRowsWereRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		books, calls := newLocatedBooks(storetest.New(), 1)
+		nodeAccounts, calls := newLocatedAccounts(storetest.New(), 1)
 		for range 8 {
-			reservation, err := books[0].Reserve(t.Context(), Claim{Program: "p", Budget: 12000, Tokens: 500})
+			reservation, err := nodeAccounts[0].Reserve(t.Context(), Claim{Program: "p", Budget: 12000, Tokens: 500})
 			require.NoError(t, err)
 			reservation.Settle(500, "w1")
 		}
@@ -118,23 +118,23 @@
 func TestReportedExhaustionIsNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		books, _ := newLocatedBooks(table, 6)
+		nodeAccounts, _ := newLocatedAccounts(table, 6)
 		claim := Claim{Program: "p", Budget: 600, Tokens: 600}
-		reservation, err := books[0].Reserve(t.Context(), claim)
+		reservation, err := nodeAccounts[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		reservation.Settle(600, "w1")
-		_, err = books[1].Reserve(t.Context(), claim)
+		_, err = nodeAccounts[1].Reserve(t.Context(), claim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted))
 		commits, reads := table.Calls()
-		for _, book := range books[2:] {
-			_, err = book.Reserve(t.Context(), claim)
+		for _, accounts := range nodeAccounts[2:] {
+			_, err = accounts.Reserve(t.Context(), claim)
 			require.True(t, fault.Is(err, fault.BudgetExhausted))
 			require.Equal(t, fault.RanNo, fault.From(err).Ran)
 		}
 		commitsAfter, readsAfter := table.Calls()
 		require.Equal(t, []int{commits, reads}, []int{commitsAfter, readsAfter}, "the other nodes reuse the refusal")
 		time.Sleep(peerExhaustedTTL)
-		_, err = books[5].Reserve(t.Context(), claim)
+		_, err = nodeAccounts[5].Reserve(t.Context(), claim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted))
 		commitsLater, readsLater := table.Calls()
 		require.Greater(t, commitsLater+readsLater, commitsAfter+readsAfter, "an older refusal is not reused")
@@ -145,9 +145,9 @@
 // remaining tokens may cover.
 func TestTurnSmallerThanTheRefusedOneIsTried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		books, _ := newLocatedBooks(storetest.New(), 2)
-		books[0].options.Locator.RecordRefusal("p", 600)
-		reservation, err := books[1].Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 300})
+		nodeAccounts, _ := newLocatedAccounts(storetest.New(), 2)
+		nodeAccounts[0].options.Locator.RecordRefusal("p", 600)
+		reservation, err := nodeAccounts[1].Reserve(t.Context(), Claim{Program: "p", Budget: 900, Tokens: 300})
 		require.NoError(t, err)
 		reservation.Settle(300, "w1")
 	})
@@ -157,15 +157,15 @@
 // were returned to the store.
 func TestReturnedTokensWithdrawTheRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		books, _ := newLocatedBooks(storetest.New(), 3)
+		nodeAccounts, _ := newLocatedAccounts(storetest.New(), 3)
 		claim := Claim{Program: "p", Budget: 600, Tokens: 600}
-		reservation, err := books[0].Reserve(t.Context(), claim)
+		reservation, err := nodeAccounts[0].Reserve(t.Context(), claim)
 		require.NoError(t, err)
-		_, err = books[1].Reserve(t.Context(), claim)
+		_, err = nodeAccounts[1].Reserve(t.Context(), claim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted), "all tokens are reserved")
 		reservation.Settle(0, "")
-		require.Equal(t, 600, books[0].GiveBack(t.Context()))
-		reservation, err = books[2].Reserve(t.Context(), claim)
+		require.Equal(t, 600, nodeAccounts[0].GiveBack(t.Context()))
+		reservation, err = nodeAccounts[2].Reserve(t.Context(), claim)
 		require.NoError(t, err, "the refusal has been withdrawn")
 		reservation.Settle(600, "w1")
 	})
--- a/internal/budget/overdraft_test.go
+++ b/internal/budget/overdraft_test.go
@@ -20,11 +20,11 @@
 		nodes := newCluster(storetest.New())
 		claim := Claim{Program: "p", Budget: 900, Tokens: 589}
 		for _, process := range []string{"a", "b"} {
-			_, err := nodes.book(process).Reserve(t.Context(), claim)
+			_, err := nodes.newAccounts(process).Reserve(t.Context(), claim)
 			require.NoError(t, err, "at node %s", process)
 			nodes.makeUnreachable(process)
 		}
-		c := nodes.book("c")
+		c := nodes.newAccounts("c")
 		_, err := c.Reserve(t.Context(), claim)
 		require.True(t, fault.Is(err, fault.Unavailable), "the other nodes may still recover: %v", err)
 		time.Sleep(unresponsiveGrace)
@@ -41,15 +41,15 @@
 		table := storetest.New()
 		for _, tokens := range []int{300, 599, 600} {
 			claim := Claim{Program: "p", Budget: 600, Tokens: tokens}
-			first := newTestBook(table, "a")
+			first := newTestAccounts(table, "a")
 			reservation, err := first.Reserve(t.Context(), claim)
 			require.NoError(t, err)
 			reservation.Settle(0, "")
 			first.GiveBack(t.Context())
 		}
-		_, err := newTestBook(table, "b").Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 600})
+		_, err := newTestAccounts(table, "b").Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 600})
 		require.NoError(t, err)
-		_, err = newTestBook(table, "c").Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 1})
+		_, err = newTestAccounts(table, "c").Reserve(t.Context(), Claim{Program: "p", Budget: 600, Tokens: 1})
 		require.True(t, fault.Is(err, fault.BudgetExhausted), err)
 	})
 }
@@ -60,11 +60,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		claim := Claim{Program: "p", Budget: 589, Tokens: 589}
-		reservation, err := nodes.book("a").Reserve(t.Context(), claim)
+		reservation, err := nodes.newAccounts("a").Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		reservation.Settle(0, "")
 		nodes.delivery = func() (asked, answered bool) { return false, false }
-		b := nodes.book("b")
+		b := nodes.newAccounts("b")
 		for range 3 {
 			_, err = b.Reserve(t.Context(), claim)
 			require.True(t, fault.Is(err, fault.Unavailable), err)
@@ -78,16 +78,16 @@
 	})
 }
 
-// TestEndedHolderDoesNotDeferExhaustion guards against waiting for a process that has
+// TestExitedHolderDoesNotDeferExhaustion guards against waiting for a process that has
 // exited: its tokens are lost.
-func TestEndedHolderDoesNotDeferExhaustion(t *testing.T) {
+func TestExitedHolderDoesNotDeferExhaustion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		nodes := newCluster(storetest.New())
 		claim := Claim{Program: "p", Budget: 589, Tokens: 589}
-		_, err := nodes.book("a").Reserve(t.Context(), claim)
+		_, err := nodes.newAccounts("a").Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		nodes.closePort("a")
-		_, err = nodes.book("b").Reserve(t.Context(), claim)
+		_, err = nodes.newAccounts("b").Reserve(t.Context(), claim)
 		require.True(t, fault.Is(err, fault.BudgetExhausted), err)
 	})
 }
@@ -109,7 +109,7 @@
 				start := time.Now()
 				ctx, cancel := context.WithTimeout(t.Context(), 900*time.Millisecond)
 				defer cancel()
-				_, err := newTestBook(table, "a").Reserve(ctx, Claim{Program: "p", Budget: 6000, Tokens: 500})
+				_, err := newTestAccounts(table, "a").Reserve(ctx, Claim{Program: "p", Budget: 6000, Tokens: 500})
 				require.NoError(t, err)
 				require.Less(t, time.Since(start), 200*time.Millisecond)
 			})
--- a/internal/budget/owned.go
+++ b/internal/budget/owned.go
@@ -106,12 +106,12 @@
 // requestGrant asks the owner for its part of the budget, unless the owner has already
 // answered this turn. It reports whether the turn's tokens are reserved. The caller holds
 // account.sharesLock.
-func (b *Accounts) requestGrant(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
+func (a *Accounts) requestGrant(ctx context.Context, account *account, claim Claim, sources *tokenSources) bool {
 	part := ownedPart(claim.Budget)
-	if b.options.Granter == nil || part == 0 || sources.ownerAnswered || account.shortfall(claim.Tokens) <= 0 {
+	if a.options.Granter == nil || part == 0 || sources.ownerAnswered || account.shortfall(claim.Tokens) <= 0 {
 		return false
 	}
-	call := b.startGrant(account, part)
+	call := a.startGrant(account, part)
 	timer := time.NewTimer(grantTimeout)
 	defer timer.Stop()
 	select {
@@ -128,7 +128,7 @@
 	sources.granted = sources.granted || call.answer.Tokens > 0
 	if call.answer.Taker.Process != "" {
 		account.addHolders(call.answer.Taker)
-		b.requestFromHolders(ctx, account, claim.Tokens, sources)
+		a.requestFromHolders(ctx, account, claim.Tokens, sources)
 	}
 	return account.reserve(claim.Tokens)
 }
@@ -136,25 +136,25 @@
 // startGrant returns the account's running request to the owner, or starts one. The
 // request continues if the turn gives up. Its tokens are then available to the next turn,
 // and to other nodes, which the owner refers to this process.
-func (b *Accounts) startGrant(account *account, part int) *grantCall {
+func (a *Accounts) startGrant(account *account, part int) *grantCall {
 	account.mutex.Lock()
 	defer account.mutex.Unlock()
 	if account.grantInFlight != nil {
 		return account.grantInFlight
 	}
 	if account.grantNumber == 0 {
-		account.grantNumber = b.lastRequestNumber.Add(1)
+		account.grantNumber = a.lastRequestNumber.Add(1)
 	}
 	call := &grantCall{done: make(chan struct{})}
 	account.grantInFlight = call
-	go b.runGrant(account, call, part, account.grantNumber)
+	go a.runGrant(account, call, part, account.grantNumber)
 	return call
 }
 
 // runGrant sends the request up to grantAttempts times, until the owner answers.
-func (b *Accounts) runGrant(account *account, call *grantCall, part int, number uint64) {
+func (a *Accounts) runGrant(account *account, call *grantCall, part int, number uint64) {
 	for range grantAttempts {
-		call.answer, call.ok = b.options.Granter.Grant(context.Background(), account.program, part, number)
+		call.answer, call.ok = a.options.Granter.Grant(context.Background(), account.program, part, number)
 		if call.ok {
 			break
 		}
@@ -171,19 +171,19 @@
 
 // ownerUnanswered reports whether an owner may grant tokens to the program but has not
 // answered.
-func (b *Accounts) ownerUnanswered(claim Claim, sources *tokenSources) bool {
-	return b.options.Granter != nil && ownedPart(claim.Budget) > 0 && !sources.ownerAnswered
+func (a *Accounts) ownerUnanswered(claim Claim, sources *tokenSources) bool {
+	return a.options.Granter != nil && ownedPart(claim.Budget) > 0 && !sources.ownerAnswered
 }
 
 // recordShareResult records whether a call for a share was answered. Throttling counts as
 // an answer.
-func (b *Accounts) recordShareResult(err error) {
+func (a *Accounts) recordShareResult(err error) {
 	if err == nil || errors.Is(err, store.ErrThrottled) {
-		b.shareFailures.Store(0)
+		a.shareFailures.Store(0)
 		return
 	}
-	b.shareFailures.Add(1)
-	b.lastShareFailure.Store(time.Now().UnixNano())
+	a.shareFailures.Add(1)
+	a.lastShareFailure.Store(time.Now().UnixNano())
 }
 
 // suspectReporter is a store that reports whether its recent calls failed.
@@ -191,9 +191,9 @@
 
 // storeUnavailable reports whether recent calls to the store, for any program, went
 // unanswered.
-func (b *Accounts) storeUnavailable() bool {
-	if table, ok := b.options.Store.(suspectReporter); ok && table.Suspect() {
+func (a *Accounts) storeUnavailable() bool {
+	if table, ok := a.options.Store.(suspectReporter); ok && table.Suspect() {
 		return true
 	}
-	return b.shareFailures.Load() >= unavailableFailures && time.Since(time.Unix(0, b.lastShareFailure.Load())) < unavailableFor
+	return a.shareFailures.Load() >= unavailableFailures && time.Since(time.Unix(0, a.lastShareFailure.Load())) < unavailableFor
 }
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -91,56 +91,56 @@
 // requestFromHolders asks the processes that may hold tokens of the program, one after
 // the other, until the turn has enough or maxRequestsPerTurn is reached. The caller holds
 // account.sharesLock.
-func (b *Accounts) requestFromHolders(ctx context.Context, account *account, tokens int, sources *tokenSources) {
-	if b.options.Peers == nil {
+func (a *Accounts) requestFromHolders(ctx context.Context, account *account, tokens int, sources *tokenSources) {
+	if a.options.Peers == nil {
 		return
 	}
 	account.addHoldersFromRows()
-	b.addPeers(account.knownHolders()...)
+	a.addPeers(account.knownHolders()...)
 	for len(sources.askedProcesses) < maxRequestsPerTurn && ctx.Err() == nil {
 		missing := account.shortfall(tokens)
-		holder, found := b.nextHolder(account, sources)
+		holder, found := a.nextHolder(account, sources)
 		if missing <= 0 || !found {
 			return
 		}
 		sources.askedProcesses = append(sources.askedProcesses, holder.Process)
-		if b.requestFrom(ctx, account, holder, missing) {
+		if a.requestFrom(ctx, account, holder, missing) {
 			sources.handedOver = true
 		}
 	}
 }
 
 // requestFromLocated asks the processes that the locator returns, once a turn.
-func (b *Accounts) requestFromLocated(ctx context.Context, account *account, tokens int, sources *tokenSources) (located LocateResult) {
-	if b.options.Locator == nil || sources.locatorAsked || account.shortfall(tokens) <= 0 {
+func (a *Accounts) requestFromLocated(ctx context.Context, account *account, tokens int, sources *tokenSources) (located LocateResult) {
+	if a.options.Locator == nil || sources.locatorAsked || account.shortfall(tokens) <= 0 {
 		return LocateResult{}
 	}
 	sources.locatorAsked = true
-	located = b.options.Locator.Locate(ctx, account.program)
+	located = a.options.Locator.Locate(ctx, account.program)
 	for _, holder := range slices.Backward(located.Holders) { // newest last, as the account lists them
 		account.addHolders(holder)
 	}
 	if len(located.Holders) > 0 {
 		sources.locatorFound = true
-		b.requestFromHolders(ctx, account, tokens, sources)
+		a.requestFromHolders(ctx, account, tokens, sources)
 	}
 	return located
 }
 
 // broadcastRequest asks recent peers in parallel, once a turn, when the store cannot say
 // which of them ran the program. It keeps running programs going during a store outage.
-func (b *Accounts) broadcastRequest(ctx context.Context, account *account, tokens int, sources *tokenSources) {
+func (a *Accounts) broadcastRequest(ctx context.Context, account *account, tokens int, sources *tokenSources) {
 	missing := account.shortfall(tokens)
-	if b.options.Peers == nil || sources.broadcastDone || missing <= 0 || !b.broadcastLimiter.Allow() {
+	if a.options.Peers == nil || sources.broadcastDone || missing <= 0 || !a.broadcastLimiter.Allow() {
 		return
 	}
 	sources.broadcastDone = true
 	var handed atomic.Bool
 	var group errgroup.Group
-	for _, holder := range b.reachablePeers(sources.askedProcesses) {
+	for _, holder := range a.reachablePeers(sources.askedProcesses) {
 		sources.askedProcesses = append(sources.askedProcesses, holder.Process)
 		group.Go(func() error {
-			if b.requestFrom(ctx, account, holder, missing) {
+			if a.requestFrom(ctx, account, holder, missing) {
 				handed.Store(true)
 			}
 			return nil
@@ -151,36 +151,36 @@
 }
 
 // addPeers records processes as recently seen.
-func (b *Accounts) addPeers(holders ...Holder) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+func (a *Accounts) addPeers(holders ...Holder) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
 	for _, holder := range holders {
-		if holder.Process != b.options.Self.Process {
-			b.recentPeers = appendRecent(b.recentPeers, holder, maxRecentPeers)
+		if holder.Process != a.options.Self.Process {
+			a.recentPeers = appendRecent(a.recentPeers, holder, maxRecentPeers)
 		}
 	}
 }
 
 // RecentPeers returns the recently seen processes that are not known to be unresponsive, at most
 // maxBroadcastPeers: those in this process's region first, then the newest.
-func (b *Accounts) RecentPeers() []Holder { return b.reachablePeers(nil) }
+func (a *Accounts) RecentPeers() []Holder { return a.reachablePeers(nil) }
 
-// reachablePeers is Met without the processes in asked.
-func (b *Accounts) reachablePeers(asked []string) []Holder {
-	b.mutex.Lock()
-	nodes := slices.Clone(b.recentPeers)
-	b.mutex.Unlock()
+// reachablePeers is RecentPeers without the processes in asked.
+func (a *Accounts) reachablePeers(asked []string) []Holder {
+	a.mutex.Lock()
+	nodes := slices.Clone(a.recentPeers)
+	a.mutex.Unlock()
 	slices.Reverse(nodes)
 	nodes = slices.DeleteFunc(nodes, func(holder Holder) bool {
-		return slices.Contains(asked, holder.Process) || b.isUnresponsive(holder)
+		return slices.Contains(asked, holder.Process) || a.isUnresponsive(holder)
 	})
-	locality.OwnRegionFirst(b.options.Vantage, nodes, Holder.Zone)
+	locality.OwnRegionFirst(a.options.Vantage, nodes, Holder.Zone)
 	return nodes[:min(len(nodes), maxBroadcastPeers)]
 }
 
 // nextHolder returns the first responsive holder that this turn has not asked.
-func (b *Accounts) nextHolder(account *account, sources *tokenSources) (Holder, bool) {
-	for _, holder := range b.responsiveHolders(account) {
+func (a *Accounts) nextHolder(account *account, sources *tokenSources) (Holder, bool) {
+	for _, holder := range a.responsiveHolders(account) {
 		if !slices.Contains(sources.askedProcesses, holder.Process) {
 			return holder, true
 		}
@@ -190,34 +190,34 @@
 
 // responsiveHolders returns the other processes that may hold tokens and are not known to
 // be unresponsive: those in this process's region first, then the newest.
-func (b *Accounts) responsiveHolders(account *account) []Holder {
+func (a *Accounts) responsiveHolders(account *account) []Holder {
 	holders := account.knownHolders()
 	slices.Reverse(holders)
-	locality.OwnRegionFirst(b.options.Vantage, holders, Holder.Zone)
+	locality.OwnRegionFirst(a.options.Vantage, holders, Holder.Zone)
 	return slices.DeleteFunc(holders, func(holder Holder) bool {
-		return holder.Process == b.options.Self.Process || b.isUnresponsive(holder)
+		return holder.Process == a.options.Self.Process || a.isUnresponsive(holder)
 	})
 }
 
 // requestFrom asks one process and reports whether it handed tokens over.
-func (b *Accounts) requestFrom(ctx context.Context, account *account, holder Holder, missing int) bool {
-	limited, cancel := context.WithTimeout(ctx, b.options.Patience.For(holder.Process, minRequestTimeout, maxRequestTimeout))
+func (a *Accounts) requestFrom(ctx context.Context, account *account, holder Holder, missing int) bool {
+	limited, cancel := context.WithTimeout(ctx, a.options.Patience.For(holder.Process, minRequestTimeout, maxRequestTimeout))
 	defer cancel()
-	answer, err := b.options.Peers.HandOver(limited, holder.Address, HandOverRequest{
+	answer, err := a.options.Peers.HandOver(limited, holder.Address, HandOverRequest{
 		Process: holder.Process,
 		Program: account.program,
 		Tokens:  missing,
-		From:    b.options.Self,
-		Number:  account.requestNumberFor(holder, b.lastRequestNumber.Add(1)),
+		From:    a.options.Self,
+		Number:  account.requestNumberFor(holder, a.lastRequestNumber.Add(1)),
 		Known:   account.knownVersions(),
 	})
 	if err != nil {
 		if ctx.Err() == nil { // a cancelled turn does not mean that the process is unresponsive
-			b.markUnresponsive(holder, limited.Err() != nil)
+			a.markUnresponsive(holder, limited.Err() != nil)
 		}
 		return false
 	}
-	b.markResponsive(holder)
+	a.markResponsive(holder)
 	account.markAnswered(holder)
 	account.addFree(answer.Tokens)
 	account.setLastWorker(answer.Home)
@@ -231,26 +231,26 @@
 }
 
 // HandOver transfers free tokens of this node to the requesting process.
-func (b *Accounts) HandOver(ctx context.Context, request HandOverRequest) HandOverAnswer {
-	if request.Process != b.options.Self.Process || request.Tokens <= 0 {
+func (a *Accounts) HandOver(ctx context.Context, request HandOverRequest) HandOverAnswer {
+	if request.Process != a.options.Self.Process || request.Tokens <= 0 {
 		return HandOverAnswer{}
 	}
-	b.addPeers(request.From)
-	b.mutex.Lock()
-	account, ok := b.accounts[request.Program]
-	b.mutex.Unlock()
+	a.addPeers(request.From)
+	a.mutex.Lock()
+	account, ok := a.accounts[request.Program]
+	a.mutex.Unlock()
 	if !ok {
 		return HandOverAnswer{}
 	}
 	if account.shortfall(request.Tokens) > 0 {
-		b.resolveInDoubt(ctx, account)
+		a.resolveInDoubt(ctx, account)
 	}
 	return account.handOver(request)
 }
 
 // resolveInDoubt reads the rows with transactions in doubt to find out which of them took
 // effect. It does nothing if sharesLock is held.
-func (b *Accounts) resolveInDoubt(ctx context.Context, account *account) {
+func (a *Accounts) resolveInDoubt(ctx context.Context, account *account) {
 	select {
 	case account.sharesLock <- struct{}{}:
 	default:
@@ -263,7 +263,7 @@
 		if len(share.inDoubt) == 0 {
 			continue
 		}
-		if found, err := share.read(ctx, b.options.Store); err == nil {
+		if found, err := share.read(ctx, a.options.Store); err == nil {
 			account.addFree(found.drawn)
 		}
 	}
--- a/internal/budget/regions_test.go
+++ b/internal/budget/regions_test.go
@@ -13,14 +13,14 @@
 // near processes may have tokens, for both direct and broadcast requests.
 func TestPeersInTheSameRegionAreAskedFirst(t *testing.T) {
 	places := locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
-	book := NewAccounts(Options{
+	accounts := NewAccounts(Options{
 		Store: storetest.New(), Self: Holder{Process: locality.ProcessName("a1", "self", "0")},
 		Vantage: locality.Location{Zones: places, Zone: "a1"},
 	})
 	near, nearer, far := Holder{Process: locality.ProcessName("a2", "n", "0")}, Holder{Process: locality.ProcessName("a1", "m", "0")}, Holder{Process: locality.ProcessName("b1", "f", "0")}
-	book.addPeers(near, nearer, far)
-	require.Equal(t, []Holder{nearer, near, far}, book.RecentPeers())
-	account := book.accountOf("p")
+	accounts.addPeers(near, nearer, far)
+	require.Equal(t, []Holder{nearer, near, far}, accounts.RecentPeers())
+	account := accounts.accountOf("p")
 	account.addHolders(near, nearer, far)
-	require.Equal(t, []Holder{nearer, near, far}, book.responsiveHolders(account))
+	require.Equal(t, []Holder{nearer, near, far}, accounts.responsiveHolders(account))
 }
--- a/internal/budget/throttle_test.go
+++ b/internal/budget/throttle_test.go
@@ -28,18 +28,18 @@
 			}
 			return storetest.None
 		})
-		book := newTestBook(table, "a")
+		accounts := newTestAccounts(table, "a")
 		claim := Claim{Program: "p", Budget: 1000, Tokens: 100, MustPersist: true}
 		limited, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		_, err := book.Reserve(limited, claim)
+		_, err := accounts.Reserve(limited, claim)
 		require.ErrorContains(t, err, store.ErrThrottled.Error())
 		require.NoError(t, limited.Err(), "the turn fails before its deadline")
 		require.LessOrEqual(t, calls.Load(), int32(10))
-		require.False(t, book.storeUnavailable(), "a store that throttles calls is available")
+		require.False(t, accounts.storeUnavailable(), "a store that throttles calls is available")
 		time.AfterFunc(time.Second, func() { busy.Store(false) })
 		start := time.Now()
-		_, err = book.Reserve(t.Context(), claim)
+		_, err = accounts.Reserve(t.Context(), claim)
 		require.NoError(t, err)
 		require.Less(t, time.Since(start), 1700*time.Millisecond)
 		time.Sleep(time.Minute)
