--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -5,8 +5,8 @@
 // the slots of the region through which its turns enter.
 //
 // Lookups return hints. A wrong or missing hint costs an extra call to the store and breaks no
-// guarantee, so entries are not persisted. Lending out of tenants' limits needs exclusive
-// ownership; for that, owners hold leases (see Lease).
+// guarantee, so entries are not persisted. Issuing permits against tenants' limits needs
+// exclusive ownership; for that, owners hold leases (see Lease).
 package directory
 
 import (
@@ -74,12 +74,12 @@
 	Store store.Store
 	Self  budget.Holder
 	Peers Peers
-	// Patience gives the response times observed per process; nil if not measured.
+	// Patience estimates the response times of other processes; nil if they are not measured.
 	Patience timing.TimeoutFunc
 	// Vantage is the location of this node, which owns slots of its own region only.
 	Vantage locality.Location
-	// PermitDuration is how long a loan stays in effect. Once a process has owned a slot for longer,
-	// loans made by its predecessors have expired.
+	// PermitDuration is how long a permit stays in effect. Once a process has owned a slot for longer,
+	// permits issued by its predecessors have expired.
 	PermitDuration time.Duration
 	// Grants sends grant requests to other nodes. CountGrant, if not nil, is called with the
 	// outcome of each grant request that this node answers.
@@ -116,9 +116,9 @@
 // owner is a slot's state as last read from the store. The zero value is a vacant slot.
 type owner struct {
 	budget.Holder
-	revision store.Version
-	lending  PriorPermits
-	grants   grants
+	revision     store.Version
+	priorPermits PriorPermits
+	grants       grants
 }
 
 // entry is what the owner of a slot records about a program.
@@ -130,10 +130,10 @@
 	turns   []turnRecord // newest last
 }
 
-// located returns the entry as a hint for asker, leaving out asker itself.
-func (e *entry) located(asker budget.Holder, now time.Time) (located budget.LocateResult) {
+// located returns the entry as a hint for requester, without requester itself.
+func (e *entry) located(requester budget.Holder, now time.Time) (located budget.LocateResult) {
 	for _, holder := range slices.Backward(e.holders) {
-		if holder != asker {
+		if holder != requester {
 			located.Holders = append(located.Holders, holder)
 		}
 	}
@@ -145,23 +145,23 @@
 
 // update records the turn that request reports.
 func (e *entry) update(request Request, now time.Time) {
-	asker := request.From
+	requester := request.From
 	e.used = now
 	if request.Spent > 0 {
 		e.spent, e.spentAt = request.Spent, now
 	}
 	if request.Ran != "" {
-		e.recordTurn(request.Ran, asker)
+		e.recordTurn(request.Ran, requester)
 	}
 	if request.Returned {
 		e.spent = 0
 		return // the sender holds no tokens any more
 	}
-	e.holders = slices.DeleteFunc(e.holders, func(holder budget.Holder) bool { return holder == asker })
+	e.holders = slices.DeleteFunc(e.holders, func(holder budget.Holder) bool { return holder == requester })
 	if len(e.holders) == maxHolders {
 		e.holders = slices.Delete(e.holders, 0, 1)
 	}
-	e.holders = append(e.holders, asker)
+	e.holders = append(e.holders, requester)
 }
 
 // New returns a directory whose slots have not been read yet; Run reads them.
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -143,7 +143,7 @@
 			first, second := c.node(program%12), c.node((program+5)%12)
 			require.Empty(t, first.Locate(t.Context(), programOf(program)).Holders)
 			require.Equal(t, []budget.Holder{first.options.Self}, second.Locate(t.Context(), programOf(program)).Holders)
-			require.Equal(t, []budget.Holder{second.options.Self}, first.Locate(t.Context(), programOf(program)).Holders, "newest first, without the asker")
+			require.Equal(t, []budget.Holder{second.options.Self}, first.Locate(t.Context(), programOf(program)).Holders, "newest first, without the requester")
 		}
 	})
 }
--- a/internal/directory/grant.go
+++ b/internal/directory/grant.go
@@ -235,7 +235,7 @@
 func (d *Directory) clearEarlierOwners(ctx context.Context) {
 	slot, ok := d.slotWithExpiredOwners()
 	if ok {
-		d.rewrite(ctx, slot, func(raised []string) []string { return raised }, "cleared the earlier owners of a directory slot")
+		d.rewrite(ctx, slot, func(tenants []string) []string { return tenants }, "cleared the earlier owners of a directory slot")
 	}
 }
 
--- a/internal/directory/grant_simulation_test.go
+++ b/internal/directory/grant_simulation_test.go
@@ -22,7 +22,7 @@
 // A fixed seed makes the test reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// grantSimulation is a set of nodes with directories and budget books that share one store.
+// grantSimulation is a set of nodes with directories and budget accounts that share one store.
 type grantSimulation struct {
 	t     *testing.T
 	table *storetest.Table
@@ -39,7 +39,7 @@
 // grantNode is a process of a node.
 type grantNode struct {
 	directory *Directory
-	book      *budget.Accounts
+	accounts  *budget.Accounts
 	cancel    context.CancelFunc
 	denied    bool // the store refuses this node's calls
 	isolated  bool // partitioned from the other nodes
@@ -73,7 +73,7 @@
 			}
 		},
 	})
-	node.book = budget.NewAccounts(budget.Options{Store: table, Self: self, Peers: peers, Locator: node.directory, Granter: node.directory})
+	node.accounts = budget.NewAccounts(budget.Options{Store: table, Self: self, Peers: peers, Locator: node.directory, Granter: node.directory})
 	ctx, cancel := context.WithCancel(context.Background())
 	node.cancel = cancel
 	w.nodes[index] = node
@@ -163,7 +163,7 @@
 
 // HandOver implements budget.Peers.
 func (p simulationPeers) HandOver(ctx context.Context, address string, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
-	return send(ctx, p, address, func(to *grantNode) budget.HandOverAnswer { return to.book.HandOver(ctx, request) })
+	return send(ctx, p, address, func(to *grantNode) budget.HandOverAnswer { return to.accounts.HandOver(ctx, request) })
 }
 
 // program tracks the tokens that turns of a program have generated.
@@ -179,7 +179,7 @@
 	ctx, cancel := context.WithTimeout(w.t.Context(), 900*time.Millisecond)
 	defer cancel()
 	most := 100 + w.draw(of.budget/5)
-	reservation, err := node.book.Reserve(ctx, budget.Claim{Program: name, Budget: of.budget, Tokens: most})
+	reservation, err := node.accounts.Reserve(ctx, budget.Claim{Program: name, Budget: of.budget, Tokens: most})
 	if err != nil {
 		return
 	}
@@ -210,7 +210,7 @@
 		ctx, cancel := context.WithTimeout(w.t.Context(), 300*time.Millisecond)
 		node := w.nodes[index]
 		node.directory.Leave(ctx)
-		node.book.GiveBack(ctx)
+		node.accounts.GiveBack(ctx)
 		cancel()
 		w.start(index)
 	case 3, 4, 5:
--- a/internal/directory/grant_test.go
+++ b/internal/directory/grant_test.go
@@ -129,7 +129,7 @@
 	})
 }
 
-// A partitioned owner that does not know its successor must not grant from the same part.
+// A partitioned owner that has not learned of its successor must not grant from the same part.
 func TestTwoOwnersGrantDifferentParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, old, slot := startWithOwner(t)
--- a/internal/directory/layout.go
+++ b/internal/directory/layout.go
@@ -32,9 +32,9 @@
 	return l.index(region)*slotsPerRegion + SlotOf(hash)
 }
 
-// RoundRobinSlot returns the slot that a hash falls into, within the region number selector modulo the number
-// of regions. It is for keys that have one slot over all regions instead of one per region;
-// consecutive selectors spread them over the regions.
+// RoundRobinSlot returns the slot that a hash falls into, within the region number selector modulo
+// the number of regions. It is for keys that have one slot over all regions instead of one per
+// region; consecutive selectors spread them over the regions.
 func (l Layout) RoundRobinSlot(selector, hash uint64) int {
 	return int(selector%uint64(l.count()))*slotsPerRegion + SlotOf(hash)
 }
--- a/internal/directory/lease.go
+++ b/internal/directory/lease.go
@@ -9,52 +9,53 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// Hints need no proof of ownership, but lending does: two owners of one slot would lend the same
-// part of a limit twice. When the store confirms an ownership, the owner may lend for leaseDuration,
-// counted from when it sent the request. A process that takes a slot over from one that may still be
-// running waits for leaseDuration before it lends. Both measure with their own monotonic clock, so an
-// owner that resumes after a pause finds its lease expired.
-
-// leaseDuration is how long a confirmed ownership lets the owner lend. It outlasts most outages of the
-// store. It is also how long the slot lends nothing after it was taken over from a failed owner.
+// Hints need no proof of ownership, but permits do: two owners of one slot would issue the same
+// part of a limit twice. When the store confirms an ownership, the owner may issue permits for
+// leaseDuration, counted from when it sent the request. A process that takes a slot over from one
+// that may still be running waits for leaseDuration before it issues any. Both measure with their
+// own monotonic clock, so an owner that resumes after a pause finds its lease expired.
+
+// leaseDuration is how long a confirmed ownership lets the owner issue permits. It outlasts most
+// outages of the store. It is also how long no permits are issued for a slot after it was taken
+// over from a failed owner.
 const leaseDuration = 4 * time.Second
 
-// MaxLeaseDuration is how long a process that lost a slot without noticing may go on lending.
+// MaxLeaseDuration is how long a process that lost a slot without noticing may go on issuing permits.
 const MaxLeaseDuration = leaseDuration
 
 // ownership is a continuous ownership of a slot by this process.
 type ownership struct {
 	number      uint64       // increases with each acquisition by this process
-	lendFrom    time.Time    // earliest time to lend; earlier owners' leases have expired by then
+	issueFrom   time.Time    // earliest time to issue permits; earlier owners' leases have expired by then
 	confirmedAt time.Time    // send time of the last request that confirmed the ownership; zero if none
-	before      PriorPermits // what earlier owners may have lent
+	prior       PriorPermits // permits that earlier owners may have issued
 	acquiredAt  time.Time    // when this process acquired the slot
 	// granted holds the grants made, by program.
 	granted map[string]grantRecord
 }
 
-// PriorPermits is what a new owner must assume its predecessors to have lent. It always
-// assumes ordinary lending, up to a part of each limit, which needs no record in the store.
+// PriorPermits is the permits that a new owner must assume its predecessors to have issued. They
+// always include the base part of each limit, which is issued without a record in the store.
 type PriorPermits struct {
 	All              bool     // the full limit of every tenant
-	FullLimitTenants []string // tenants whose full limit may be lent
+	FullLimitTenants []string // tenants whose full limit may be issued
 }
 
-// MayHaveIssued reports whether the full limit of a tenant may have been lent.
-func (b PriorPermits) MayHaveIssued(tenant string) bool {
-	return b.All || slices.Contains(b.FullLimitTenants, tenant)
+// MayHaveIssued reports whether permits for the full limit of a tenant may have been issued.
+func (p PriorPermits) MayHaveIssued(tenant string) bool {
+	return p.All || slices.Contains(p.FullLimitTenants, tenant)
 }
 
-// Lease is an owner's right to lend out of the limits that belong to a slot.
+// Lease is an owner's right to issue permits against the limits that belong to a slot.
 type Lease struct {
 	Number           uint64       // identifies the ownership; differs if the slot was lost and acquired again
-	Since            time.Time    // start of the lease; earlier owners lend nothing from then on
+	Since            time.Time    // start of the lease; earlier owners issue nothing from then on
 	Until            time.Time    // end of the lease unless it is renewed
-	Prior            PriorPermits // what earlier owners may have lent
-	FullLimitTenants []string     // tenants whose full limit may be lent, as recorded in the store
+	Prior            PriorPermits // permits that earlier owners may have issued
+	FullLimitTenants []string     // tenants whose full limit may be issued, as recorded in the store
 }
 
-// Valid reports whether the owner may lend at time now.
+// Valid reports whether the owner may issue permits at time now.
 func (l Lease) Valid(now time.Time) bool { return !now.Before(l.Since) && now.Before(l.Until) }
 
 // Lease returns this process's lease of a slot. ok is false if this process does not own the slot.
@@ -67,10 +68,10 @@
 	}
 	return Lease{
 		Number:           held.number,
-		Since:            held.lendFrom,
+		Since:            held.issueFrom,
 		Until:            held.confirmedAt.Add(leaseDuration),
-		Prior:            held.before,
-		FullLimitTenants: d.owners[slot].lending.FullLimitTenants,
+		Prior:            held.prior,
+		FullLimitTenants: d.owners[slot].priorPermits.FullLimitTenants,
 	}, true
 }
 
@@ -115,16 +116,16 @@
 // HandleConflict handles a conflict on a request sent at time sent with claims as conditions. It applies
 // the rows in the conflict and renews the leases of the claims that did hold.
 func (d *Directory) HandleConflict(claims []store.Condition, conflict *store.Conflict, sent time.Time) {
-	var proven []store.Condition
+	var confirmed []store.Condition
 	for _, claim := range claims {
 		stored := conflict.Find(claim.Key)
 		if stored.Version == claim.Version {
-			proven = append(proven, claim)
+			confirmed = append(confirmed, claim)
 			continue
 		}
 		d.applyRow(stored)
 	}
-	d.ConfirmClaims(proven, sent)
+	d.ConfirmClaims(confirmed, sent)
 }
 
 // updateOwnership begins or ends this process's ownership of a slot after its row has changed from
@@ -138,16 +139,16 @@
 		return
 	}
 	d.acquisitions++
-	held := &ownership{number: d.acquisitions, lendFrom: time.Now(), acquiredAt: time.Now(), before: before.lending}
+	held := &ownership{number: d.acquisitions, issueFrom: time.Now(), acquiredAt: time.Now(), prior: before.priorPermits}
 	if before.Process == d.options.Self.Process {
-		held.before = PriorPermits{All: true} // the response to the claim was lost, and the previous row with it
+		held.prior = PriorPermits{All: true} // the response to the claim was lost, and the previous row with it
 	}
 	mayLive := before.Process != "" && before.Address != d.options.Self.Address
 	switch {
 	case mayLive || before.Process == d.options.Self.Process:
-		held.lendFrom = held.lendFrom.Add(leaseDuration)
+		held.issueFrom = held.issueFrom.Add(leaseDuration)
 	case before.Process != "":
-		held.lendFrom = d.started // the previous process at this address ended before this one started
+		held.issueFrom = d.started // the previous process at this address ended before this one started
 	}
 	d.ownerships[slot] = held
 }
@@ -162,14 +163,14 @@
 }
 
 // MarkSettled clears Unsettled in the row of one slot that this process has owned for so long that all
-// loans of its predecessors have expired. It reports whether there was such a slot, also if the
+// permits of its predecessors have expired. It reports whether there was such a slot, also if the
 // write failed.
 func (d *Directory) MarkSettled(ctx context.Context) bool {
 	slot, ok := d.slotToSettle()
 	if !ok {
 		return false
 	}
-	d.rewrite(ctx, slot, func(raised []string) []string { return raised }, "marked the directory slot as settled")
+	d.rewrite(ctx, slot, func(tenants []string) []string { return tenants }, "marked the directory slot as settled")
 	return true
 }
 
@@ -177,43 +178,45 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for slot := range d.ownerships {
-		if d.owners[slot].lending.All && d.priorLoansExpired(slot) {
+		if d.owners[slot].priorPermits.All && d.priorPermitsExpired(slot) {
 			return slot, true
 		}
 	}
 	return 0, false
 }
 
-// priorLoansExpired reports whether all loans made before this process owned the slot have expired. The
-// caller must hold d.mutex.
-func (d *Directory) priorLoansExpired(slot int) bool {
+// priorPermitsExpired reports whether all permits issued before this process owned the slot have
+// expired. The caller must hold d.mutex.
+func (d *Directory) priorPermitsExpired(slot int) bool {
 	held, ok := d.ownerships[slot]
-	return ok && time.Since(held.lendFrom) > d.options.PermitDuration
+	return ok && time.Since(held.issueFrom) > d.options.PermitDuration
 }
 
-// AllowFullLimit records in the store that the full limit of a tenant may be lent from now on, so that the
-// slot's next owner takes it into account. Lease shows the tenant once the store has it. Raise
-// returns true if the store has confirmed the write; no earlier write can take effect after that.
+// AllowFullLimit records in the store that permits for the full limit of a tenant may be issued
+// from now on, so that the slot's next owner takes it into account. Lease shows the tenant once the
+// store has it. AllowFullLimit returns true if the store has confirmed the write; no earlier write
+// can take effect after that.
 func (d *Directory) AllowFullLimit(ctx context.Context, slot int, tenant string) bool {
-	return d.rewrite(ctx, slot, func(raised []string) []string {
-		if slices.Contains(raised, tenant) {
-			return raised
+	return d.rewrite(ctx, slot, func(tenants []string) []string {
+		if slices.Contains(tenants, tenant) {
+			return tenants
 		}
-		return append(slices.Clone(raised), tenant)
-	}, "raised a tenant in the directory slot")
+		return append(slices.Clone(tenants), tenant)
+	}, "allowed the full limit of a tenant in the directory slot")
 }
 
-// RevokeFullLimit reverts Raise. The caller must already have stopped lending more than the ordinary part.
+// RevokeFullLimit reverts AllowFullLimit. The caller must already have stopped issuing more than
+// the base part.
 func (d *Directory) RevokeFullLimit(ctx context.Context, slot int, tenant string) {
-	d.rewrite(ctx, slot, func(raised []string) []string {
-		return slices.DeleteFunc(slices.Clone(raised), func(name string) bool { return name == tenant })
-	}, "lowered a tenant in the directory slot")
+	d.rewrite(ctx, slot, func(tenants []string) []string {
+		return slices.DeleteFunc(slices.Clone(tenants), func(name string) bool { return name == tenant })
+	}, "revoked the full limit of a tenant in the directory slot")
 }
 
-// rewrite updates the row of a slot that this process owns, with the raised tenants changed by
-// update. Rewrites are serialized, so that none overwrites another's change. event is the log
-// message on success.
-func (d *Directory) rewrite(ctx context.Context, slot int, update func(raised []string) []string, event string) (written bool) {
+// rewrite updates the row of a slot that this process owns, with the tenants whose full limit is
+// allowed changed by update. Rewrites are serialized, so that none overwrites another's change.
+// event is the log message on success.
+func (d *Directory) rewrite(ctx context.Context, slot int, update func(tenants []string) []string, event string) (written bool) {
 	select {
 	case d.rewriteLock <- struct{}{}:
 	case <-ctx.Done():
@@ -225,10 +228,10 @@
 		d.mutex.Unlock()
 		return false
 	}
-	known := d.owners[slot].lending
+	known := d.owners[slot].priorPermits
 	next := rowOf(d.options.Self)
 	next.Raised = update(known.FullLimitTenants)
-	next.Unsettled = known.All && !d.priorLoansExpired(slot)
+	next.Unsettled = known.All && !d.priorPermitsExpired(slot)
 	d.mutex.Unlock()
 	written, err := d.put(ctx, slot, next, event)
 	if err != nil && ctx.Err() == nil {
--- a/internal/directory/lease_test.go
+++ b/internal/directory/lease_test.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// A partitioned owner may still lend. Its successor must not lend before the old lease has
+// A partitioned owner may still issue permits. Its successor must not issue any before the old lease has
 // expired.
 func TestTwoOwnersNeverHoldALeaseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -170,7 +170,7 @@
 	})
 }
 
-// A node that is shutting down must not lend, even if it cannot release its slots in the store.
+// A node that is shutting down must not issue permits, even if it cannot release its slots in the store.
 func TestLeavingNodeLendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
@@ -211,7 +211,7 @@
 	})
 }
 
-// Raised lending must not be visible before the store has recorded it for the successor.
+// A full limit must not appear as allowed before the store has recorded it for the successor.
 func TestRaiseIsNotVisibleBeforeTheStoreHasIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -83,9 +83,9 @@
 		require.Equal(t, 3*slotsPerRegion, owned)
 		require.Zero(t, c.misplacedSlots())
 		for program := range 50 {
-			asker, other := c.node(0), c.node(3) // in two zones of one region
-			asker.Locate(t.Context(), programOf(program))
-			require.Equal(t, []budget.Holder{asker.options.Self}, other.Locate(t.Context(), programOf(program)).Holders)
+			requester, other := c.node(0), c.node(3) // in two zones of one region
+			requester.Locate(t.Context(), programOf(program))
+			require.Equal(t, []budget.Holder{requester.options.Self}, other.Locate(t.Context(), programOf(program)).Holders)
 			owner, ok := other.Owner(other.slotOf(programOf(program)))
 			require.True(t, ok)
 			require.Equal(t, "a", c.places.Region(c.zones[owner.Address]), "the owner is in the same region")
@@ -184,8 +184,8 @@
 	})
 }
 
-// A region that is partitioned from the store and the other regions must not lend, and no other
-// region may lend in its place.
+// A region that is partitioned from the store and the other regions must not issue permits, and no other
+// region may issue them in its place.
 func TestFullyPartitionedRegionLendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionalCluster(6)
--- a/internal/directory/row.go
+++ b/internal/directory/row.go
@@ -16,9 +16,9 @@
 type row struct {
 	Process string
 	Address string
-	// Unsettled means that loans of unknown earlier owners may still be in effect.
+	// Unsettled means that permits of unknown earlier owners may still be in effect.
 	Unsettled bool
-	// Raised lists the tenants whose full limit may be lent.
+	// Raised lists the tenants whose full limit may be issued.
 	Raised []string
 	// Grants is the state of grants from program budgets.
 	Grants grants
@@ -29,10 +29,10 @@
 // owner returns the slot's state with the row at a revision.
 func (r row) owner(revision store.Version) owner {
 	return owner{
-		Holder:   budget.Holder{Process: r.Process, Address: r.Address},
-		revision: revision,
-		lending:  PriorPermits{All: r.Unsettled, FullLimitTenants: r.Raised},
-		grants:   r.Grants,
+		Holder:       budget.Holder{Process: r.Process, Address: r.Address},
+		revision:     revision,
+		priorPermits: PriorPermits{All: r.Unsettled, FullLimitTenants: r.Raised},
+		grants:       r.Grants,
 	}
 }
 
--- a/internal/directory/slots.go
+++ b/internal/directory/slots.go
@@ -44,8 +44,8 @@
 	takeoverDelay       = 3 * time.Second
 	takeoverMinFailures = 2
 	// probeTimeout is the timeout of the last probe before a takeover. It is long, so that slow nodes
-	// keep their slots: waiting for a probe costs less than a takeover, after which the slot lends
-	// nothing for leaseDuration.
+	// keep their slots: waiting for a probe costs less than a takeover, after which no permits
+	// are issued for the slot for leaseDuration.
 	probeTimeout = time.Second
 	// connectedWindow is how recently some owner must have answered before this node takes over an
 	// unresponsive owner's slot. A node without any answers may itself be partitioned.
@@ -264,11 +264,11 @@
 	return next
 }
 
-// vacancy returns the row of a vacant slot; it keeps the last owner's record of what was lent.
+// vacancy returns the row of a vacant slot; it keeps the last owner's record of issued permits.
 func (d *Directory) vacancy(slot int) row {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	before := d.owners[slot].lending
+	before := d.owners[slot].priorPermits
 	return row{Unsettled: before.All, Raised: before.FullLimitTenants}
 }
 
@@ -366,7 +366,7 @@
 // Leave ends all leases and marks the slots of this process as vacant in the store. It stops when
 // ctx is done; slots that remain are taken over by other nodes.
 func (d *Directory) Leave(ctx context.Context) {
-	d.endLeases() // stop lending even if the writes below fail
+	d.endLeases() // stop issuing permits even if the writes below fail
 	var changes []change
 	for slot := range len(d.owners) {
 		if d.owns(slot) {
--- a/internal/directory/turns_test.go
+++ b/internal/directory/turns_test.go
@@ -29,7 +29,7 @@
 		_, ok = c.node(1).Lookup(t.Context(), "other", "t1")
 		require.False(t, ok)
 		_, ok = c.node(0).Lookup(t.Context(), "p", "t1")
-		require.False(t, ok, "the asker itself is left out")
+		require.False(t, ok, "the requester itself is left out")
 		require.Contains(t, c.node(3).Locate(t.Context(), "p").Holders, c.node(2).options.Self, "a process that ran a turn may hold tokens")
 	})
 }
