--- a/internal/history/failover.go
+++ b/internal/history/failover.go
@@ -10,8 +10,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
-// placeAnswer is the answer of one place.
-type placeAnswer[T any] struct {
+// placeResponse is the answer of one place.
+type placeResponse[T any] struct {
 	value T
 	err   error
 }
@@ -21,18 +21,18 @@
 
 // firstAccepted asks the places of a turn one after the other and returns the first
 // accepted answer. It goes on to the next place when one fails, is not accepted, or does
-// not answer within patience. If no answer is accepted, it returns the zero value and the
+// not answer within the timeout. If no answer is accepted, it returns the zero value and the
 // last error, if any. If all places failed, it first retries until ctx ends. Throttling
 // ends the round at once, as all places lie in the same table; the next round follows
 // after an exponential backoff, or not at all if ctx ends first.
-func firstAccepted[T any](ctx context.Context, patience time.Duration, ask func(context.Context, int) (T, error), accept func(T) bool) (T, error) {
-	return firstAcceptedUnless(ctx, patience, func() bool { return false }, ask, accept)
+func firstAccepted[T any](ctx context.Context, timeout time.Duration, ask func(context.Context, int) (T, error), accept func(T) bool) (T, error) {
+	return firstAcceptedUnless(ctx, timeout, func() bool { return false }, ask, accept)
 }
 
 // firstAcceptedUnless is firstAccepted for an operation that may be settled otherwise. It
 // calls settled before the first round and after each backoff for throttling. If settled
 // reports true, it stops and returns the zero value without an error.
-func firstAcceptedUnless[T any](ctx context.Context, patience time.Duration, settled func() bool, ask func(context.Context, int) (T, error), accept func(T) bool) (T, error) {
+func firstAcceptedUnless[T any](ctx context.Context, timeout time.Duration, settled func() bool, ask func(context.Context, int) (T, error), accept func(T) bool) (T, error) {
 	var none T
 	if settled() {
 		return none, nil
@@ -48,7 +48,7 @@
 		return value, err
 	}
 	for {
-		value, failed, err := tryPlaces(ctx, patience, askInTurn, accept)
+		value, failed, err := tryPlaces(ctx, timeout, askInTurn, accept)
 		if errors.Is(err, store.ErrThrottled) {
 			if throttled.Wait(ctx) != nil {
 				return none, err
@@ -69,10 +69,10 @@
 
 // tryPlaces asks each place once. failed is the number of places that failed. It returns
 // early if the store throttles a call.
-func tryPlaces[T any](ctx context.Context, patience time.Duration, ask func(context.Context, int) (T, error), accept func(T) bool) (value T, failed int, failure error) {
+func tryPlaces[T any](ctx context.Context, timeout time.Duration, ask func(context.Context, int) (T, error), accept func(T) bool) (value T, failed int, failure error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan placeAnswer[T], placeCount)
+	answers := make(chan placeResponse[T], placeCount)
 	asked := 0
 	askNext := func() {
 		if asked == placeCount {
@@ -82,11 +82,11 @@
 		asked++
 		go func() {
 			value, err := ask(ctx, place)
-			answers <- placeAnswer[T]{value: value, err: err}
+			answers <- placeResponse[T]{value: value, err: err}
 		}()
 	}
 	askNext()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for answered := 0; answered < placeCount; {
 		select {
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -65,7 +65,7 @@
 	// Region is the region of this node. Turns that are restricted to other regions are
 	// not cached.
 	Region string
-	// BatchWriter batches the first write of a turn with those of other nodes. Nil: no
+	// Together batches the first write of a turn with those of other nodes. Nil: no
 	// batching.
 	Together BatchWriter
 }
@@ -86,15 +86,15 @@
 	cachedBytes int
 }
 
-// New returns a keeper with an empty cache.
+// New returns a TurnStore with an empty cache.
 func New(options Options) *TurnStore {
 	return &TurnStore{options: options, cache: map[string]*list.Element{}, lru: list.New()}
 }
 
 // Chain returns the turns up to and including the one with the given ID, oldest first. It
 // fails with ErrNoTurn only if the store confirmed that a turn does not exist.
-func (k *TurnStore) Chain(ctx context.Context, id string) ([]*Turn, error) {
-	last, err := k.fetch(ctx, id)
+func (s *TurnStore) Chain(ctx context.Context, id string) ([]*Turn, error) {
+	last, err := s.fetch(ctx, id)
 	if err != nil {
 		return nil, err
 	}
@@ -103,12 +103,12 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxParallelCalls)
 	for index, ancestor := range last.Ancestors {
-		if known := k.cachedTurn(ancestor); known != nil {
+		if known := s.cachedTurn(ancestor); known != nil {
 			chain[index] = known
 			continue
 		}
 		group.Go(func() error {
-			turn, err := k.fetch(ctx, ancestor)
+			turn, err := s.fetch(ctx, ancestor)
 			chain[index] = turn
 			return err
 		})
@@ -120,14 +120,14 @@
 }
 
 // CachedChain returns a chain if all of it is cached, else nil. It makes no store call.
-func (k *TurnStore) CachedChain(id string) []*Turn {
-	last := k.cachedTurn(id)
+func (s *TurnStore) CachedChain(id string) []*Turn {
+	last := s.cachedTurn(id)
 	if last == nil {
 		return nil
 	}
 	chain := make([]*Turn, 0, len(last.Ancestors)+1)
 	for _, ancestor := range last.Ancestors {
-		known := k.cachedTurn(ancestor)
+		known := s.cachedTurn(ancestor)
 		if known == nil {
 			return nil
 		}
@@ -137,21 +137,21 @@
 }
 
 // CacheChain caches a chain that another node has read or written.
-func (k *TurnStore) CacheChain(ctx context.Context, chain []*Turn) {
+func (s *TurnStore) CacheChain(ctx context.Context, chain []*Turn) {
 	for _, turn := range chain {
-		k.cacheTurn(ctx, turn)
+		s.cacheTurn(ctx, turn)
 	}
 }
 
-func (k *TurnStore) fetch(ctx context.Context, id string) (*Turn, error) {
-	if known := k.cachedTurn(id); known != nil {
+func (s *TurnStore) fetch(ctx context.Context, id string) (*Turn, error) {
+	if known := s.cachedTurn(id); known != nil {
 		return known, nil
 	}
-	turn, err := k.read(ctx, id)
+	turn, err := s.read(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	k.cacheTurn(ctx, turn)
+	s.cacheTurn(ctx, turn)
 	return turn, nil
 }
 
@@ -163,10 +163,10 @@
 
 // read reads a turn from its places. It returns ErrNoTurn only if all places answered
 // that they do not have it.
-func (k *TurnStore) read(ctx context.Context, id string) (*Turn, error) {
+func (s *TurnStore) read(ctx context.Context, id string) (*Turn, error) {
 	var missing [placeCount]bool
-	found, err := firstAccepted(ctx, store.PatienceAtLeast(k.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
-		turn, err := k.readPlace(ctx, id, place)
+	found, err := firstAccepted(ctx, store.PatienceAtLeast(s.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
+		turn, err := s.readPlace(ctx, id, place)
 		return placeResult{place: place, turn: turn}, err
 	}, func(found placeResult) bool {
 		missing[found.place] = missing[found.place] || found.turn == nil
@@ -178,9 +178,9 @@
 	return found.turn, err
 }
 
-func (k *TurnStore) readPlace(ctx context.Context, id string, place int) (*Turn, error) {
+func (s *TurnStore) readPlace(ctx context.Context, id string, place int) (*Turn, error) {
 	name := url.PathEscape(id)
-	page, err := k.options.Store.Range(ctx, Table, partOf(id, place), name, name+rowNameEnd, 0)
+	page, err := s.options.Store.Range(ctx, Table, partOf(id, place), name, name+rowNameEnd, 0)
 	if err != nil || len(page.Rows) == 0 {
 		return nil, err
 	}
@@ -236,54 +236,54 @@
 // it is stored in one of its places. Turns of its chain that would expire well before it
 // are written again with the new expiry. Repeated writes are harmless because the content
 // of a turn never changes.
-func (k *TurnStore) Write(ctx context.Context, turn *Turn, chain []*Turn, retention time.Duration) error {
+func (s *TurnStore) Write(ctx context.Context, turn *Turn, chain []*Turn, retention time.Duration) error {
 	turn.Expires = time.Now().Add(retention)
 	group, limited := errgroup.WithContext(ctx)
 	group.SetLimit(maxParallelCalls)
 	for _, earlier := range chain {
 		if turn.Expires.Sub(earlier.Expires) > retention/2 {
-			group.Go(func() error { return k.renew(limited, earlier, turn.Expires) })
+			group.Go(func() error { return s.renew(limited, earlier, turn.Expires) })
 		}
 	}
-	group.Go(func() error { return k.write(limited, turn) })
+	group.Go(func() error { return s.write(limited, turn) })
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	k.cacheTurn(ctx, turn)
+	s.cacheTurn(ctx, turn)
 	return nil
 }
 
 // renew extends the expiry of a turn. The caller does so only once much of the retention
 // has passed, so that most turns need not renew their chain.
-func (k *TurnStore) renew(ctx context.Context, earlier *Turn, expires time.Time) error {
+func (s *TurnStore) renew(ctx context.Context, earlier *Turn, expires time.Time) error {
 	renewed := *earlier
 	renewed.Expires = expires
-	if err := k.write(ctx, &renewed); err != nil {
+	if err := s.write(ctx, &renewed); err != nil {
 		return err
 	}
-	k.replaceCached(&renewed)
+	s.replaceCached(&renewed)
 	return nil
 }
 
-func (k *TurnStore) write(ctx context.Context, turn *Turn) error {
+func (s *TurnStore) write(ctx context.Context, turn *Turn) error {
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(turn); err != nil {
 		return err
 	}
 	writeBatched := func() bool {
-		return k.options.Together != nil && k.options.Together.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
+		return s.options.Together != nil && s.options.Together.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
 	}
-	_, err := firstAcceptedUnless(ctx, store.PatienceAtLeast(k.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
-		return store.CommitUnlessThrottled(ctx, k.options.Store, turn.putTransaction(encoded.Bytes(), place))
+	_, err := firstAcceptedUnless(ctx, store.PatienceAtLeast(s.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
+		return store.CommitUnlessThrottled(ctx, s.options.Store, turn.putTransaction(encoded.Bytes(), place))
 	}, func(store.Version) bool { return true })
 	return err
 }
 
 // replaceCached replaces the cached copy of a turn, if there is one.
-func (k *TurnStore) replaceCached(turn *Turn) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if element, ok := k.cache[turn.ID]; ok {
+func (s *TurnStore) replaceCached(turn *Turn) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if element, ok := s.cache[turn.ID]; ok {
 		element.Value = turn
 	}
 }
@@ -300,34 +300,34 @@
 	return transaction
 }
 
-func (k *TurnStore) cachedTurn(id string) *Turn {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	element, ok := k.cache[id]
+func (s *TurnStore) cachedTurn(id string) *Turn {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	element, ok := s.cache[id]
 	if !ok {
 		return nil
 	}
-	k.lru.MoveToFront(element)
+	s.lru.MoveToFront(element)
 	return element.Value.(*Turn)
 }
 
 // cacheTurn caches a turn if it may be cached in this region, and evicts the least
 // recently used turns beyond CacheBytes.
-func (k *TurnStore) cacheTurn(ctx context.Context, turn *Turn) {
-	if !locality.ContentRegions(ctx).Allow(k.options.Region) {
+func (s *TurnStore) cacheTurn(ctx context.Context, turn *Turn) {
+	if !locality.ContentRegions(ctx).Allow(s.options.Region) {
 		return
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if _, ok := k.cache[turn.ID]; ok {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if _, ok := s.cache[turn.ID]; ok {
 		return
 	}
-	k.cache[turn.ID] = k.lru.PushFront(turn)
-	k.cachedBytes += turn.size()
-	for k.cachedBytes > k.options.CacheBytes && k.lru.Len() > 1 {
-		oldest := k.lru.Remove(k.lru.Back()).(*Turn)
-		delete(k.cache, oldest.ID)
-		k.cachedBytes -= oldest.size()
+	s.cache[turn.ID] = s.lru.PushFront(turn)
+	s.cachedBytes += turn.size()
+	for s.cachedBytes > s.options.CacheBytes && s.lru.Len() > 1 {
+		oldest := s.lru.Remove(s.lru.Back()).(*Turn)
+		delete(s.cache, oldest.ID)
+		s.cachedBytes -= oldest.size()
 	}
 }
 
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -15,7 +15,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/sweep"
 )
 
-func newTestKeeper(table *storetest.Table) *TurnStore {
+func newTestStore(table *storetest.Table) *TurnStore {
 	return New(Options{Store: table, CacheBytes: 1 << 20})
 }
 
@@ -30,10 +30,10 @@
 		table := storetest.New()
 		long := newTurn("a")
 		long.Input = bytes.Repeat([]byte("0123456789"), 20_000)
-		require.NoError(t, newTestKeeper(table).Write(t.Context(), long, nil, time.Minute))
-		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("a/1x", "a"), nil, time.Minute))
-		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("c", "a", "a/1x"), nil, time.Minute))
-		chain, err := newTestKeeper(table).Chain(t.Context(), "c")
+		require.NoError(t, newTestStore(table).Write(t.Context(), long, nil, time.Minute))
+		require.NoError(t, newTestStore(table).Write(t.Context(), newTurn("a/1x", "a"), nil, time.Minute))
+		require.NoError(t, newTestStore(table).Write(t.Context(), newTurn("c", "a", "a/1x"), nil, time.Minute))
+		chain, err := newTestStore(table).Chain(t.Context(), "c")
 		require.NoError(t, err)
 		require.Len(t, chain, 3)
 		require.Equal(t, long.Input, chain[0].Input, "a turn that is split over several rows")
@@ -57,19 +57,19 @@
 				return storetest.None
 			})
 			start := time.Now()
-			require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
-			_, err := newTestKeeper(table).Chain(t.Context(), "a")
+			require.NoError(t, newTestStore(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
+			_, err := newTestStore(table).Chain(t.Context(), "a")
 			require.NoError(t, err)
 			require.Less(t, time.Since(start), 400*time.Millisecond)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
-			_, err = newTestKeeper(table).Chain(ctx, "b")
+			_, err = newTestStore(table).Chain(ctx, "b")
 			require.Error(t, err)
 			if partOf("b", 0) == first || partOf("b", 1) == first {
 				require.NotErrorIs(t, err, ErrNoTurn, "an unanswered place does not prove that the turn is missing")
 			}
 			table.SetFault(nil)
-			_, err = newTestKeeper(table).Chain(t.Context(), "a")
+			_, err = newTestStore(table).Chain(t.Context(), "a")
 			require.NoError(t, err, "the place without the turn does not decide alone")
 		})
 	}
@@ -79,7 +79,7 @@
 func TestErrNoTurnNeedsAllPlaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		_, err := newTestKeeper(table).Chain(t.Context(), "a")
+		_, err := newTestStore(table).Chain(t.Context(), "a")
 		require.ErrorIs(t, err, ErrNoTurn)
 		for place := range placeCount {
 			table.SetFault(func(part string, _ bool) storetest.Fault {
@@ -88,7 +88,7 @@
 				}
 				return storetest.None
 			})
-			_, err = newTestKeeper(table).Chain(t.Context(), "a")
+			_, err = newTestStore(table).Chain(t.Context(), "a")
 			require.Error(t, err)
 			require.NotErrorIs(t, err, ErrNoTurn)
 		}
@@ -100,8 +100,8 @@
 func TestIncompleteChainIsAnError(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
-		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
-		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("next", "a"), nil, time.Minute))
+		require.NoError(t, newTestStore(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
+		require.NoError(t, newTestStore(table).Write(t.Context(), newTurn("next", "a"), nil, time.Minute))
 		var down []string
 		for place := range placeCount {
 			down = append(down, partOf("a", place))
@@ -115,7 +115,7 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		chain, err := newTestKeeper(table).Chain(ctx, "next")
+		chain, err := newTestStore(table).Chain(ctx, "next")
 		require.Error(t, err)
 		require.Nil(t, chain)
 	})
@@ -141,9 +141,9 @@
 	})
 }
 
-// TestKeepRenewsTheChain guards against earlier turns of a chain expiring before the
+// TestWriteRenewsTheChain guards against earlier turns of a chain expiring before the
 // newest one, and against turns that never expire.
-func TestKeepRenewsTheChain(t *testing.T) {
+func TestWriteRenewsTheChain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := storetest.New()
 		sweeper := sweep.New(sweep.Options{Store: table})
@@ -161,18 +161,18 @@
 			next := newTurn(id)
 			if previous != "" {
 				var err error
-				chain, err = newTestKeeper(table).Chain(t.Context(), previous)
+				chain, err = newTestStore(table).Chain(t.Context(), previous)
 				require.NoError(t, err)
 			}
 			for _, earlier := range chain {
 				next.Ancestors = append(next.Ancestors, earlier.ID)
 			}
-			require.NoError(t, newTestKeeper(table).Write(t.Context(), next, chain, time.Minute))
+			require.NoError(t, newTestStore(table).Write(t.Context(), next, chain, time.Minute))
 			previous = id
 			time.Sleep(50 * time.Second)
 			sweepAll()
 		}
-		chain, err := newTestKeeper(table).Chain(t.Context(), "h")
+		chain, err := newTestStore(table).Chain(t.Context(), "h")
 		require.NoError(t, err)
 		require.Len(t, chain, 8)
 		time.Sleep(10 * time.Minute)
@@ -193,10 +193,10 @@
 				"read":    func(k *TurnStore) error { _, err := k.Chain(bound, "t"); return err },
 				"learnt":  func(k *TurnStore) error { k.CacheChain(bound, []*Turn{newTurn("t")}); return nil },
 			} {
-				keeper := node()
+				turnStore := node()
 				require.NoError(t, node().Write(bound, newTurn("t"), nil, time.Minute))
-				require.NoError(t, load(keeper))
-				require.Equal(t, cached, keeper.CachedChain("t") != nil, "%s in %s", source, region)
+				require.NoError(t, load(turnStore))
+				require.Equal(t, cached, turnStore.CachedChain("t") != nil, "%s in %s", source, region)
 			}
 		}
 	})
--- a/internal/history/throttle_test.go
+++ b/internal/history/throttle_test.go
@@ -35,13 +35,13 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		start := time.Now()
-		require.NoError(t, newTestKeeper(table).Write(ctx, newTurn("a"), nil, time.Minute))
+		require.NoError(t, newTestStore(table).Write(ctx, newTurn("a"), nil, time.Minute))
 		require.Less(t, time.Since(start), 2700*time.Millisecond)
 		busy.Store(true)
 		calls.Store(0)
 		limited, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
-		_, err := newTestKeeper(table).Chain(limited, "a")
+		_, err := newTestStore(table).Chain(limited, "a")
 		require.ErrorIs(t, err, store.ErrThrottled)
 		require.LessOrEqual(t, calls.Load(), int32(10))
 	})
@@ -58,7 +58,7 @@
 			}
 			return storetest.None
 		})
-		require.NoError(t, newTestKeeper(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
+		require.NoError(t, newTestStore(table).Write(t.Context(), newTurn("a"), nil, time.Minute))
 		var calls atomic.Int32
 		then := storetest.None
 		table.SetFault(func(part string, _ bool) storetest.Fault {
@@ -70,11 +70,11 @@
 			}
 			return then
 		})
-		_, err := newTestKeeper(table).Chain(t.Context(), "a")
+		_, err := newTestStore(table).Chain(t.Context(), "a")
 		require.NoError(t, err)
 		calls.Store(0)
 		then = storetest.ConnectionReset
-		_, err = newTestKeeper(table).Chain(t.Context(), "a")
+		_, err = newTestStore(table).Chain(t.Context(), "a")
 		require.ErrorIs(t, err, storetest.ErrConnectionReset)
 	})
 }
