--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -85,7 +85,7 @@
 }
 
 // NewRegistry indexes tenants by their keys. A key that several tenants list matches none of
-// them, so that no request is attributed to the wrong tenant; Doubled counts such keys.
+// them, so that no request is attributed to the wrong tenant; SharedKeys counts such keys.
 func NewRegistry(entries []Entry) *Registry {
 	registry := &Registry{
 		tenants: make([]Tenant, 0, len(entries)),
