--- a/internal/budget/locate_test.go
+++ b/internal/budget/locate_test.go
@@ -15,22 +15,22 @@
 
 // fakeLocator records which processes asked for a program.
 type fakeLocator struct {
-	askers    map[string][]Holder
-	self      Holder
-	calls     *int
-	refused   map[string]int
-	refusedAt map[string]time.Time
+	requesters map[string][]Holder
+	self       Holder
+	calls      *int
+	refused    map[string]int
+	refusedAt  map[string]time.Time
 }
 
 // Locate implements Locator.
 func (l fakeLocator) Locate(_ context.Context, program string) (located LocateResult) {
 	*l.calls++
-	for _, holder := range l.askers[program] {
+	for _, holder := range l.requesters[program] {
 		if holder != l.self {
 			located.Holders = append([]Holder{holder}, located.Holders...)
 		}
 	}
-	l.askers[program] = append(l.askers[program], l.self)
+	l.requesters[program] = append(l.requesters[program], l.self)
 	located.Spent, located.SpentAgo = l.refused[program], time.Since(l.refusedAt[program])
 	return located
 }
@@ -47,7 +47,7 @@
 func newLocatedAccounts(table *storetest.Table, count int) (nodeAccounts []*Accounts, calls *int) {
 	nodes := newCluster(table)
 	calls = new(int)
-	shared := fakeLocator{askers: map[string][]Holder{}, calls: calls, refused: map[string]int{}, refusedAt: map[string]time.Time{}}
+	shared := fakeLocator{requesters: map[string][]Holder{}, calls: calls, refused: map[string]int{}, refusedAt: map[string]time.Time{}}
 	for index := range count {
 		accounts := nodes.newAccounts(fmt.Sprint("n", index))
 		shared.self = accounts.options.Self
