--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -148,6 +148,7 @@
 	})
 }
 
+// Lookups must not call the store, and an idle node must read the slots rarely.
 func TestIdleDirectoryHardlyCallsTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(12)
@@ -198,7 +199,7 @@
 		watches := c.table.Watches()
 		c.kill(address(0))
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		require.LessOrEqual(t, c.table.Watches()-watches, 5*30, "at most one read per second and node, for 30 s")
@@ -206,8 +207,8 @@
 	})
 }
 
-// askAll makes all nodes look up programs of all slots.
-func (c *cluster) askAll(ctx context.Context) {
+// lookUpAll makes all nodes look up programs of all slots.
+func (c *cluster) lookUpAll(ctx context.Context) {
 	c.mutex.Lock()
 	nodes := make([]*Directory, 0, len(c.nodes))
 	for _, d := range c.nodes {
@@ -221,6 +222,7 @@
 	}
 }
 
+// Slots of a failed owner must not stay without a live one.
 func TestSlotsOfAFailedOwnerAreTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(6)
@@ -228,7 +230,7 @@
 		time.Sleep(10 * time.Second)
 		c.kill(address(0))
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.owners()
@@ -236,6 +238,7 @@
 	})
 }
 
+// A node that reaches no other node must not take over their slots.
 func TestPartitionedNodeTakesNothingOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(6)
@@ -257,6 +260,7 @@
 	})
 }
 
+// Slots must not stay vacant after all nodes have restarted.
 func TestRestartedNodesReclaimTheirSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(6)
@@ -274,6 +278,7 @@
 	})
 }
 
+// Slots of a node that shuts down must pass to other nodes.
 func TestLeavingNodeMakesItsSlotsVacant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(6)
@@ -286,7 +291,7 @@
 		}
 		c.kill(address(0))
 		for range 30 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.owners()
@@ -294,6 +299,7 @@
 	})
 }
 
+// Lost responses to claims must not leave a slot without an owner or with two.
 func TestClaimsWithLostResponsesEndWithOneOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(4)
@@ -313,7 +319,8 @@
 	})
 }
 
-func TestOwnerRemembersARefusedTurn(t *testing.T) {
+// A refusal must reach other nodes, until tokens are returned to the store.
+func TestOwnerRecordsARefusedTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3)
 		defer c.stop()
@@ -328,6 +335,7 @@
 	})
 }
 
+// A row that cannot be decoded must not make its slot unusable.
 func TestUnreadableSlotIsVacant(t *testing.T) {
 	d := New(Options{Self: budget.Holder{Process: "p"}, Logger: &log.Logger{Handler: discard.New()}})
 	d.applyRow(store.Row{Key: store.Key{Name: "07"}, Value: []byte("?"), Version: 5})
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -105,7 +105,7 @@
 		c.partitionedRegion = "b"
 		c.mutex.Unlock()
 		for range 120 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		during, _ := c.allOwners()
@@ -129,13 +129,13 @@
 			c.kill(address(3*index + 1)) // in region b
 		}
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		require.Zero(t, c.misplacedSlots())
 		c.start(address(1))
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -152,7 +152,7 @@
 		time.Sleep(12 * time.Second)
 		c.kill(address(4)) // in region b, as node 1
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -175,7 +175,7 @@
 		}
 		defer c.stop()
 		for range 40 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -203,7 +203,7 @@
 		time.Sleep(leaseDuration)
 		c.table.SetFault(nil)
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 			require.False(t, leaseValid(away, slot), "it has not renewed its lease")
 			require.Zero(t, c.misplacedSlots())
--- a/internal/directory/turns_test.go
+++ b/internal/directory/turns_test.go
@@ -11,7 +11,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 )
 
-func TestOwnerRemembersWhoRanATurn(t *testing.T) {
+// Lookups must return the node that ran a turn, and nothing for an unknown turn or one of the requester.
+func TestOwnerRecordsWhichNodeRanATurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(4)
 		defer c.stop()
@@ -34,6 +35,7 @@
 	})
 }
 
+// The recorded turns of a program must not grow without bound; the newest are kept.
 func TestRecordedTurnsAreBounded(t *testing.T) {
 	var e entry
 	for index := range maxTurns + 5 {
