--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -189,9 +189,9 @@
 		for region, cached := range map[string]bool{"a": true, "b": false} {
 			node := func() *TurnStore { return New(Options{Store: table, CacheBytes: 1 << 20, Region: region}) }
 			for source, load := range map[string]func(*TurnStore) error{
-				"written": func(k *TurnStore) error { return k.Write(bound, newTurn("t"), nil, time.Minute) },
-				"read":    func(k *TurnStore) error { _, err := k.Chain(bound, "t"); return err },
-				"learnt":  func(k *TurnStore) error { k.CacheChain(bound, []*Turn{newTurn("t")}); return nil },
+				"written": func(s *TurnStore) error { return s.Write(bound, newTurn("t"), nil, time.Minute) },
+				"read":    func(s *TurnStore) error { _, err := s.Chain(bound, "t"); return err },
+				"cached":  func(s *TurnStore) error { s.CacheChain(bound, []*Turn{newTurn("t")}); return nil },
 			} {
 				turnStore := node()
 				require.NoError(t, node().Write(bound, newTurn("t"), nil, time.Minute))
