--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// Guards against lookups that miss a tenant or match an unknown key or name.
 func TestLookupByKeyAndName(t *testing.T) {
 	registry := NewRegistry([]Entry{
 		{Tenant: Tenant{Name: "stalls"}, Keys: []Key{KeyOf("a"), KeyOf("b")}},
@@ -37,7 +38,8 @@
 	require.Equal(t, 1, registry.SharedKeys())
 }
 
-func TestFollowRecordsRemovedKeys(t *testing.T) {
+// Guards against losing a removed key over several configurations, and keeping one that was added again.
+func TestRecordRemovedKeys(t *testing.T) {
 	entry := func(name string, keys ...string) Entry {
 		e := Entry{Tenant: Tenant{Name: name}}
 		for _, key := range keys {
@@ -52,9 +54,9 @@
 	third := NewRegistry([]Entry{entry("stalls", "c")})
 	third.RecordRemovedKeys(second, 5)
 	for key, version := range map[string]int64{"a": 2, "b": 5} {
-		former, ok := third.RemovedKey(KeyOf(key))
+		removedKey, ok := third.RemovedKey(KeyOf(key))
 		require.True(t, ok)
-		require.Equal(t, RemovedKey{Tenant: "stalls", Version: version}, former)
+		require.Equal(t, RemovedKey{Tenant: "stalls", Version: version}, removedKey)
 	}
 	fourth := NewRegistry([]Entry{entry("stalls", "a", "c")})
 	fourth.RecordRemovedKeys(third, 6)
