--- a/internal/quota/allocator_test.go
+++ b/internal/quota/allocator_test.go
@@ -90,13 +90,14 @@
 	})
 }
 
+// Guards against answers without the proof of freshness, or for a share that does not exist.
 func TestAnswerIncludesProof(t *testing.T) {
 	allocator := newTestAllocator(&fakeLeases{}, tenant.Limit{PerSecond: 1})
 	require.Equal(t, staleness.Proof{Revision: 3, Age: time.Second}, allocator.Answer(Request{Tenant: "t"}).Proof)
 	require.False(t, allocator.Answer(Request{Tenant: "t", Share: shares}).Owner, "a share that does not exist has no owner")
 }
 
-// Guards against telling all refused callers to retry at the same time.
+// Guards against giving all refused callers the same retry time.
 func TestRetryDelaysIncrease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		allocator := newTestAllocator(&fakeLeases{}, tenant.Limit{PerSecond: 20, Burst: 20})
