--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -129,6 +129,7 @@
 
 func programOf(index int) string { return fmt.Sprintf("program-%d", index) }
 
+// Nodes that start together must not leave a slot vacant or disagree on its owner.
 func TestEverySlotIsOwnedOnceAndAllNodesAgree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(12)
--- a/internal/directory/grant_test.go
+++ b/internal/directory/grant_test.go
@@ -62,6 +62,7 @@
 	time.Sleep(8 * time.Second)
 }
 
+// A part must not be granted twice; a retry gets the same tokens.
 func TestGrantIsMadeOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
--- a/internal/directory/lease_test.go
+++ b/internal/directory/lease_test.go
@@ -53,6 +53,7 @@
 	return ok && lease.Valid(time.Now())
 }
 
+// A lease must not outlast the last confirmation of its claim.
 func TestLeaseExpiresUnlessRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
@@ -183,7 +184,8 @@
 	})
 }
 
-func TestSuccessorSeesRaisedTenantsAndUnsettledRow(t *testing.T) {
+// A successor must take into account what its predecessors may have issued.
+func TestSuccessorSeesFullLimitTenantsAndUnsettledRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -50,6 +50,7 @@
 	return count
 }
 
+// The layout must map each region to slots of its own, and work without regions.
 func TestLayoutOfRegions(t *testing.T) {
 	layout := NewLayout(locality.NewMap(regionZones))
 	require.Equal(t, 3*slotsPerRegion, layout.SlotCount())
@@ -67,6 +68,7 @@
 	require.Equal(t, "107", keyOf(107).Name)
 }
 
+// The slots of a region must be owned by its nodes, and lookups must stay within it.
 func TestRegionsOwnTheirSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionalCluster(12)
