--- a/internal/directory/grant_test.go
+++ b/internal/directory/grant_test.go
@@ -62,6 +62,7 @@
 	time.Sleep(8 * time.Second)
 }
 
+// A part must not be granted twice; a retry gets the same tokens.
 func TestGrantIsMadeOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
@@ -129,7 +130,7 @@
 	})
 }
 
-// A partitioned owner that does not know its successor must not grant from the same part.
+// A partitioned owner that has not learned of its successor must not grant from the same part.
 func TestTwoOwnersGrantDifferentParts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, old, slot := startWithOwner(t)
--- a/internal/directory/lease_test.go
+++ b/internal/directory/lease_test.go
@@ -53,6 +53,7 @@
 	return ok && lease.Valid(time.Now())
 }
 
+// A lease must not outlast the last confirmation of its claim.
 func TestLeaseExpiresUnlessRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
@@ -80,7 +81,7 @@
 	})
 }
 
-// A partitioned owner may still lend. Its successor must not lend before the old lease has
+// A partitioned owner may still issue permits. Its successor must not issue any before the old lease has
 // expired.
 func TestTwoOwnersNeverHoldALeaseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -170,7 +171,7 @@
 	})
 }
 
-// A node that is shutting down must not lend, even if it cannot release its slots in the store.
+// A node that is shutting down must not issue permits, even if it cannot release its slots in the store.
 func TestLeavingNodeLendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
@@ -183,7 +184,8 @@
 	})
 }
 
-func TestSuccessorSeesRaisedTenantsAndUnsettledRow(t *testing.T) {
+// A successor must take into account what its predecessors may have issued.
+func TestSuccessorSeesFullLimitTenantsAndUnsettledRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
@@ -211,7 +213,7 @@
 	})
 }
 
-// Raised lending must not be visible before the store has recorded it for the successor.
+// A full limit must not appear as allowed before the store has recorded it for the successor.
 func TestRaiseIsNotVisibleBeforeTheStoreHasIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -50,6 +50,7 @@
 	return count
 }
 
+// The layout must map each region to slots of its own, and work without regions.
 func TestLayoutOfRegions(t *testing.T) {
 	layout := NewLayout(locality.NewMap(regionZones))
 	require.Equal(t, 3*slotsPerRegion, layout.SlotCount())
@@ -67,6 +68,7 @@
 	require.Equal(t, "107", keyOf(107).Name)
 }
 
+// The slots of a region must be owned by its nodes, and lookups must stay within it.
 func TestRegionsOwnTheirSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionalCluster(12)
@@ -83,9 +85,9 @@
 		require.Equal(t, 3*slotsPerRegion, owned)
 		require.Zero(t, c.misplacedSlots())
 		for program := range 50 {
-			asker, other := c.node(0), c.node(3) // in two zones of one region
-			asker.Locate(t.Context(), programOf(program))
-			require.Equal(t, []budget.Holder{asker.options.Self}, other.Locate(t.Context(), programOf(program)).Holders)
+			requester, other := c.node(0), c.node(3) // in two zones of one region
+			requester.Locate(t.Context(), programOf(program))
+			require.Equal(t, []budget.Holder{requester.options.Self}, other.Locate(t.Context(), programOf(program)).Holders)
 			owner, ok := other.Owner(other.slotOf(programOf(program)))
 			require.True(t, ok)
 			require.Equal(t, "a", c.places.Region(c.zones[owner.Address]), "the owner is in the same region")
@@ -105,7 +107,7 @@
 		c.partitionedRegion = "b"
 		c.mutex.Unlock()
 		for range 120 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		during, _ := c.allOwners()
@@ -129,13 +131,13 @@
 			c.kill(address(3*index + 1)) // in region b
 		}
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		require.Zero(t, c.misplacedSlots())
 		c.start(address(1))
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -152,7 +154,7 @@
 		time.Sleep(12 * time.Second)
 		c.kill(address(4)) // in region b, as node 1
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -175,7 +177,7 @@
 		}
 		defer c.stop()
 		for range 40 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -184,8 +186,8 @@
 	})
 }
 
-// A region that is partitioned from the store and the other regions must not lend, and no other
-// region may lend in its place.
+// A region that is partitioned from the store and the other regions must not issue permits, and no other
+// region may issue them in its place.
 func TestFullyPartitionedRegionLendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionalCluster(6)
@@ -203,7 +205,7 @@
 		time.Sleep(leaseDuration)
 		c.table.SetFault(nil)
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 			require.False(t, leaseValid(away, slot), "it has not renewed its lease")
 			require.Zero(t, c.misplacedSlots())
--- a/internal/directory/turns_test.go
+++ b/internal/directory/turns_test.go
@@ -11,7 +11,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 )
 
-func TestOwnerRemembersWhoRanATurn(t *testing.T) {
+// Lookups must return the node that ran a turn, and nothing for an unknown turn or one of the requester.
+func TestOwnerRecordsWhichNodeRanATurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(4)
 		defer c.stop()
@@ -29,11 +30,12 @@
 		_, ok = c.node(1).Lookup(t.Context(), "other", "t1")
 		require.False(t, ok)
 		_, ok = c.node(0).Lookup(t.Context(), "p", "t1")
-		require.False(t, ok, "the asker itself is left out")
+		require.False(t, ok, "the requester itself is left out")
 		require.Contains(t, c.node(3).Locate(t.Context(), "p").Holders, c.node(2).options.Self, "a process that ran a turn may hold tokens")
 	})
 }
 
+// The recorded turns of a program must not grow without bound; the newest are kept.
 func TestRecordedTurnsAreBounded(t *testing.T) {
 	var e entry
 	for index := range maxTurns + 5 {
