--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -17,9 +17,9 @@
 //
 // A worker stops counting only when its process is known to have ended: its host reports the
 // connection closed and the port unused, or another process has registered under its ID. Neither
-// can be reversed by a later event. Silence and failed dials are not enough: a paused worker with
-// a full accept queue and a path that drops the first packets look the same, and both may still
-// run the request.
+// can be reversed by a later event. A missing answer or a failed dial is not enough: a worker that
+// is paused with a full accept queue, or behind a path that drops the first packets, may still run
+// the request.
 type attempts struct {
 	all     []string // every worker that may have run the request
 	counted []string // those of all that are not known to have ended
@@ -70,8 +70,8 @@
 }
 
 // dropRestarted stops counting the workers whose process has been replaced by a new one under the
-// same ID: the old process has ended. An answer of the new process says nothing about the old
-// one, so the request may still have run there.
+// same ID: the old process has ended. An answer of the new process does not show whether
+// the old one ran the request.
 func (x *exchange) dropRestarted() {
 	for _, worker := range x.attempted {
 		if slices.Contains(x.attempts.counted, worker.Key()) && worker.Replaced() {
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -21,7 +21,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
-// workersInOrder adds as many workers as there are scripts. The worker asked first runs the first
+// workersInOrder adds as many workers as there are scripts. The worker tried first runs the first
 // script, and so on.
 func (f *fixture) workersInOrder(does ...script) {
 	asked := map[string]int{}
@@ -68,7 +68,7 @@
 func staysSilent() error { return nil }
 
 // Guards against dropping a silent worker from the attempts because connections to it fail: it
-// may be paused and still run the request. Another worker is asked only if the route allows two.
+// may be paused and still run the request. Another worker is tried only if the route allows two.
 func TestUnreachableSilentWorkerStillCounts(t *testing.T) {
 	for name, test := range map[string]struct {
 		route   route.Route
--- a/internal/forward/auth.go
+++ b/internal/forward/auth.go
@@ -60,7 +60,7 @@
 }
 
 // recheckKey checks the key again before each send: any time may have passed since the last
-// check, and a paused node may have missed updates.
+// check, and a paused node may lack recent updates.
 func (x *exchange) recheckKey() *fault.Error {
 	if x.tenant == nil {
 		return nil
--- a/internal/forward/auth_test.go
+++ b/internal/forward/auth_test.go
@@ -119,7 +119,7 @@
 }
 
 // Guards against resending a request after its key was revoked, or after the configuration became
-// too old to tell.
+// too old to validate it.
 func TestKeyIsCheckedBeforeEverySend(t *testing.T) {
 	for name, happen := range map[string]func(*fixture, *fakeFreshness){
 		"the key is revoked":              func(f *fixture, _ *fakeFreshness) { f.setTenants(2, []string{"cellars"}, safeRoute) },
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -33,9 +33,9 @@
 // that the request may not use. It returns nil if one is not, or if there are no workers. Unlike
 // a lack of capacity, closed zones do not open while the request waits.
 func (x *exchange) checkServiceOpen(service string, only []string) *fault.Error {
-	why, evacuated := x.options.Workers.WhyClosed(service, x.allowedRegions(), only)
+	reason, evacuated := x.options.Workers.WhyClosed(service, x.allowedRegions(), only)
 	var refusal *fault.Error
-	switch why {
+	switch reason {
 	case eligibility.Evacuated:
 		refusal = fault.Newf(fault.ZoneEvacuated, "retry once the operator has ended one of these evacuations",
 			"all permitted workers of service %q are in evacuated zones (%s)", service, strings.Join(evacuated, ", ")).
--- a/internal/forward/capacity.go
+++ b/internal/forward/capacity.go
@@ -15,8 +15,8 @@
 // Capacity finds workers with free capacity.
 type Capacity interface {
 	// Reserve reserves a slot at a worker if capacity is short, and waits until one is free. The
-	// result has no Place if capacity is not short or no slot was found; the caller then chooses
-	// a worker by local knowledge.
+	// result has no Reservation if capacity is not short or no slot was found; the caller then chooses
+	// a worker by local information.
 	Reserve(ctx context.Context, wanted capacity.PlacementRequest) capacity.Placement
 	// Begin counts a request at a worker; nil if the worker's capacity is not tracked.
 	Begin(service, worker string, tokens int) *capacity.Reservation
@@ -30,7 +30,7 @@
 )
 
 // findCapacity reserves a slot for the request while capacity is short, and returns its worker;
-// nil: a worker must be chosen by local knowledge. A request that is restricted to the workers in
+// nil: a worker must be chosen by local information. A request that is restricted to the workers in
 // only goes to them whatever their load.
 func (x *exchange) findCapacity(ctx context.Context, only []string) *backend.Worker {
 	if x.options.Capacity == nil || len(only) > 0 || x.homeAccepts() {
@@ -40,17 +40,17 @@
 	begun := time.Now()
 	x.placement = x.options.Capacity.Reserve(ctx, x.capacityRequest(longest))
 	x.capacityWait += time.Since(begun)
-	place := x.placement.Reservation
-	if place == nil {
+	reservation := x.placement.Reservation
+	if reservation == nil {
 		return nil
 	}
-	worker, ok := x.options.Workers.WorkerByKey(place.Worker())
+	worker, ok := x.options.Workers.WorkerByKey(reservation.Worker())
 	if !ok || x.options.Workers.Check(worker, x.allowedRegions()).Refused() {
-		place.Release()
+		reservation.Release()
 		return nil
 	}
 	x.releaseSlot()
-	x.slot = place
+	x.slot = reservation
 	return worker
 }
 
--- a/internal/forward/capacity_test.go
+++ b/internal/forward/capacity_test.go
@@ -22,8 +22,8 @@
 
 // localCapacity tracks the capacity of service s within the node's own process.
 type localCapacity struct {
-	reporter *capacity.Client
-	f        *fixture
+	client *capacity.Client
+	f      *fixture
 }
 
 var localGroup = capacity.Group{Service: "s", Zone: "z"}
@@ -33,12 +33,12 @@
 	o := &localCapacity{f: f}
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	slots := &capacity.KeeperResolver{Owners: o}
-	keeper := capacity.NewCoordinator(capacity.CoordinatorOptions{Process: "z/n/1", Slots: slots, Members: o.members, OnAnswer: func(capacity.Outcome, capacity.Reason) {}, Logger: logger})
-	o.reporter = capacity.NewClient(capacity.ClientOptions{
-		Self: budget.Holder{Process: "z/n/1"}, Zone: "z", Slots: slots, Workers: o, Keeper: keeper,
+	coordinator := capacity.NewCoordinator(capacity.CoordinatorOptions{Process: "z/n/1", Slots: slots, Members: o.members, OnAnswer: func(capacity.Outcome, capacity.Reason) {}, Logger: logger})
+	o.client = capacity.NewClient(capacity.ClientOptions{
+		Self: budget.Holder{Process: "z/n/1"}, Zone: "z", Slots: slots, Workers: o, Keeper: coordinator,
 		OnFind: func(capacity.Placement) {}, OnReport: func(bool) {}, Logger: logger,
 	})
-	f.forwarder.options.Capacity = o.reporter
+	f.forwarder.options.Capacity = o.client
 	return o
 }
 
@@ -62,16 +62,16 @@
 func (o *localCapacity) InRegion(string) bool                          { return true }
 func (o *localCapacity) Excluded(capacity.Group) []string              { return nil }
 
-// fill occupies slots of workers and waits until the keeper has the report.
+// fill occupies slots of workers and waits until the coordinator has the report.
 func (o *localCapacity) fill(t *testing.T, requests map[string]int) {
 	for worker, count := range requests {
 		for range count {
-			require.NotNil(t, o.reporter.Begin("s", worker, 0))
+			require.NotNil(t, o.client.Begin("s", worker, 0))
 		}
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 	defer cancel()
-	o.reporter.Run(ctx)
+	o.client.Run(ctx)
 	synctest.Wait()
 }
 
@@ -91,12 +91,12 @@
 					capacity := withCapacity(f)
 					during := 0
 					f.worker("w", func(ctx context.Context, call Call) (*Answer, error) {
-						during = capacity.reporter.RunningRequests()
+						during = capacity.client.RunningRequests()
 						return does(ctx, call)
 					})
 					f.serve(t.Context(), nil)
 					require.Equal(t, 1, during)
-					require.Zero(t, capacity.reporter.RunningRequests())
+					require.Zero(t, capacity.client.RunningRequests())
 				})
 			})
 		}
@@ -110,7 +110,7 @@
 			defer cancel()
 			got := f.serve(ctx, nil)
 			require.LessOrEqual(t, got.took, 60*time.Millisecond)
-			require.Zero(t, capacity.reporter.RunningRequests())
+			require.Zero(t, capacity.client.RunningRequests())
 		})
 	})
 }
@@ -128,7 +128,7 @@
 			return storetest.None
 		})
 		held := make(chan int, 1)
-		time.AfterFunc(100*time.Millisecond, func() { held <- capacity.reporter.RunningRequests() })
+		time.AfterFunc(100*time.Millisecond, func() { held <- capacity.client.RunningRequests() })
 		got := f.serve(t.Context(), nil)
 		require.Greater(t, got.took, 100*time.Millisecond)
 		require.Zero(t, <-held)
@@ -148,7 +148,7 @@
 		got := f.serve(t.Context(), nil)
 		require.True(t, got.ended)
 		require.Equal(t, []string{"b", "c"}, workersOf(f.sent()))
-		require.Equal(t, 3, capacity.reporter.RunningRequests())
+		require.Equal(t, 3, capacity.client.RunningRequests())
 	})
 }
 
@@ -161,7 +161,7 @@
 		f.worker("a", streams(1, 0))
 		f.workerAt("y", "y", streams(1, 0))
 		capacity.fill(t, map[string]int{"a": 1})
-		f.board.Apply(evacuation.ZoneState{Zone: "z", Evacuated: true, Revision: 2}, evacuation.FromStore)
+		f.tracker.Apply(evacuation.ZoneState{Zone: "z", Evacuated: true, Revision: 2}, evacuation.FromStore)
 		got := f.serve(t.Context(), nil)
 		require.True(t, got.ended)
 		require.Equal(t, []string{"y"}, workersOf(f.sent()))
--- a/internal/forward/silent_test.go
+++ b/internal/forward/deadconnection_test.go
@@ -65,8 +65,8 @@
 	return &Answer{Status: got.StatusCode, Header: got.Header, Length: got.ContentLength, Body: got.Body, Close: got.Close}, nil
 }
 
-// silentFixture has a stalled worker that has answered its one request on the first connection.
-func silentFixture(t *testing.T, served route.Route) (f *fixture, transport *poolTransport, answered, checks *atomic.Int64) {
+// stalledFixture has a stalled worker that has answered its one request on the first connection.
+func stalledFixture(t *testing.T, served route.Route) (f *fixture, transport *poolTransport, answered, checks *atomic.Int64) {
 	address, answered := stalledWorker(t)
 	served.Timeout = time.Minute
 	f = newFixture(t, served)
@@ -89,7 +89,7 @@
 // Guards against waiting for an answer on a dead connection when a safe request can be resent on
 // a new one.
 func TestSafeRequestIsResentOnANewConnection(t *testing.T) {
-	f, transport, answered, checks := silentFixture(t, plainRoute(route.Safe, 1))
+	f, transport, answered, checks := stalledFixture(t, plainRoute(route.Safe, 1))
 	require.Equal(t, http.StatusOK, f.serve(t.Context(), longRequest).status)
 	require.EqualValues(t, 3, transport.sends.Load())
 	require.EqualValues(t, 2, answered.Load(), "the first send did not run")
@@ -98,7 +98,7 @@
 
 // Guards against resending a stream that may not run twice when its connection is dead.
 func TestUnrepeatableStreamFailsOnASilentConnection(t *testing.T) {
-	f, transport, answered, _ := silentFixture(t, turnRoute(nil))
+	f, transport, answered, _ := stalledFixture(t, turnRoute(nil))
 	got := f.serve(t.Context(), longRequest)
 	require.EqualValues(t, 2, transport.sends.Load(), "it was sent once")
 	require.EqualValues(t, 1, answered.Load())
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -51,7 +51,7 @@
 	forwarder *Forwarder
 	workers   *backend.Registry
 	table     *storetest.Table
-	board     *evacuation.Tracker
+	tracker   *evacuation.Tracker
 
 	mutex     sync.Mutex
 	scripts   map[string]script
@@ -63,8 +63,8 @@
 }
 
 func newFixture(t *testing.T, routes ...route.Route) *fixture {
-	f := &fixture{t: t, table: storetest.New(), scripts: map[string]script{}, board: evacuation.New(nil)}
-	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Dial: f.dial, Places: testPlaces, Evacuated: f.board.Evacuated})
+	f := &fixture{t: t, table: storetest.New(), scripts: map[string]script{}, tracker: evacuation.New(nil)}
+	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Dial: f.dial, Places: testPlaces, Evacuated: f.tracker.Evacuated})
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	table := store.Store(f.table)
 	f.forwarder = New(Options{
@@ -232,7 +232,7 @@
 	return nil, ctx.Err()
 }
 
-// streams is a worker that sends the events up to last that follow the call's Resume. Unless
+// streams is a worker that sends the events up to last that follow the call's LastEventID. Unless
 // breakAt is zero, the stream breaks after that event.
 func streams(last, breakAt int) script {
 	return func(_ context.Context, call Call) (*Answer, error) {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -43,14 +43,14 @@
 	// ReserveMemory reserves memory of the node for buffered bytes until release is called; ok is false
 	// if there is none left. nil: buffers are not counted.
 	ReserveMemory func(bytes int64) (release func(), ok bool)
-	// WorkerFinder looks up workers that this node has not loaded; nil: it has loaded all.
+	// Finder looks up workers that this node has not loaded; nil: all are loaded.
 	Finder WorkerFinder
-	// Capacity finds workers with free capacity; nil: workers are chosen by local knowledge only.
+	// Capacity finds workers with free capacity; nil: workers are chosen by local information only.
 	Capacity Capacity
 	// Prober queries workers' health when there is no other information on whether they are warm;
 	// nil: they are not queried.
 	Prober Prober
-	// Isolated reports whether this node reaches neither the store nor nodes in other zones; nil:
+	// Isolated reports whether this node can reach neither the store nor nodes in other zones; nil:
 	// never.
 	Isolated func() bool
 	// Estimator estimates how long programs take; nil: there are no estimates.
--- a/internal/forward/history.go
+++ b/internal/forward/history.go
@@ -16,11 +16,11 @@
 	History(ctx context.Context, holder budget.Holder, turn string) ([]*history.Turn, error)
 }
 
-// TurnDirectory remembers which node ran which turn. Its answers are hints and may be wrong.
+// TurnDirectory records which node ran which turn. Its answers are hints and may be wrong.
 type TurnDirectory interface {
 	// RecordRun records that this node has run a turn. It does not block.
 	RecordRun(program, turn string)
-	// Lookup returns the node that ran a turn; ok is false if it is not known.
+	// Lookup returns the node that ran a turn; ok is false if it is not recorded.
 	Lookup(ctx context.Context, program, turn string) (holder budget.Holder, ok bool)
 }
 
@@ -52,8 +52,8 @@
 // loadHistory returns the turns before this one: from the local cache, else from a node that ran
 // the program's last turns, else from the store.
 func (x *exchange) loadHistory(ctx context.Context, holders <-chan []budget.Holder) ([]*history.Turn, error) {
-	if known := x.options.History.CachedChain(x.previousTurn()); known != nil {
-		return known, nil
+	if cached := x.options.History.CachedChain(x.previousTurn()); cached != nil {
+		return cached, nil
 	}
 	if x.options.HistoryPeers == nil {
 		return x.options.History.Chain(ctx, x.previousTurn())
@@ -125,7 +125,7 @@
 // The turn directory is only used for such programs, since it costs a message per turn.
 func ranOnManyNodes(others []budget.Holder) bool { return len(others) >= maxHistoryPeers }
 
-// lookUpHolder returns the node that ran the previous turn, if the turn directory knows it.
+// lookUpHolder returns the node that ran the previous turn, if the turn directory has it.
 func (x *exchange) lookUpHolder(ctx context.Context, others []budget.Holder) (budget.Holder, bool) {
 	if x.options.TurnDirectory == nil || !ranOnManyNodes(others) {
 		return budget.Holder{}, false
--- a/internal/forward/history_test.go
+++ b/internal/forward/history_test.go
@@ -17,9 +17,9 @@
 
 // peerHistory is another node's history cache.
 type peerHistory struct {
-	keeper *history.TurnStore
-	mutex  sync.Mutex
-	asked  []budget.Holder
+	store *history.TurnStore
+	mutex sync.Mutex
+	asked []budget.Holder
 }
 
 func (r *peerHistory) note(holder budget.Holder) {
@@ -31,7 +31,7 @@
 // History implements HistoryPeers.
 func (r *peerHistory) History(_ context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
 	r.note(holder)
-	return r.keeper.CachedChain(turn), nil
+	return r.store.CachedChain(turn), nil
 }
 
 // Guards against a turn failing while the store cannot read its history, although the node that
@@ -52,13 +52,13 @@
 		other := newFixture(t, turnRoute(retained))
 		other.worker("w", streams(2, 0))
 		other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
-		neighbour := &peerHistory{keeper: f.forwarder.options.History}
-		other.forwarder.options.HistoryPeers = neighbour
+		peer := &peerHistory{store: f.forwarder.options.History}
+		other.forwarder.options.HistoryPeers = peer
 		other.table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost }) // reads and writes of turns
 		other.forwarder.options.History = newHistory(other.table)
 		other.serve(t.Context(), program("t3", "t2"))
 		require.Equal(t, "t1;t1\nt2\nt2;t1\nt2\nt3;", other.sent()[0].body)
-		require.Equal(t, "n", neighbour.asked[0].Process)
+		require.Equal(t, "n", peer.asked[0].Process)
 		time.Sleep(time.Minute)
 	})
 }
@@ -109,9 +109,9 @@
 			other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{
 				Store: f.table, Self: budget.Holder{Process: "m"}, Locator: spreadLocator{count: holders},
 			})
-			neighbour := &peerHistory{keeper: f.forwarder.options.History}
+			peer := &peerHistory{store: f.forwarder.options.History}
 			turns := &fakeTurnDirectory{holders: map[string]budget.Holder{"t1": {Process: "ran"}}}
-			other.forwarder.options.HistoryPeers, other.forwarder.options.TurnDirectory = neighbour, turns
+			other.forwarder.options.HistoryPeers, other.forwarder.options.TurnDirectory = peer, turns
 			other.forwarder.options.History = newHistory(other.table)
 			got := other.serve(t.Context(), func(r *Request) {
 				r.ID, r.PreviousTurn, r.Program, r.TokenBudget, r.MaxOutputTokens = "t2", "t1", "p", 10_000, 60
@@ -121,11 +121,11 @@
 			_, reads := other.table.Calls()
 			require.Zero(t, reads)
 			if holders < maxHistoryPeers {
-				require.NotContains(t, neighbour.asked, budget.Holder{Process: "ran"}, "all nodes that ran turns are asked")
+				require.NotContains(t, peer.asked, budget.Holder{Process: "ran"}, "all nodes that ran turns are asked")
 				require.Empty(t, turns.noted)
 				return
 			}
-			require.Equal(t, []budget.Holder{{Process: "ran"}}, neighbour.asked)
+			require.Equal(t, []budget.Holder{{Process: "ran"}}, peer.asked)
 			require.Equal(t, []string{"t2"}, turns.noted)
 		})
 	}
@@ -148,7 +148,7 @@
 			other := newFixture(t, turnRoute(retained))
 			other.worker("w", streams(2, 0))
 			other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
-			other.forwarder.options.HistoryPeers = &wrongHistory{peerHistory: peerHistory{keeper: memory}}
+			other.forwarder.options.HistoryPeers = &wrongHistory{peerHistory: peerHistory{store: memory}}
 			other.forwarder.options.History = newHistory(f.table)
 			other.serve(t.Context(), claim("t2", "t1"))
 			require.Equal(t, "t1;t1\nt2\nt2;", other.sent()[0].body)
@@ -175,7 +175,7 @@
 
 		other := newFixture(t, turnRoute(retained))
 		other.worker("w", streams(2, 0))
-		other.forwarder.options.HistoryPeers = &peerHistory{keeper: newHistory(f.table)}
+		other.forwarder.options.HistoryPeers = &peerHistory{store: newHistory(f.table)}
 		other.forwarder.options.History = newHistory(table)
 		got := other.serve(t.Context(), claim("t3", "t2"))
 		require.NotNil(t, got.refusal, "not a worker's answer, nor a broken connection")
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -165,7 +165,7 @@
 }
 
 // handleDecline records that a worker did not run the request. It returns false: another worker
-// may be asked.
+// may be tried.
 func (x *exchange) handleDecline(worker *backend.Worker, answer *Answer) bool {
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxBufferedAnswer))
 	answer.Close(true)
@@ -212,9 +212,9 @@
 		x.handleUnreached(worker, err)
 		return false, nil
 	}
-	silent := errors.Is(cause, errSilent)
+	deadConnection := errors.Is(cause, errDeadConnection)
 	switch {
-	case silent: // says nothing about the worker's health
+	case deadConnection: // the worker itself may be healthy
 	case errors.Is(cause, errUnreachable): // the worker may still run the request
 		worker.RecordUnreachable(time.Now())
 		x.exclude(id)
@@ -225,8 +225,8 @@
 	if !x.route.Repeatable() {
 		return true, fault.New(fault.EngineFailed, "the connection to the worker broke", "check whether the request took effect before sending it again").WithRan(fault.RanUnknown)
 	}
-	if silent {
-		return false, nil // the worker is alive: retry it on a new connection
+	if deadConnection {
+		return false, nil // the worker accepts connections: retry it on a new one
 	}
 	if x.mayRunElsewhere() {
 		x.exclude(id)
--- a/internal/forward/presend.go
+++ b/internal/forward/presend.go
@@ -15,9 +15,9 @@
 
 // WarmupLimiter grants requests to cold workers, whose load is limited while they warm up.
 type WarmupLimiter interface {
-	// Acquire asks for one request to a cold worker. It takes a few milliseconds while the owner
+	// Acquire requests a permit for one request to a cold worker. It takes a few milliseconds while the owner
 	// of the worker's allowance responds, and tens of milliseconds if it does not.
-	Acquire(ctx context.Context, ask WarmupRequest) WarmupPermit
+	Acquire(ctx context.Context, request WarmupRequest) WarmupPermit
 }
 
 // Prober queries the health of workers.
@@ -35,14 +35,14 @@
 	FirstTurn bool // the request is the first of its program, or belongs to none
 }
 
-// WarmupPermit is the permission to send one request to a cold worker, or its refusal.
+// WarmupPermit permits sending one request to a cold worker, or refuses it.
 type WarmupPermit struct {
 	ExpiresAt  time.Time     // expiry of the permission; zero: refused
 	RetryAfter time.Duration // if refused: time until a permission may be available
 }
 
-// valid reports whether the loan permits a send now.
-func (l WarmupPermit) valid() bool { return time.Now().Before(l.ExpiresAt) }
+// valid reports whether the permit allows a send now.
+func (p WarmupPermit) valid() bool { return time.Now().Before(p.ExpiresAt) }
 
 // maxColdAttempts is the number of cold workers that a request tries to get permission for. After
 // that, only warm workers are considered.
@@ -57,13 +57,13 @@
 )
 
 // clear decides whether the request may still be sent to the chosen worker. It runs just before
-// each send, because any time may have passed since the choice, and a paused node may have missed
-// updates. If cleared is false and there is no refusal, another worker must be chosen. A refusal
+// each send, because any time may have passed since the choice, and a paused node may lack
+// recent updates. If cleared is false and there is no refusal, another worker must be chosen. A refusal
 // is final.
 func (x *exchange) clear(ctx context.Context, worker *backend.Worker) (cleared bool, refusal *fault.Error) {
-	var loan WarmupPermit
+	var permit WarmupPermit
 	if x.options.Workers.Check(worker, x.allowedRegions()) == eligibility.NeedsWarmupPlace {
-		loan = x.borrowColdRequest(ctx, worker)
+		permit = x.acquireWarmupPermit(ctx, worker)
 	}
 	if x.clientCtx.Err() != nil {
 		return false, x.endedError(x.clientCtx)
@@ -72,7 +72,7 @@
 		return false, refusal
 	}
 	verdict := x.options.Workers.Check(worker, x.allowedRegions())
-	if verdict.Refused() || verdict == eligibility.NeedsWarmupPlace && !loan.valid() {
+	if verdict.Refused() || verdict == eligibility.NeedsWarmupPlace && !permit.valid() {
 		x.options.Metrics.BlockedSends.WithLabelValues(verdict.String()).Inc()
 		x.recordSendFailure(worker, x.blockReason(worker, verdict))
 		x.exclude(worker.Key())
@@ -87,30 +87,30 @@
 	if verdict != eligibility.NeedsWarmupPlace {
 		return verdict.String()
 	}
-	known := x.options.Workers.Warmth(worker)
-	if known.Expired {
-		return fmt.Sprintf("metered(lapsed %dms)", known.Age.Milliseconds())
+	warmth := x.options.Workers.Warmth(worker)
+	if warmth.Expired {
+		return fmt.Sprintf("metered(lapsed %dms)", warmth.Age.Milliseconds())
 	}
-	return fmt.Sprintf("metered(%s %dms)", known.Source, known.Age.Milliseconds())
+	return fmt.Sprintf("metered(%s %dms)", warmth.Source, warmth.Age.Milliseconds())
 }
 
-// borrowColdRequest asks for permission to send the request to a cold worker. Without it, the
-// worker's health is queried: a warm worker needs no permission.
-func (x *exchange) borrowColdRequest(ctx context.Context, worker *backend.Worker) WarmupPermit {
+// acquireWarmupPermit requests a permit to send the request to a cold worker. If it is refused, the
+// worker's health is queried: a warm worker needs no permit.
+func (x *exchange) acquireWarmupPermit(ctx context.Context, worker *backend.Worker) WarmupPermit {
 	if x.options.WarmupLimiter == nil {
 		return WarmupPermit{}
 	}
 	x.coldAttempts++
-	loan := x.options.WarmupLimiter.Acquire(ctx, WarmupRequest{
+	permit := x.options.WarmupLimiter.Acquire(ctx, WarmupRequest{
 		Worker: worker.Key(), Zone: worker.Record().Zone, Service: x.service, FirstTurn: x.home == "",
 	})
-	if loan.ExpiresAt.IsZero() && x.probeHealth(ctx, worker) {
-		return loan
+	if permit.ExpiresAt.IsZero() && x.probeHealth(ctx, worker) {
+		return permit
 	}
-	if loan.ExpiresAt.IsZero() && (x.coldRetryAfter == 0 || loan.RetryAfter < x.coldRetryAfter) {
-		x.coldRetryAfter = loan.RetryAfter
+	if permit.ExpiresAt.IsZero() && (x.coldRetryAfter == 0 || permit.RetryAfter < x.coldRetryAfter) {
+		x.coldRetryAfter = permit.RetryAfter
 	}
-	return loan
+	return permit
 }
 
 // probeHealth queries the health of a worker for which no permission was granted and whose entry
--- a/internal/forward/presend_test.go
+++ b/internal/forward/presend_test.go
@@ -16,91 +16,91 @@
 	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
-// fakeAllowance grants loans by a function and records the requests.
-type fakeAllowance struct {
-	lend  func(WarmupRequest) WarmupPermit
-	asked []WarmupRequest
+// fakeLimiter issues permits by a function and records the requests.
+type fakeLimiter struct {
+	acquire func(WarmupRequest) WarmupPermit
+	asked   []WarmupRequest
 }
 
 // Acquire implements WarmupLimiter.
-func (a *fakeAllowance) Acquire(_ context.Context, ask WarmupRequest) WarmupPermit {
-	a.asked = append(a.asked, ask)
+func (a *fakeLimiter) Acquire(_ context.Context, request WarmupRequest) WarmupPermit {
+	a.asked = append(a.asked, request)
 	time.Sleep(2 * time.Millisecond)
-	return a.lend(ask)
+	return a.acquire(request)
 }
 
-// lendsFor grants loans that are valid for a time; a negative time grants expired ones.
-func lendsFor(within time.Duration) func(WarmupRequest) WarmupPermit {
+// permitsFor issues permits that are valid for a time; a negative time issues expired ones.
+func permitsFor(within time.Duration) func(WarmupRequest) WarmupPermit {
 	return func(WarmupRequest) WarmupPermit {
 		return WarmupPermit{ExpiresAt: time.Now().Add(within), RetryAfter: 300 * time.Millisecond}
 	}
 }
 
-func lendsNothing(WarmupRequest) WarmupPermit {
+func refusesPermits(WarmupRequest) WarmupPermit {
 	return WarmupPermit{RetryAfter: 300 * time.Millisecond}
 }
 
 // coldFixture has a cold worker for each name and a safe route to them.
-func coldFixture(t *testing.T, lend func(WarmupRequest) WarmupPermit, cold ...string) (*fixture, *fakeAllowance) {
+func coldFixture(t *testing.T, acquire func(WarmupRequest) WarmupPermit, cold ...string) (*fixture, *fakeLimiter) {
 	f := newFixture(t, route.Route{
 		Host: "h", PathPrefix: "/p/", Kind: route.Safe, Timeout: time.Second, Objective: 100 * time.Millisecond, MaxAttempts: 2,
 		Targets: []route.Target{{Service: "s", Weight: 1}},
 	})
 	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Places: testPlaces, Dial: f.dial, Cold: func(string) (bool, time.Duration) { return true, time.Second }})
-	lender := &fakeAllowance{lend: lend}
-	f.forwarder.options.Workers, f.forwarder.options.WarmupLimiter = f.workers, lender
+	limiter := &fakeLimiter{acquire: acquire}
+	f.forwarder.options.Workers, f.forwarder.options.WarmupLimiter = f.workers, limiter
 	for _, name := range cold {
 		f.scripts[name] = answers(http.StatusOK, "from "+name)
 		f.workers.Put(backend.Record{ID: name, Service: "s", Address: name, Zone: "z", Slots: 4, ColdRemaining: time.Minute})
 	}
-	return f, lender
+	return f, limiter
 }
 
-// Guards against refusing a cold worker although a loan was granted.
+// Guards against refusing a cold worker although a permit was issued.
 func TestColdWorkerGetsRequestWithALoan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, lender := coldFixture(t, lendsFor(100*time.Millisecond), "c")
+		f, limiter := coldFixture(t, permitsFor(100*time.Millisecond), "c")
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
-		require.Equal(t, []WarmupRequest{{Worker: "c", Zone: "z", Service: "s", FirstTurn: true}}, lender.asked)
+		require.Equal(t, []WarmupRequest{{Worker: "c", Zone: "z", Service: "s", FirstTurn: true}}, limiter.asked)
 	})
 }
 
-// Guards against asking for loans for warm workers.
+// Guards against asking for permits for warm workers.
 func TestWarmWorkerNeedsNoLoan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, lender := coldFixture(t, lendsNothing)
+		f, limiter := coldFixture(t, refusesPermits)
 		f.worker("warm", answers(http.StatusOK, "well"))
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
-		require.Empty(t, lender.asked)
+		require.Empty(t, limiter.asked)
 	})
 }
 
-// Guards against spending the request's time on asking for loans for many cold workers.
+// Guards against spending the request's time on asking for permits for many cold workers.
 func TestRequestWithoutALoanGoesToAWarmWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, lender := coldFixture(t, lendsNothing, strings.Split("abcdefgh", "")...)
+		f, limiter := coldFixture(t, refusesPermits, strings.Split("abcdefgh", "")...)
 		f.worker("warm", answers(http.StatusOK, "well"))
 		f.workers.Workers("s")[len(f.workers.Workers("s"))-1].RecordRefusal(time.Now()) // so that cold workers are tried first
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 		require.Equal(t, "warm", f.sent()[0].worker)
-		require.Len(t, lender.asked, maxColdAttempts, "it stops asking for loans")
+		require.Len(t, limiter.asked, maxColdAttempts, "it stops asking for permits")
 	})
 }
 
-// Guards against sending to a cold worker after its loan has expired.
+// Guards against sending to a cold worker after its permit has expired.
 func TestExpiredLoanIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := coldFixture(t, lendsFor(-time.Millisecond), "c")
+		f, _ := coldFixture(t, permitsFor(-time.Millisecond), "c")
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
 	})
 }
 
-// Guards against holding a request that can get no worker, and against losing the lender's retry
+// Guards against holding a request that can get no worker, and against losing the limiter's retry
 // delay.
 func TestColdWorkersWithoutLoansRefuseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := coldFixture(t, lendsNothing, "a", "b")
+		f, _ := coldFixture(t, refusesPermits, "a", "b")
 		got := f.serve(t.Context(), nil)
 		require.Equal(t, fault.Overloaded, got.refusal.Code)
 		require.Equal(t, fault.RanNo, got.refusal.Ran)
@@ -110,15 +110,15 @@
 	})
 }
 
-// Guards against resending a request to a cold worker without a second loan.
+// Guards against resending a request to a cold worker without a second permit.
 func TestEachRetryNeedsALoan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, lender := coldFixture(t, lendsFor(100*time.Millisecond), "a", "b")
+		f, limiter := coldFixture(t, permitsFor(100*time.Millisecond), "a", "b")
 		for name := range f.scripts {
 			f.scripts[name] = resets
 		}
 		f.serve(t.Context(), nil)
-		require.Len(t, lender.asked, len(f.sent()))
+		require.Len(t, limiter.asked, len(f.sent()))
 		require.Greater(t, len(f.sent()), 1)
 	})
 }
@@ -126,7 +126,7 @@
 // Guards against sending to cold workers without any limit.
 func TestNodeWithoutAllowanceSendsNothingToColdWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := coldFixture(t, lendsNothing, "c")
+		f, _ := coldFixture(t, refusesPermits, "c")
 		f.forwarder.options.WarmupLimiter = nil
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
@@ -150,11 +150,11 @@
 	return p.left, p.err
 }
 
-// lapsedFixture has a worker whose entry in the worker list is outdated, and no loans.
+// lapsedFixture has a worker whose entry in the worker list is outdated, and no permits.
 func lapsedFixture(t *testing.T, prober *fakeProber) *fixture { return lapsedFixtureAt(t, "z", prober) }
 
 func lapsedFixtureAt(t *testing.T, zone string, prober *fakeProber) *fixture {
-	f, _ := coldFixture(t, lendsNothing)
+	f, _ := coldFixture(t, refusesPermits)
 	f.workerAt("w", zone, answers(http.StatusOK, "well"))
 	f.forwarder.options.Prober = prober
 	configuration := *f.forwarder.Configuration()
@@ -206,7 +206,7 @@
 // Guards against refusing a request at once when a warm worker may soon have capacity again.
 func TestWarmWorkerThatDeclinedIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, _ := coldFixture(t, lendsNothing, "a")
+		f, _ := coldFixture(t, refusesPermits, "a")
 		first := true
 		f.worker("warm", func(ctx context.Context, call Call) (*Answer, error) {
 			if first {
--- a/internal/forward/program.go
+++ b/internal/forward/program.go
@@ -21,8 +21,8 @@
 	sending    *admission.PendingTurn // the last send, until its first event; nil: none is tracked
 	sentAt     time.Time              // time of the last send
 	firstEvent time.Duration          // time from the last send to its first event; 0: no event yet
-	verdict    admission.Verdict      // admission decision; ask and load are its inputs
-	ask        admission.Request
+	verdict    admission.Verdict      // admission decision; request and load are its inputs
+	request    admission.Request
 	load       admission.Load
 }
 
@@ -37,8 +37,8 @@
 		return nil
 	}
 	s := &x.program
-	s.verdict, s.ask, s.load = x.options.Admission.Decide(x.service, s.current, timeLeft(ctx), time.Now())
-	s.current.Returns = s.ask.Program.Returns
+	s.verdict, s.request, s.load = x.options.Admission.Decide(x.service, s.current, timeLeft(ctx), time.Now())
+	s.current.Returns = s.request.Program.Returns
 	x.options.Metrics.Admissions.WithLabelValues(string(s.verdict.Reason)).Inc()
 	if s.verdict.Admitted {
 		return nil
@@ -199,6 +199,6 @@
 	load := s.load
 	fields["admission"] = string(s.verdict.Reason)
 	fields["load"] = load.String()
-	fields["ahead"] = s.ask.PendingRetries
-	fields["pace"] = s.ask.AdmitRate
+	fields["ahead"] = s.request.PendingRetries
+	fields["pace"] = s.request.AdmitRate
 }
--- a/internal/forward/program_test.go
+++ b/internal/forward/program_test.go
@@ -125,7 +125,7 @@
 	})
 }
 
-// Guards against a refused program that retries as asked losing to new ones.
+// Guards against a refused program that retries at the requested time losing to new ones.
 func TestReturningProgramGoesBeforeNewOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		turn := turnRoute(retained)
--- a/internal/forward/ratelimit.go
+++ b/internal/forward/ratelimit.go
@@ -10,8 +10,8 @@
 type RateLimiter interface {
 	// Admit counts one request against its tenant's limit. Its error is a *fault.Error:
 	// RateLimited if the limit is reached, Unavailable if no node that manages it responds.
-	Admit(ctx context.Context, ask RateLimitRequest) error
-	// Return gives back an admitted request that did not run.
+	Admit(ctx context.Context, request RateLimitRequest) error
+	// Return undoes the count of an admitted request that did not run.
 	Return(tenant string)
 }
 
@@ -35,8 +35,7 @@
 	return nil
 }
 
-// returnToLimit gives back what the request took of its tenant's limit, if no worker can have run
-// it.
+// returnToLimit returns the request to its tenant's limit if no worker can have run it.
 func (x *exchange) returnToLimit() {
 	if x.limitTaken && !x.attempts.any() {
 		x.options.RateLimiter.Return(x.tenant.Name)
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -36,8 +36,8 @@
 	SharedTokens    int           // of these, tokens in the prefix shared with other programs
 	// SharedPrefix names the shared prefix; empty: there is none.
 	SharedPrefix string
-	// Finish is the time left until the program must be complete; 0 if that time has passed.
-	// Timed reports whether Finish is set.
+	// TimeToFinish is the time left until the program must be complete; 0 if that time has
+	// passed. HasFinish reports whether it is set.
 	HasFinish      bool
 	TimeToFinish   time.Duration
 	Branch         string // branch of turns within the program; empty: unknown
@@ -80,8 +80,8 @@
 	Send(ctx context.Context, worker *backend.Worker, call Call) (*Answer, error)
 }
 
-// Responder sends the answer to the client. Exactly one of Answer, Start and Refuse is called
-// first. After Start, Event is called any number of times, then End or Abort once.
+// Responder sends the answer to the client. Exactly one of Answer, WriteHead and Refuse is called
+// first. After WriteHead, Write is called any number of times, then End or Abort once.
 type Responder interface {
 	// Answer sends a worker's complete answer.
 	Answer(status int, header http.Header, body []byte) error
--- a/internal/forward/steps.go
+++ b/internal/forward/steps.go
@@ -22,8 +22,8 @@
 	stepFirstEvent
 	// stepStream: from that event to the end of the stream, or to the break before the next send.
 	stepStream
-	// stepKeep: writing the turn to the store.
-	stepKeep
+	// stepStore: writing the turn to the store.
+	stepStore
 	stepCount
 )
 
@@ -34,7 +34,7 @@
 	stepPlace:      "place",
 	stepFirstEvent: "first_event",
 	stepStream:     "stream",
-	stepKeep:       "keep",
+	stepStore:      "keep",
 }
 
 // stepClock measures the time that a turn spends in each step. The zero value is a stopped clock.
--- a/internal/forward/turn.go
+++ b/internal/forward/turn.go
@@ -212,7 +212,7 @@
 	if !x.route.StoreTurns {
 		return nil
 	}
-	x.clock.enter(stepKeep, time.Now())
+	x.clock.enter(stepStore, time.Now())
 	turn := &history.Turn{
 		ID:     x.tenant.Scope(x.request.ID),
 		Input:  x.request.Body,
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	errUnreachable = errors.New("the worker is silent and accepts no connections")
-	errStalled     = errors.New("the worker accepts connections but does not answer")
-	errSilent      = fmt.Errorf("the worker accepts new connections but this one is dead: %w", httpconn.ErrUnresponsive)
+	errUnreachable    = errors.New("the worker is silent and accepts no connections")
+	errStalled        = errors.New("the worker accepts connections but does not answer")
+	errDeadConnection = fmt.Errorf("the worker accepts new connections but this one is dead: %w", httpconn.ErrUnresponsive)
 )
 
 const (
@@ -74,12 +74,12 @@
 	mutex        sync.Mutex // guards the fields below; a check may overlap with received data
 	lastReceived time.Time  // when the worker last sent data
 	checks       int        // number of checks since then
-	firstMiss    time.Time  // start of the first of the current run of failed checks; zero: the last one succeeded
+	firstFailure time.Time  // start of the first of the current run of failed checks; zero: the last one succeeded
 }
 
 // watch starts checks of the worker once it has been silent for longer than usual, and at least
 // for minSilence. It returns a context that is canceled when they fail. The cause is
-// errUnreachable, errStalled or, if the request may be sent again, errSilent.
+// errUnreachable, errStalled or, if the request may be sent again, errDeadConnection.
 func (x *exchange) watch(ctx context.Context, worker *backend.Worker, minSilence time.Duration, waitForDeadline bool) (context.Context, *watchdog) {
 	ctx, conn := httpconn.WithWatch(ctx)
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -98,7 +98,7 @@
 	now := time.Now()
 	w.mutex.Lock()
 	w.usualSilence().Observe(now.Sub(w.lastReceived))
-	w.lastReceived, w.checks, w.firstMiss = now, 0, time.Time{}
+	w.lastReceived, w.checks, w.firstFailure = now, 0, time.Time{}
 	w.mutex.Unlock()
 	w.answerStarted.Store(true)
 	w.timer.Reset(w.silenceTimeout())
@@ -182,10 +182,10 @@
 		w.dialFailed(begun, err)
 		return
 	}
-	w.firstMiss = time.Time{}
+	w.firstFailure = time.Time{}
 	switch {
 	case w.repeatable && w.conn.Unresponsive():
-		w.cancel(errSilent)
+		w.cancel(errDeadConnection)
 	case w.isStalled(w.checks):
 		w.cancel(errStalled)
 	default:
@@ -203,16 +203,16 @@
 		"took_ms":   time.Since(begun).Milliseconds(),
 		"silent_ms": begun.Sub(w.lastReceived).Milliseconds(),
 	}).WithError(err).Warn("worker is silent and a test connection to it failed; it counts as unreachable after two failures in a row")
-	if w.firstMiss.IsZero() {
-		w.firstMiss = begun
+	if w.firstFailure.IsZero() {
+		w.firstFailure = begun
 		w.timer.Reset(0)
 		return
 	}
 	if w.answerStarted.Load() && !w.movable {
 		w.worker.RecordUnreachable(time.Now())
-		w.firstMiss = time.Time{}
+		w.firstFailure = time.Time{}
 		w.timer.Reset(w.silenceTimeout())
 		return
 	}
-	w.cancel(&unreachableError{since: w.firstMiss, last: err})
+	w.cancel(&unreachableError{since: w.firstFailure, last: err})
 }
