--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -17,7 +17,7 @@
 	Service string
 	Home    string // key of the worker that has the request's context cached; empty: unknown
 	Key     string // requests with the same key prefer the same worker
-	// SameObject says that Key names an object that a worker may have cached.
+	// SameObject means that Key names an object that a worker may have cached.
 	SameObject bool
 	Prompt     int // prompt tokens of a model call; 0: not a model call
 	Shared     int // prompt tokens that are shared with other programs
@@ -27,11 +27,11 @@
 	PrefixWorkers []string
 	// Regions are the regions in which the request may be served.
 	Regions locality.Regions
-	// Retryable says that the request can be retried at another worker if it fails.
+	// Retryable means that the request can be retried at another worker if it fails.
 	Retryable bool
-	// FirstTurn says that the request is a program's first turn.
+	// FirstTurn means that the request is a program's first turn.
 	FirstTurn bool
-	// WarmOnly says that only warm workers may be chosen.
+	// WarmOnly means that only warm workers may be chosen.
 	WarmOnly bool
 	Exclude  []string // keys of workers that may not be chosen
 	Only     []string // keys of workers; if not empty, no others may be chosen
@@ -112,11 +112,11 @@
 
 // Check decides whether a request that may be served in the given regions may be sent to a worker now.
 func (r *Registry) Check(worker *Worker, regions locality.Regions) eligibility.Verdict {
-	return eligibility.Check(eligibility.Request{Regions: regions}, r.permitFacts(worker))
+	return eligibility.Check(eligibility.Request{Regions: regions}, r.eligibilityOf(worker))
 }
 
-// permitFacts returns the facts about a worker that decide whether requests may be sent to it.
-func (r *Registry) permitFacts(worker *Worker) eligibility.Worker {
+// eligibilityOf returns the properties of a worker that decide whether requests may be sent to it.
+func (r *Registry) eligibilityOf(worker *Worker) eligibility.Worker {
 	// Must be read before cold: a zone's workers are marked cold before its evacuation ends, so a zone
 	// that has just reopened is not seen with warm workers.
 	evacuated := r.options.Evacuated(worker.zone)
@@ -172,13 +172,13 @@
 
 // allowed returns the workers that query.Only names.
 func (r *Registry) allowed(known roster, query Query) []*Worker {
-	kept := make([]*Worker, 0, len(query.Only))
+	allowed := make([]*Worker, 0, len(query.Only))
 	for _, key := range query.Only {
 		if worker, ok := r.member(known, query.Service, key); ok {
-			kept = append(kept, worker)
+			allowed = append(allowed, worker)
 		}
 	}
-	return kept
+	return allowed
 }
 
 // shortlistRegion selects a few workers of the node's region by the hash of spread, so that the cost
--- a/internal/backend/latency.go
+++ b/internal/backend/latency.go
@@ -8,7 +8,7 @@
 	Next  timing.LatencyEstimate // between two chunks
 }
 
-// LatencyEstimates returns the estimates for a service, creating them on first use.
+// Silences returns the estimates for a service, creating them on first use.
 func (r *Registry) Silences(service string) *LatencyEstimates {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/reconnect.go
+++ b/internal/backend/reconnect.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// unreachableBacklog bounds the queue of workers to reconnect to. A worker that finds
-	// it full is only avoided for a limited period.
+	// unreachableBacklog bounds the queue of workers to reconnect to. If it is full, a further
+	// worker is only avoided for a limited period.
 	unreachableBacklog = 64
 	// reconnectInterval is the time between two attempts to connect to an unreachable worker.
 	reconnectInterval = 300 * time.Millisecond
@@ -32,23 +32,23 @@
 func (r *Registry) Run(ctx context.Context) {
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
-	watched := map[*Worker]bool{}
-	back := make(chan *Worker)
+	reconnecting := map[*Worker]bool{}
+	reconnected := make(chan *Worker)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case worker := <-back:
-			delete(watched, worker)
+		case worker := <-reconnected:
+			delete(reconnecting, worker)
 		case worker := <-r.unreachable:
-			if watched[worker] {
+			if reconnecting[worker] {
 				continue
 			}
-			watched[worker] = true
+			reconnecting[worker] = true
 			group.Go(func() error {
 				r.reconnect(ctx, worker)
 				select {
-				case back <- worker:
+				case reconnected <- worker:
 				case <-ctx.Done():
 				}
 				return nil
--- a/internal/backend/region.go
+++ b/internal/backend/region.go
@@ -56,7 +56,7 @@
 	return query.Home
 }
 
-// anyFree reports whether, as far as this node knows, some worker can take the request now. Workers
+// anyFree reports whether, by this node's information, some worker can take the request now. Workers
 // that are excluded, cold or not permitted to get the request do not count.
 func (r *Registry) anyFree(workers []*Worker, query Query) bool {
 	now := r.options.Now()
@@ -65,7 +65,7 @@
 	})
 }
 
-// free reports whether the worker is listed, below capacity and not avoided, as far as this node knows.
+// free reports whether the worker is listed, below capacity and not avoided, by this node's information.
 func (w *Worker) free(now time.Time) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -17,8 +17,8 @@
 
 // Options configures a Registry.
 type Options struct {
-	Zone   string // zone of this node
-	Places *locality.ZoneMap
+	Zone   string            // zone of this node
+	Places *locality.ZoneMap // region of each zone
 	// Evacuated reports whether a zone's workers must get no new work; nil: no zone is evacuated.
 	Evacuated func(zone string) bool
 	// Cold returns whether cold workers of a service get less work than warm ones, and how long
@@ -49,7 +49,7 @@
 // Registry is the set of workers that this node lists. It is safe for concurrent use.
 type Registry struct {
 	options       Options
-	vantage       locality.Location
+	location      locality.Location
 	roundTrips    *RoundTripEstimator
 	warmthTTL     time.Duration // how long information that a worker is warm stays valid at this node
 	mutex         sync.Mutex
@@ -78,14 +78,14 @@
 	if options.Evacuated == nil {
 		options.Evacuated = func(string) bool { return false }
 	}
-	vantage := locality.Location{Zones: options.Places, Zone: options.Zone}
+	location := locality.Location{Zones: options.Places, Zone: options.Zone}
 	if options.Cold == nil {
 		options.Cold = func(string) (bool, time.Duration) { return false, 0 }
 	}
 	return &Registry{
 		options:     options,
-		vantage:     vantage,
-		roundTrips:  NewRoundTripEstimator(vantage, options.Now),
+		location:    location,
+		roundTrips:  NewRoundTripEstimator(location, options.Now),
 		warmthTTL:   minWarmthTTL + time.Duration(xxhash.Sum64String(options.Node)%uint64(warmthTTLJitter)),
 		workers:     map[string]*Worker{},
 		keys:        map[string]string{},
@@ -101,7 +101,7 @@
 func (r *Registry) newWorker(record Record, now time.Time) *Worker {
 	worker := &Worker{
 		registry: r, id: record.ID, key: record.Key(), service: record.Service, zone: record.Zone,
-		distance: r.vantage.DistanceTo(record.Zone), record: record,
+		distance: r.location.DistanceTo(record.Zone), record: record,
 	}
 	worker.warmth.updateFromEntry(record, now)
 	return worker
@@ -124,26 +124,26 @@
 	return r.byID(id)
 }
 
-// HasID reports whether the part of the worker list that this node keeps has an entry with an ID.
+// HasID reports whether the part of the worker list that this node holds has an entry with an ID.
 func (r *Registry) HasID(id string) bool {
 	_, ok := r.worker(id)
 	return ok
 }
 
-// HasKey reports whether the part of the worker list that this node keeps has a worker with a key.
+// HasKey reports whether the part of the worker list that this node holds has a worker with a key.
 func (r *Registry) HasKey(key string) bool {
 	_, ok := r.byKey(key)
 	return ok
 }
 
-// Len returns the number of workers in the part of the worker list that this node keeps.
+// Len returns the number of workers in the part of the worker list that this node holds.
 func (r *Registry) Len() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.workers)
 }
 
-// Count returns the number of a service's workers in the part of the worker list that this node keeps.
+// Count returns the number of a service's workers in the part of the worker list that this node holds.
 func (r *Registry) Count(service string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -163,7 +163,7 @@
 	address := record.Address
 	options := httpconn.Options{
 		Address:     address,
-		OnConnected: func(took time.Duration) { r.noteConnected(record.Zone, took) },
+		OnConnected: func(took time.Duration) { r.recordConnected(record.Zone, took) },
 		DialTimeout: r.options.DialTimeout,
 		MaxIdle:     maxIdlePerWorker,
 		IdleTimeout: defaultIdleTimeout,
@@ -178,8 +178,8 @@
 	return httpconn.NewPool(options)
 }
 
-// noteConnected records how long opening a connection to a zone took.
-func (r *Registry) noteConnected(zone string, took time.Duration) {
+// recordConnected records how long opening a connection to a zone took.
+func (r *Registry) recordConnected(zone string, took time.Duration) {
 	if roundTrip, changed := r.roundTrips.Observe(zone, took); changed && r.options.OnRoundTrip != nil {
 		r.options.OnRoundTrip(zone, roundTrip)
 	}
@@ -219,7 +219,7 @@
 	return r.rosterOf(service).workers
 }
 
-// rosterOf returns the workers that Of returns, as a roster.
+// rosterOf returns the workers that Workers returns, as a roster.
 func (r *Registry) rosterOf(service string) roster {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/backend/restart_test.go
+++ b/internal/backend/restart_test.go
@@ -72,7 +72,7 @@
 			require.Zero(t, restarted.failureRate)
 			require.Zero(t, restarted.avoidUntil)
 			require.False(t, restarted.Overtaken(time.Now().Add(-time.Hour), 0))
-			require.Equal(t, next.ColdRemaining, restarted.warmth.coldUntil.Sub(restarted.warmth.learnedAt))
+			require.Equal(t, next.ColdRemaining, restarted.warmth.coldUntil.Sub(restarted.warmth.reportedAt))
 			require.True(t, old.Replaced())
 			require.False(t, restarted.Replaced())
 			require.True(t, old.Leaving())
@@ -105,7 +105,7 @@
 	require.Same(t, current, registry.single(t, "s"))
 }
 
-// Without a start time, address, service and zone tell processes apart, and a new entry is no proof
+// Without a start time, address, service and zone distinguish processes, and a new entry is no proof
 // that the previous process has ended.
 func TestWorkerWithoutStartTime(t *testing.T) {
 	unstamped := entryStartedAt(1, 1)
--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -15,7 +15,7 @@
 	sameZone   int      // number of workers in the node's zone; they come first
 	sameRegion int      // number of workers in the node's region, those of its zone included
 	zones      []string // zones of the workers, and perhaps zones that have none any more
-	// lingering says that all workers were removed from the worker list less than lingerPeriod ago.
+	// lingering reports that all workers were removed from the worker list less than lingerPeriod ago.
 	lingering bool
 }
 
--- a/internal/backend/ways.go
+++ b/internal/backend/roundtrip.go
@@ -30,8 +30,8 @@
 // RoundTripEstimator estimates the round trip to each zone from the time that opening connections
 // to its workers takes. It is safe for concurrent use.
 type RoundTripEstimator struct {
-	vantage locality.Location
-	now     func() time.Time
+	location locality.Location
+	now      func() time.Time
 
 	mutex sync.RWMutex
 	zones map[string]*zoneEstimate
@@ -48,9 +48,9 @@
 	reported        time.Duration // result of the last call of Observe
 }
 
-// NewRoundTripEstimator returns an estimator without samples for a node at vantage. now is the clock.
-func NewRoundTripEstimator(vantage locality.Location, now func() time.Time) *RoundTripEstimator {
-	return &RoundTripEstimator{vantage: vantage, now: now, zones: map[string]*zoneEstimate{}}
+// NewRoundTripEstimator returns an estimator without samples for a node at location. now is the clock.
+func NewRoundTripEstimator(location locality.Location, now func() time.Time) *RoundTripEstimator {
+	return &RoundTripEstimator{location: location, now: now, zones: map[string]*zoneEstimate{}}
 }
 
 // Observe adds a sample: how long opening a connection to a zone took. Failed attempts must not be
@@ -85,7 +85,7 @@
 
 // roundTrip is RoundTrip. The caller holds the mutex.
 func (e *RoundTripEstimator) roundTrip(zone string) time.Duration {
-	if e.vantage.DistanceTo(zone) == locality.SameZone {
+	if e.location.DistanceTo(zone) == locality.SameZone {
 		return 0
 	}
 	estimate, ok := e.zones[zone]
@@ -100,7 +100,7 @@
 
 // defaultRoundTrip is the round trip that is assumed without samples.
 func (e *RoundTripEstimator) defaultRoundTrip(zone string) time.Duration {
-	if e.vantage.DistanceTo(zone) == locality.SameRegion {
+	if e.location.DistanceTo(zone) == locality.SameRegion {
 		return defaultSameRegion
 	}
 	return defaultOtherRegion
--- a/internal/backend/simulation_test.go
+++ b/internal/backend/simulation_test.go
@@ -50,18 +50,18 @@
 func (c result) failureRate() float64 { return float64(c.failed) / float64(c.sent) }
 
 // simulate runs the load with a registry per node. If together is set, the nodes report their samples
-// to a common board and apply its verdicts.
+// to a common detector and apply its verdicts.
 func (l load) simulate(t *testing.T, seed uint64, together bool) result {
 	random := rand.New(rand.NewPCG(seed, 1))
 	at, start := time.Duration(0), time.Unix(1000, 0)
 	clock := func() time.Time { return start.Add(at) }
 	got := result{ejected: map[string]bool{}}
-	board := outlier.New(func(change outlier.Change) {
+	detector := outlier.New(func(change outlier.Change) {
 		if change.Ejected {
 			got.ejected[change.Worker] = true
 		}
 	})
-	board.SetUtilization(0.6)
+	detector.SetUtilization(0.6)
 	registries := make([]*Registry, l.nodes)
 	for node := range registries {
 		registries[node] = newTestRegistry(Options{Now: clock, Node: fmt.Sprint(node)}, l.workers)
@@ -94,8 +94,8 @@
 			if !together || (at/tick+time.Duration(node))%(reportInterval/tick) != 0 {
 				continue
 			}
-			board.Add(fmt.Sprint(node), registry.TakeSamples("s"), clock())
-			registry.ApplyVerdicts(board.Verdicts(keys, clock()))
+			detector.Add(fmt.Sprint(node), registry.TakeSamples("s"), clock())
+			registry.ApplyVerdicts(detector.Verdicts(keys, clock()))
 		}
 	}
 	return got
--- a/internal/backend/update.go
+++ b/internal/backend/update.go
@@ -11,7 +11,7 @@
 	End    End
 }
 
-// End says whether and how an entry has ended.
+// End is whether and how an entry has ended.
 type End int
 
 // The values of End.
@@ -23,7 +23,7 @@
 	// Unusable means that the entry no longer describes a valid worker. Nothing more is sent to
 	// the worker of the previous entry.
 	Unusable
-	// OutOfScope means that the entry is outside the part of the list that this node keeps.
+	// OutOfScope means that the entry is outside the part of the list that this node holds.
 	OutOfScope
 )
 
--- a/internal/backend/experience.go
+++ b/internal/backend/verdicts.go
@@ -34,7 +34,7 @@
 	since          time.Time // time of the first one; zero: none
 	requests       int
 	failures       int
-	silences       int // requests whose first event was overdue
+	timeouts       int // requests whose first event was overdue
 	tokenSamples   int
 	tokenTimeTotal time.Duration // sum over tokenSamples
 }
@@ -105,7 +105,7 @@
 func (t *trials) add(worker *Worker, until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.all = slices.DeleteFunc(t.all, func(known trial) bool { return known.worker == worker })
+	t.all = slices.DeleteFunc(t.all, func(existing trial) bool { return existing.worker == worker })
 	t.all = append(t.all, trial{worker: worker, until: until})
 	t.count.Store(int32(len(t.all)))
 }
@@ -114,7 +114,7 @@
 func (t *trials) take(now time.Time, suitable func(trial) bool) (*Worker, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.all = slices.DeleteFunc(t.all, func(known trial) bool { return !now.Before(known.until) })
+	t.all = slices.DeleteFunc(t.all, func(existing trial) bool { return !now.Before(existing.until) })
 	var worker *Worker
 	if index := slices.IndexFunc(t.all, suitable); index >= 0 {
 		worker = t.all[index].worker
@@ -147,24 +147,24 @@
 func (w *Worker) RecordTimeout(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.observe(now).silences++
+	w.observe(now).timeouts++
 }
 
 // takeSample returns and resets the unreported observations; ok is false if there are none.
 func (w *Worker) takeSample(now time.Time) (sample outlier.Sample, ok bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known := w.unreported
+	observed := w.unreported
 	w.unreported = observations{}
-	if known.since.IsZero() || now.Sub(known.since) > sampleTTL {
+	if observed.since.IsZero() || now.Sub(observed.since) > sampleTTL {
 		return sample, false
 	}
 	sample = outlier.Sample{
-		Worker: w.key, Requests: known.requests, Failures: known.failures,
-		Silences: known.silences, Paced: known.tokenSamples,
+		Worker: w.key, Requests: observed.requests, Failures: observed.failures,
+		Silences: observed.timeouts, Paced: observed.tokenSamples,
 	}
-	if known.tokenSamples > 0 {
-		sample.Pace = known.tokenTimeTotal / time.Duration(known.tokenSamples)
+	if observed.tokenSamples > 0 {
+		sample.Pace = observed.tokenTimeTotal / time.Duration(observed.tokenSamples)
 	}
 	return sample, true
 }
@@ -190,15 +190,15 @@
 		if !ok {
 			continue
 		}
-		worker.noteVerdict(received, now)
+		worker.setVerdict(received, now)
 		if received.Trial {
 			r.trials.add(worker, now.Add(trialTTL))
 		}
 	}
 }
 
-// noteVerdict replaces the worker's verdict. Out-of-range values are limited.
-func (w *Worker) noteVerdict(received outlier.Verdict, now time.Time) {
+// setVerdict replaces the worker's verdict. Out-of-range values are limited.
+func (w *Worker) setVerdict(received outlier.Verdict, now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if received.Clear() && !w.verdict.receivedAt.IsZero() {
@@ -253,8 +253,8 @@
 }
 
 // TakeTrial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
-// cached context at another worker and can be retried elsewhere. If none comes within spareOnlyPeriod,
-// a program's first turn is used, which has least to lose. Each trial is handed out once.
+// cached context at another worker and can be retried elsewhere. If none arrives within
+// spareOnlyPeriod, a program's first turn is used, since it has no cached context. Each trial is used once.
 func (r *Registry) TakeTrial(query Query) (*Worker, bool) {
 	if r.trials.count.Load() == 0 || !query.Retryable && !query.FirstTurn || len(query.Only) > 0 {
 		return nil, false
--- a/internal/backend/warmth.go
+++ b/internal/backend/warmth.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Source says where the information that a worker is cold or warm comes from.
+// Source is the origin of the information that a worker is cold or warm.
 type Source string
 
 // The sources. Their values appear in logs.
@@ -23,12 +23,12 @@
 	minHealthCheckInterval = time.Second
 )
 
-// Warmth says whether a worker is cold.
+// Warmth is what this node has recorded about a worker's cold start.
 type Warmth struct {
 	Remaining time.Duration // remaining cold start; 0: none
 	Source    Source
 	Age       time.Duration // time since Source reported it
-	// Expired says that the information has expired: the worker may be cold again.
+	// Expired means that the information has expired: the worker may be cold again.
 	Expired bool
 }
 
@@ -36,10 +36,10 @@
 type warmth struct {
 	coldUntil       time.Time
 	source          Source
-	learnedAt       time.Time
+	reportedAt      time.Time
 	lastHealthCheck time.Time // when this node last sent a health check
 	// reopenedRevision is the revision at which the zone's evacuation was revoked. Entries with a lower
-	// revision say nothing about the worker's state since.
+	// revision are older than the reopening and are ignored.
 	reopenedRevision uint64
 }
 
@@ -49,23 +49,23 @@
 	if record.Revision <= w.reopenedRevision && w.reopenedRevision > 0 {
 		return
 	}
-	w.coldUntil, w.source, w.learnedAt = now.Add(record.ColdRemaining), SourceEntry, now
+	w.coldUntil, w.source, w.reportedAt = now.Add(record.ColdRemaining), SourceEntry, now
 }
 
 // updateFromHealth applies the response to a health check that was sent at the given time. It is
 // ignored if newer information has arrived meanwhile.
 func (w *warmth) updateFromHealth(left time.Duration, sent, now time.Time) {
-	if w.learnedAt.After(sent) {
+	if w.reportedAt.After(sent) {
 		return
 	}
-	w.coldUntil, w.source, w.learnedAt = now.Add(left), SourceHealth, now
+	w.coldUntil, w.source, w.reportedAt = now.Add(left), SourceHealth, now
 }
 
 // zoneReopened records that the zone's evacuation was revoked at a revision.
 func (w *warmth) zoneReopened(revision uint64, coldStart time.Duration, now time.Time) {
 	w.reopenedRevision = max(w.reopenedRevision, revision)
 	if until := now.Add(coldStart); until.After(w.coldUntil) {
-		w.coldUntil, w.source, w.learnedAt = until, SourceZone, now
+		w.coldUntil, w.source, w.reportedAt = until, SourceZone, now
 	}
 }
 
@@ -74,10 +74,10 @@
 	now := r.options.Now()
 	worker.mutex.Lock()
 	defer worker.mutex.Unlock()
-	known := worker.warmth
-	warmth := Warmth{Source: known.source, Age: now.Sub(known.learnedAt)}
-	left := known.coldUntil.Sub(now)
-	expired := now.Sub(known.learnedAt) > r.warmthTTL && now.Sub(r.listConfirmedAt()) > r.warmthTTL
+	state := worker.warmth
+	warmth := Warmth{Source: state.source, Age: now.Sub(state.reportedAt)}
+	left := state.coldUntil.Sub(now)
+	expired := now.Sub(state.reportedAt) > r.warmthTTL && now.Sub(r.listConfirmedAt()) > r.warmthTTL
 	if left <= 0 && !expired {
 		return warmth
 	}
@@ -124,7 +124,7 @@
 }
 
 // ZoneReopened records that the evacuation of a zone was revoked at a revision of the table. The
-// zone's workers count as cold until a newer entry says otherwise or a cold start has passed. It
+// zone's workers count as cold until a newer entry replaces that or a cold start has passed. It
 // returns their number.
 func (r *Registry) ZoneReopened(zone string, revision uint64) (cold int) {
 	r.mutex.Lock()
--- a/internal/backend/worker.go
+++ b/internal/backend/worker.go
@@ -1,7 +1,7 @@
-// Package backend tracks the workers of each service: the worker list, this node's
-// recent outcomes and latencies with each worker, and the connection pools. Load is
-// inferred from the node's own requests; workers are not polled for it. Verdicts that
-// combine the observations of all nodes are received separately and weighed in.
+// Package backend tracks the workers of each service and chooses one for each request. It holds the
+// worker list, this node's recent outcomes and latencies with each worker, and the connection pools.
+// Load is inferred from the node's own requests; workers are not polled for it. Verdicts that
+// combine the observations of all nodes are applied as they arrive.
 package backend
 
 import (
@@ -47,7 +47,7 @@
 	avoidUntil          time.Time
 	busyUntil           time.Time     // until then it counts as at capacity
 	tokenTime           time.Duration // average time per output token; 0: unknown
-	lastOutcomeAt       time.Time     // end of the newest request whose outcome says something about the worker
+	lastOutcomeAt       time.Time     // end of the newest request that counts as an outcome of the worker
 	tokenTimeAt         time.Time     // when tokenTime was last updated
 	unreported          observations  // not yet reported to the group's owner
 	verdict             verdict
--- a/internal/backend/zones.go
+++ b/internal/backend/zones.go
@@ -35,7 +35,7 @@
 // and which zones would accept it if they were not evacuated. The verdict is eligibility.Allowed if some
 // worker's zone accepts the request or if the service has no workers. Draining workers do not count. If
 // only is not empty, just the workers with these keys are considered.
-func (r *Registry) WhyClosed(service string, regions locality.Regions, only []string) (why eligibility.Verdict, evacuated []string) {
+func (r *Registry) WhyClosed(service string, regions locality.Regions, only []string) (reason eligibility.Verdict, evacuated []string) {
 	workers := r.Workers(service)
 	for _, worker := range workers {
 		if len(only) > 0 && !slices.Contains(only, worker.key) {
@@ -50,10 +50,10 @@
 		case verdict == eligibility.Evacuated && !slices.Contains(evacuated, worker.zone):
 			evacuated = append(evacuated, worker.zone)
 		}
-		if why != eligibility.Evacuated {
-			why = verdict
+		if reason != eligibility.Evacuated {
+			reason = verdict
 		}
 	}
 	slices.Sort(evacuated)
-	return why, evacuated
+	return reason, evacuated
 }
--- a/internal/backend/zones_test.go
+++ b/internal/backend/zones_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// The reason and the zones decide what a refused caller is told to do.
+// The reason and the zones decide the remedy that a refused caller receives.
 func TestClosed(t *testing.T) {
 	places := locality.NewMap(map[string]string{"z": "one", "y": "one", "x": "other"})
 	for _, c := range []struct {
