--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,4 +1,4 @@
-// Package placement decides which worker runs a call. Decisions are pure functions of a
+// Package placement chooses the worker that runs a call. Decisions are pure functions of a
 // query, a few probed candidates, a policy and a random source.
 //
 // A decision has three stages, a file each: feasible drops workers that cannot or must
--- a/internal/placement/feasible.go
+++ b/internal/placement/feasible.go
@@ -6,8 +6,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 )
 
-// Feasible returns the candidates that can serve the query: not excluded, not leaving and
-// large enough. Unhealthy ones are returned only if no healthy one is left, since they may
+// Feasible returns the candidates that can serve the query: not excluded, not draining
+// and with enough memory. Unhealthy ones are returned only if no healthy one is left, since they may
 // still succeed. It fails with fault.Unavailable if there is none.
 func Feasible(query Query, candidates []Candidate) ([]Candidate, error) {
 	usable := make([]Candidate, 0, len(candidates))
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -23,13 +23,13 @@
 	Sequence uint64
 }
 
-// Candidate is a worker that may run the call, with the estimates that it is ranked by.
+// Candidate is a worker that may run the call, with the estimates by which it is ranked.
 type Candidate struct {
 	Worker       id.Worker
 	Zone         string
 	RoundTrip    time.Duration // round trip to the worker, rounded so that equally distant workers are equal
 	Healthy      bool
-	Leaving      bool
+	Leaving      bool // the worker is draining
 	ModelLoaded  bool
 	AdapterReady bool
 	Queued       int
@@ -42,7 +42,7 @@
 	Load         time.Duration // time to load the model or adapter; 0: it is loaded
 	CachedTokens int
 	Capacity     int // KV cache in tokens; 0: unknown
-	// Connected says that an idle connection to the worker is open.
+	// Connected means that an idle connection to the worker is open.
 	Connected bool
 }
 
@@ -55,7 +55,7 @@
 type Decision struct {
 	Worker   id.Worker
 	Expected time.Duration
-	// RunnerUp is the runner-up, and Margin its expected time minus Expected. Both are zero if there
+	// RunnerUp is the second best worker, and Margin its expected time minus Expected. Both are zero if there
 	// was no other feasible candidate.
 	RunnerUp id.Worker
 	Margin   time.Duration
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -7,8 +7,8 @@
 )
 
 // delayedArrivals is the number of calls, besides the running ones, that the prefill of a call
-// after the program's first is assumed to delay: those that arrive during it, and those that find
-// no memory because the context is then cached at two workers.
+// after the program's first is assumed to delay: those that arrive during it, and those for which there
+// is no memory because the context is then cached at two workers.
 const delayedArrivals = 40
 
 // Rank returns the candidates sorted by the policy, best first.
