--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -25,7 +25,7 @@
 	ReasonInProgress    Reason = "under_way" // a turn of the program has already run
 	ReasonNoDeadline    Reason = "untimed"   // the program has no deadline, or the turn belongs to no program
 	ReasonNotOverloaded Reason = "room"      // no evidence that all workers have queues
-	ReasonReturning     Reason = "promised"  // the program was refused before and retries when it was told to
+	ReasonReturning     Reason = "promised"  // the program was refused before and retries at the time that it was given
 	ReasonInTime        Reason = "in_time"   // the program has enough slack for the expected queueing
 	ReasonClientTimeout Reason = "leaves"    // the client would time out before the first turn ends
 	ReasonTooLate       Reason = "too_late"  // the program will miss its deadline even without queueing
@@ -82,8 +82,8 @@
 const MaxUtilizationAge = 500 * time.Millisecond
 
 // Decide decides whether to admit a program and, if not, when its client should retry.
-func Decide(ask Request, load Load) Verdict {
-	program := ask.Program
+func Decide(request Request, load Load) Verdict {
+	program := request.Program
 	switch {
 	case !program.Begins:
 		return Verdict{Admitted: true, Reason: ReasonInProgress}
@@ -91,16 +91,16 @@
 		return Verdict{Admitted: true, Reason: ReasonNoDeadline}
 	case !load.Overloaded():
 		return Verdict{Admitted: true, Reason: ReasonNotOverloaded}
-	case ask.TimeLeft < load.New.mean()+load.UnloadedTime:
-		return Verdict{Reason: ReasonClientTimeout, RetryAfter: ask.maxRetryAfter()}
+	case request.TimeLeft < load.New.mean()+load.UnloadedTime:
+		return Verdict{Reason: ReasonClientTimeout, RetryAfter: request.maxRetryAfter()}
 	case program.Returns:
 		return Verdict{Admitted: true, Reason: ReasonReturning}
 	case program.Late():
-		return Verdict{Reason: ReasonTooLate, RetryAfter: ask.maxRetryAfter()}
+		return Verdict{Reason: ReasonTooLate, RetryAfter: request.maxRetryAfter()}
 	case hashRank(program.Key) < admittedShare(program, load):
 		return Verdict{Admitted: true, Reason: ReasonInTime}
 	default:
-		return Verdict{Reason: ReasonOverloaded, RetryAfter: ask.retryAfter()}
+		return Verdict{Reason: ReasonOverloaded, RetryAfter: request.retryAfter()}
 	}
 }
 
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -21,7 +21,7 @@
 	return scheduling.Program{Key: key, Begins: true, Timed: true, Finish: 1500 * time.Millisecond, Needs: time.Second, Turns: 4}
 }
 
-func ask(program scheduling.Program) Request {
+func request(program scheduling.Program) Request {
 	return Request{Program: program, TimeLeft: 3 * time.Second, AdmitRate: 10, PendingRetries: 4}
 }
 
@@ -29,28 +29,28 @@
 func TestProgramInProgressIsNeverRefused(t *testing.T) {
 	program := newProgram("p")
 	program.Begins, program.Finish = false, 0
-	require.Equal(t, Verdict{Admitted: true, Reason: ReasonInProgress}, Decide(ask(program), overloaded(time.Second)))
+	require.Equal(t, Verdict{Admitted: true, Reason: ReasonInProgress}, Decide(request(program), overloaded(time.Second)))
 }
 
 // A program without a deadline cannot miss it, so it must not be refused.
 func TestProgramWithoutDeadlineIsAdmitted(t *testing.T) {
-	require.Equal(t, ReasonNoDeadline, Decide(ask(scheduling.Program{Key: "p", Begins: true}), overloaded(time.Second)).Reason)
+	require.Equal(t, ReasonNoDeadline, Decide(request(scheduling.Program{Key: "p", Begins: true}), overloaded(time.Second)).Reason)
 }
 
 // A program that will be late in any case must not take capacity from others, but may use spare capacity.
 func TestLateProgramIsRefusedOnlyUnderOverload(t *testing.T) {
 	program := newProgram("p")
 	program.Finish = 0
-	require.True(t, Decide(ask(program), Load{}).Admitted)
-	verdict := Decide(ask(program), overloaded(time.Second))
+	require.True(t, Decide(request(program), Load{}).Admitted)
+	verdict := Decide(request(program), overloaded(time.Second))
 	require.Equal(t, ReasonTooLate, verdict.Reason)
 	require.False(t, verdict.Admitted)
 }
 
 // Only programs that would miss their deadline by queueing must be refused.
 func TestProgramIsAdmittedIfItsSlackCoversTheWait(t *testing.T) {
-	require.Equal(t, ReasonInTime, Decide(ask(newProgram("p")), overloaded(10*time.Millisecond)).Reason)
-	require.Equal(t, ReasonOverloaded, Decide(ask(newProgram("p")), overloaded(time.Second)).Reason)
+	require.Equal(t, ReasonInTime, Decide(request(newProgram("p")), overloaded(10*time.Millisecond)).Reason)
+	require.Equal(t, ReasonOverloaded, Decide(request(newProgram("p")), overloaded(time.Second)).Reason)
 }
 
 // Ranks must be uniform, or nodes admit another share of programs than intended.
@@ -72,7 +72,7 @@
 		"samples are stale":           {New: overloaded(time.Second).New, Age: time.Second},
 		"utilization report below 1":  {New: overloaded(time.Second).New, Utilization: &UtilizationReport{Share: 0.9}},
 	} {
-		require.Equal(t, ReasonNotOverloaded, Decide(ask(newProgram("p")), load).Reason, name)
+		require.Equal(t, ReasonNotOverloaded, Decide(request(newProgram("p")), load).Reason, name)
 	}
 }
 
@@ -84,11 +84,11 @@
 	require.False(t, load.Overloaded())
 }
 
-// A program that retries when it was told to must be admitted, even if it will be late.
+// A program that retries at the time that it was given must be admitted, even if it will be late.
 func TestReturningProgramIsAdmitted(t *testing.T) {
 	program := newProgram("p")
 	program.Returns, program.Finish = true, 0
-	require.Equal(t, ReasonReturning, Decide(ask(program), overloaded(time.Second)).Reason)
+	require.Equal(t, ReasonReturning, Decide(request(program), overloaded(time.Second)).Reason)
 }
 
 // A retry delay must be neither negative nor longer than a third of the client's remaining time.
@@ -112,63 +112,63 @@
 
 // Refused programs must not all retry at once.
 func TestRetryDelayGrowsWithProgramsAhead(t *testing.T) {
-	few, many := ask(newProgram("p")), ask(newProgram("p"))
+	few, many := request(newProgram("p")), request(newProgram("p"))
 	few.PendingRetries, many.PendingRetries = 1, 5
 	require.Less(t, Decide(few, overloaded(time.Second)).RetryAfter, Decide(many, overloaded(time.Second)).RetryAfter)
 }
 
-// observeWaits makes a gate observe ten first turns that queued for wait each.
-func observeWaits(gate *Controller, wait time.Duration, now time.Time) {
+// observeWaits makes a controller observe ten first turns that queued for wait each.
+func observeWaits(controller *Controller, wait time.Duration, now time.Time) {
 	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	for range 10 {
-		gate.FirstEvent(gate.Sent("s", newProgram("x"), idle, now.Add(-wait-idle.FirstEvent)), now)
+		controller.FirstEvent(controller.Sent("s", newProgram("x"), idle, now.Add(-wait-idle.FirstEvent)), now)
 	}
 }
 
 // A refused program that retries too early must be refused again; on time it must be admitted.
-func TestGateAdmitsRefusedProgramAtItsRetryTime(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
-	observeWaits(gate, 2*time.Second, now)
-	first, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
+func TestControllerAdmitsRefusedProgramAtItsRetryTime(t *testing.T) {
+	controller, now := NewGate(nil), time.Unix(1000, 0)
+	observeWaits(controller, 2*time.Second, now)
+	first, _, _ := controller.Decide("s", newProgram("p"), 3*time.Second, now)
 	require.False(t, first.Admitted)
-	observeWaits(gate, 2*time.Second, now.Add(first.RetryAfter/2))
-	early, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(first.RetryAfter/2))
+	observeWaits(controller, 2*time.Second, now.Add(first.RetryAfter/2))
+	early, _, _ := controller.Decide("s", newProgram("p"), 3*time.Second, now.Add(first.RetryAfter/2))
 	require.False(t, early.Admitted, "admitted before its retry time")
 	now = now.Add(first.RetryAfter + early.RetryAfter)
-	observeWaits(gate, 2*time.Second, now)
-	returned, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
+	observeWaits(controller, 2*time.Second, now)
+	returned, _, _ := controller.Decide("s", newProgram("p"), 3*time.Second, now)
 	require.Equal(t, ReasonReturning, returned.Reason)
-	other, _, _ := gate.Decide("s", newProgram("q"), 3*time.Second, now)
+	other, _, _ := controller.Decide("s", newProgram("q"), 3*time.Second, now)
 	require.False(t, other.Admitted)
 }
 
 // Turns that are still queueing must count as load, although their first event has not arrived.
-func TestGateCountsPendingTurns(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
+func TestControllerCountsPendingTurns(t *testing.T) {
+	controller, now := NewGate(nil), time.Unix(1000, 0)
 	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	var sendings []*PendingTurn
 	for range 5 {
-		sendings = append(sendings, gate.Sent("s", newProgram("x"), idle, now))
+		sendings = append(sendings, controller.Sent("s", newProgram("x"), idle, now))
 	}
-	_, _, load := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(50*time.Millisecond))
+	_, _, load := controller.Decide("s", newProgram("p"), 3*time.Second, now.Add(50*time.Millisecond))
 	require.False(t, load.Overloaded())
-	_, _, load = gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
+	_, _, load = controller.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
 	require.True(t, load.Overloaded())
 	for _, sending := range sendings {
-		gate.EndedWithoutEvent(sending, now.Add(50*time.Millisecond))
+		controller.EndedWithoutEvent(sending, now.Add(50*time.Millisecond))
 	}
-	_, _, load = gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
+	_, _, load = controller.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
 	require.Zero(t, load.New.Events)
 }
 
 // A turn that ends without a first event must count with the time that it queued.
 func TestTurnWithoutFirstEventCounts(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
+	controller, now := NewGate(nil), time.Unix(1000, 0)
 	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	for range 5 {
-		gate.EndedWithoutEvent(gate.Sent("s", newProgram("x"), idle, now.Add(-3*time.Second)), now)
+		controller.EndedWithoutEvent(controller.Sent("s", newProgram("x"), idle, now.Add(-3*time.Second)), now)
 	}
-	_, _, load := gate.Decide("s", newProgram("p"), 3*time.Second, now)
+	_, _, load := controller.Decide("s", newProgram("p"), 3*time.Second, now)
 	require.True(t, load.Overloaded())
 	require.Equal(t, 5*(3*time.Second-idle.FirstEvent), load.New.Excess)
 }
@@ -177,7 +177,7 @@
 func TestTurnBeyondClientTimeoutIsRefused(t *testing.T) {
 	program := newProgram("p")
 	program.Returns = true
-	hopeless := ask(program)
+	hopeless := request(program)
 	hopeless.TimeLeft = 500 * time.Millisecond
 	require.Equal(t, ReasonClientTimeout, Decide(hopeless, overloaded(time.Second)).Reason)
 	require.True(t, Decide(hopeless, Load{}).Admitted, "refused without overload")
@@ -185,25 +185,25 @@
 
 // Queueing of urgent turns must not count as load of less urgent ones.
 func TestLoadIsTrackedPerUrgency(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
-	observeWaits(gate, 2*time.Second, now)
+	controller, now := NewGate(nil), time.Unix(1000, 0)
+	observeWaits(controller, 2*time.Second, now)
 	lessUrgent := newProgram("p")
 	lessUrgent.Urgency = 2
-	_, _, load := gate.Decide("s", lessUrgent, 3*time.Second, now)
+	_, _, load := controller.Decide("s", lessUrgent, 3*time.Second, now)
 	require.Zero(t, load.New.Events, "each urgency has its own queue")
 }
 
 // Many programs and services must not make a Controller grow without limit.
-func TestGateMemoryIsBounded(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
+func TestControllerMemoryIsBounded(t *testing.T) {
+	controller, now := NewGate(nil), time.Unix(1000, 0)
 	for index := range 3 * maxRefused {
-		observeWaits(gate, 2*time.Second, now)
+		observeWaits(controller, 2*time.Second, now)
 		program := newProgram(fmt.Sprint("p", index))
 		program.Finish = 0
-		gate.Decide("s", program, 3*time.Second, now)
-		gate.Decide(fmt.Sprint("s", index), program, 3*time.Second, now)
+		controller.Decide("s", program, 3*time.Second, now)
+		controller.Decide(fmt.Sprint("s", index), program, 3*time.Second, now)
 	}
-	require.LessOrEqual(t, len(gate.refused.returnAt), maxRefused)
-	require.LessOrEqual(t, len(gate.refused.order), maxRefused)
-	require.LessOrEqual(t, len(gate.windows), maxQueues)
+	require.LessOrEqual(t, len(controller.refused.returnAt), maxRefused)
+	require.LessOrEqual(t, len(controller.refused.order), maxRefused)
+	require.LessOrEqual(t, len(controller.windows), maxQueues)
 }
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxRefused is the maximum number of refused programs remembered.
+	// maxRefused is the maximum number of refused programs that are recorded.
 	maxRefused = 2048
 	// returnWindow is how long after its retry time a refused program still counts as returning.
 	returnWindow = 3 * time.Second
@@ -34,74 +34,74 @@
 // Controller makes the admission decisions of one node. It tracks the recent load of each queue and the
 // programs that it refused. It is safe for concurrent use and bounded in memory.
 type Controller struct {
-	keepers UtilizationSource
-	mutex   sync.Mutex
-	windows map[queue]*window
-	refused refusedPrograms
+	utilization UtilizationSource
+	mutex       sync.Mutex
+	windows     map[queue]*window
+	refused     refusedPrograms
 }
 
-// NewGate returns a Controller without history. If keepers is nil, only the load seen by this node counts.
-func NewGate(keepers UtilizationSource) *Controller {
-	return &Controller{keepers: keepers, windows: map[queue]*window{}, refused: refusedPrograms{returnAt: map[uint64]time.Time{}}}
+// NewGate returns a Controller without history. If utilization is nil, only the load seen by this node counts.
+func NewGate(utilization UtilizationSource) *Controller {
+	return &Controller{utilization: utilization, windows: map[queue]*window{}, refused: refusedPrograms{returnAt: map[uint64]time.Time{}}}
 }
 
 // Decide decides whether to admit the program of a turn whose caller times out after timeLeft. It records
 // when a refused program is to retry. It also returns the inputs of the decision; Program.Returns is
 // set in them if the program retries on time. If a turn of the program has run before, Load is empty
 // and Request holds only the program and the time left.
-func (g *Controller) Decide(service string, program scheduling.Program, timeLeft time.Duration, now time.Time) (Verdict, Request, Load) {
-	ask := Request{Program: program, TimeLeft: timeLeft}
+func (c *Controller) Decide(service string, program scheduling.Program, timeLeft time.Duration, now time.Time) (Verdict, Request, Load) {
+	request := Request{Program: program, TimeLeft: timeLeft}
 	if !program.Begins {
-		return Decide(ask, Load{}), ask, Load{}
+		return Decide(request, Load{}), request, Load{}
 	}
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	w := g.window(queue{service, program.Urgency})
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	w := c.window(queue{service, program.Urgency})
 	load, admitted := w.load(now)
-	if g.keepers != nil {
-		load.Utilization = g.keepers.Utilization(service)
+	if c.utilization != nil {
+		load.Utilization = c.utilization.Utilization(service)
 	}
-	ask.AdmitRate = float64(admitted) / windowSpan.Seconds()
+	request.AdmitRate = float64(admitted) / windowSpan.Seconds()
 	if load.Overloaded() {
 		w.overloadedAt = now
-		ask.PendingRetries = g.refused.notYetDue(now)
+		request.PendingRetries = c.refused.notYetDue(now)
 	}
 	key := xxhash.Sum64String(program.Key)
-	ask.Program.Returns = g.refused.isDue(key, now)
-	verdict := Decide(ask, load)
+	request.Program.Returns = c.refused.isDue(key, now)
+	verdict := Decide(request, load)
 	if verdict.Admitted {
 		w.bucketAt(now).admitted++
-		delete(g.refused.returnAt, key)
+		delete(c.refused.returnAt, key)
 	} else {
-		g.refused.add(key, now.Add(verdict.RetryAfter))
+		c.refused.add(key, now.Add(verdict.RetryAfter))
 	}
-	return verdict, ask, load
+	return verdict, request, load
 }
 
 // Sent records that a program's turn is sent to a worker; unloaded is how long such a turn takes without
-// queueing. The caller must pass the result to First or Ended.
-func (g *Controller) Sent(service string, program scheduling.Program, unloaded UnloadedTime, now time.Time) *PendingTurn {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+// queueing. The caller must pass the result to FirstEvent or EndedWithoutEvent.
+func (c *Controller) Sent(service string, program scheduling.Program, unloaded UnloadedTime, now time.Time) *PendingTurn {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	newProgram := scheduling.Classify(program) == scheduling.ClassNew
-	sending := &PendingTurn{window: g.window(queue{service, program.Urgency}), sent: now, unloaded: unloaded, newProgram: newProgram}
+	sending := &PendingTurn{window: c.window(queue{service, program.Urgency}), sent: now, unloaded: unloaded, newProgram: newProgram}
 	sending.window.pending[sending] = struct{}{}
 	sending.window.unloadedTime = unloaded.Total
 	return sending
 }
 
 // FirstEvent records the arrival of a turn's first event.
-func (g *Controller) FirstEvent(sending *PendingTurn, now time.Time) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (c *Controller) FirstEvent(sending *PendingTurn, now time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	delete(sending.window.pending, sending)
 	sending.window.firstEvent(sending, now)
 }
 
 // EndedWithoutEvent records that a turn ended without a first event. It counts as a sample if it had queued.
-func (g *Controller) EndedWithoutEvent(sending *PendingTurn, now time.Time) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
+func (c *Controller) EndedWithoutEvent(sending *PendingTurn, now time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	delete(sending.window.pending, sending)
 	if _, waited := sending.excess(now); waited {
 		sending.window.firstEvent(sending, now)
@@ -109,23 +109,23 @@
 }
 
 // Declined records that a worker declined a turn because it is full.
-func (g *Controller) Declined(service string, urgency int, now time.Time) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.window(queue{service, urgency}).declined(now)
+func (c *Controller) Declined(service string, urgency int, now time.Time) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.window(queue{service, urgency}).declined(now)
 }
 
 // window returns the window of a queue and adds it if needed. The caller must hold the mutex.
-func (g *Controller) window(of queue) *window {
-	w, ok := g.windows[of]
+func (c *Controller) window(of queue) *window {
+	w, ok := c.windows[of]
 	if ok {
 		return w
 	}
-	if len(g.windows) >= maxQueues {
-		clear(g.windows) // losing them costs little: they cover only windowSpan
+	if len(c.windows) >= maxQueues {
+		clear(c.windows) // each covers only windowSpan
 	}
 	w = &window{pending: map[*PendingTurn]struct{}{}}
-	g.windows[of] = w
+	c.windows[of] = w
 	return w
 }
 
--- a/internal/admission/load.go
+++ b/internal/admission/load.go
@@ -14,12 +14,12 @@
 	Declines    int // turns declined by workers because they were full
 	// UnloadedTime is how long a turn takes without queueing; 0 if unknown.
 	UnloadedTime time.Duration
-	// WorkerFree says that the newest sample is a first event of a new program that did not queue, so that
-	// at least one worker has a free place.
+	// WorkerFree means that the newest sample is a first event of a new program that did not queue, so that
+	// at least one worker has a free slot.
 	WorkerFree bool
 	// Age is the time since the newest sample of New or Declines; 0 while a turn of a new program is overdue.
 	Age time.Duration
-	// WasOverloaded says that the queue was overloaded within windowSpan. One sample is then enough to
+	// WasOverloaded means that the queue was overloaded within windowSpan. One sample is then enough to
 	// detect overload, since few arrive while first turns are refused.
 	WasOverloaded bool
 	// Utilization is a report of the workers' utilization over all nodes; nil if there is none.
@@ -69,14 +69,14 @@
 
 // UtilizationReport is a report of the utilization of a service's workers.
 type UtilizationReport struct {
-	Share float64       // share of the workers' places in use; above 1 if requests queue at workers
+	Share float64       // share of the workers' slots in use; above 1 if requests queue at workers
 	Age   time.Duration // since the report was made
 }
 
 // queueWait estimates how long a turn queues at a worker: each multiple of the workers' capacity that
 // is queued takes one unloaded turn to clear.
-func (k *UtilizationReport) queueWait(unloadedTime time.Duration) time.Duration {
-	return time.Duration(max(0, k.Share-fullUtilization) * float64(unloadedTime))
+func (u *UtilizationReport) queueWait(unloadedTime time.Duration) time.Duration {
+	return time.Duration(max(0, u.Share-fullUtilization) * float64(unloadedTime))
 }
 
 // Overloaded reports whether all workers appear to have queues. A recent utilization report takes
@@ -154,7 +154,7 @@
 	pending      map[*PendingTurn]struct{}
 	workerFree   bool
 	newestAt     time.Time
-	overloadedAt time.Time // when the queue was last judged overloaded
+	overloadedAt time.Time // when the queue was last found overloaded
 	unloadedTime time.Duration
 }
 
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -16,11 +16,11 @@
 	refused, returned              int     // programs refused at least once; of these, the ones that ended
 	lateNeverRefused               int     // ended late without having been refused
 	longest                        time.Duration
-	refusals, refusedWithRoom      int
+	refusals, refusedWithCapacity  int
 }
 
 func (s *simulation) outcome() outcome {
-	o := outcome{programs: len(s.programs), longest: slices.Max(s.waits), refusals: s.refusals, refusedWithRoom: s.refusedWithRoom}
+	o := outcome{programs: len(s.programs), longest: slices.Max(s.waits), refusals: s.refusals, refusedWithCapacity: s.refusedWithCapacity}
 	inTime, all := map[time.Duration]int{}, map[time.Duration]int{}
 	for _, program := range s.programs {
 		second := program.beganAt.Truncate(time.Second)
@@ -63,7 +63,7 @@
 
 func (o outcome) String() string {
 	return fmt.Sprintf("in time %.3f, late %.3f, failed %.3f, worst second %.3f; never refused and late %.3f; refused %d, of these ended %d; refusals %d, of these with a free worker %d; longest wait %v",
-		o.share(o.inTime), o.share(o.late), o.share(o.failed), o.worst, o.share(o.lateNeverRefused), o.refused, o.returned, o.refusals, o.refusedWithRoom, o.longest.Round(time.Millisecond))
+		o.share(o.inTime), o.share(o.late), o.share(o.failed), o.worst, o.share(o.lateNeverRefused), o.refused, o.returned, o.refusals, o.refusedWithCapacity, o.longest.Round(time.Millisecond))
 }
 
 // plus combines the outcomes of two simulations.
@@ -74,7 +74,7 @@
 		refused: o.refused + other.refused, returned: o.returned + other.returned,
 		lateNeverRefused: o.lateNeverRefused + other.lateNeverRefused,
 		longest:          max(o.longest, other.longest),
-		refusals:         o.refusals + other.refusals, refusedWithRoom: o.refusedWithRoom + other.refusedWithRoom,
+		refusals:         o.refusals + other.refusals, refusedWithCapacity: o.refusedWithCapacity + other.refusedWithCapacity,
 	}
 }
 
@@ -102,7 +102,7 @@
 }
 
 // Under overload, admission control must keep a stated share of programs within their deadlines, do no
-// worse than admitting all, and never refuse a program while workers have room. The shares for four and
+// worse than admitting all, and never refuse a program while workers have free capacity. The shares for four and
 // eight times the load are those that users require.
 func TestOverload(t *testing.T) {
 	for _, load := range []struct{ burst, inTime float64 }{{2.3, 0.95}, {4, 0.75}, {8, 0.45}} {
@@ -113,7 +113,7 @@
 			t.Log("with admission control: ", with)
 			require.GreaterOrEqual(t, with.share(with.inTime), load.inTime)
 			require.GreaterOrEqual(t, with.share(with.inTime), without.share(without.inTime))
-			require.Zero(t, with.refusedWithRoom, "refused while a worker was free and none had a queue")
+			require.Zero(t, with.refusedWithCapacity, "refused while a worker was free and none had a queue")
 		})
 	}
 }
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -15,7 +15,7 @@
 const (
 	simNodes      = 77
 	simWorkers    = 45
-	simPlaces     = 6                      // turns that a worker runs at a time
+	simSlots      = 6                      // turns that a worker runs at a time
 	simQueue      = 18                     // queue length of a worker
 	simDeadline   = 3 * time.Second        // client timeout of a turn
 	simWork       = 160 * time.Millisecond // mean run time of a turn
@@ -70,8 +70,8 @@
 
 // simNode is a node; nodes share no state.
 type simNode struct {
-	learner *scheduling.Estimator
-	gate    *Controller
+	learner    *scheduling.Estimator
+	controller *Controller
 }
 
 // simWorker is a worker with its queue, in order of priority.
@@ -124,8 +124,8 @@
 	programs  []*simProgram
 	admission bool            // admission control is on
 	waits     []time.Duration // queueing time of each turn that ran
-	// refusedWithRoom counts the refusals made while a worker had a free place and none had a queue.
-	refusals, refusedWithRoom int
+	// refusedWithCapacity counts the refusals made while a worker had a free slot and none had a queue.
+	refusals, refusedWithCapacity int
 }
 
 var simStart = time.Unix(10_000, 0)
@@ -133,7 +133,7 @@
 func newSimulation(seed uint64, admission bool) *simulation {
 	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), admission: admission}
 	for range simNodes {
-		s.nodes = append(s.nodes, &simNode{learner: scheduling.NewEstimator(), gate: NewGate(nil)})
+		s.nodes = append(s.nodes, &simNode{learner: scheduling.NewEstimator(), controller: NewGate(nil)})
 	}
 	for range simWorkers {
 		s.workers = append(s.workers, &simWorker{})
@@ -215,12 +215,12 @@
 	}
 	state := turn.node.learner.Begin(turn.turn, s.clock())
 	if s.admission {
-		verdict, ask, _ := turn.node.gate.Decide("models", state, s.timeLeft(turn), s.clock())
+		verdict, request, _ := turn.node.controller.Decide("models", state, s.timeLeft(turn), s.clock())
 		if !verdict.Admitted {
 			s.refuse(turn, verdict.RetryAfter)
 			return
 		}
-		state.Returns = ask.Program.Returns
+		state.Returns = request.Program.Returns
 	}
 	turn.state = state
 	first := 2 * program.kind.urgency
@@ -230,22 +230,22 @@
 
 func (s *simulation) refuse(turn *simTurn, after time.Duration) {
 	s.refusals++
-	if s.hasFreePlace() {
-		s.refusedWithRoom++
+	if s.hasFreeSlot() {
+		s.refusedWithCapacity++
 	}
 	turn.program.refused++
 	turn.node.learner.End(turn.turn, scheduling.Outcome{Failed: true}, s.clock())
 	s.retry(turn, after)
 }
 
-// hasFreePlace reports whether a worker has a free place and none has a queue.
-func (s *simulation) hasFreePlace() bool {
+// hasFreeSlot reports whether a worker has a free slot and none has a queue.
+func (s *simulation) hasFreeSlot() bool {
 	free := false
 	for _, worker := range s.workers {
 		if len(worker.queue) > 0 {
 			return false
 		}
-		free = free || worker.running < simPlaces
+		free = free || worker.running < simSlots
 	}
 	return free
 }
@@ -296,12 +296,12 @@
 func (s *simulation) dispatch(turn *simTurn) {
 	turn.sending = nil
 	if whole, first, known := turn.node.learner.UnloadedTime(turn.turn.Route); known {
-		turn.sending = turn.node.gate.Sent("models", turn.state, UnloadedTime{FirstEvent: first, Total: whole}, s.clock())
+		turn.sending = turn.node.controller.Sent("models", turn.state, UnloadedTime{FirstEvent: first, Total: whole}, s.clock())
 	}
 	turn.work = time.Duration((0.5 + s.random.Float64()) * float64(simWork))
 	worker := s.pickWorker()
 	switch {
-	case worker.running < simPlaces:
+	case worker.running < simSlots:
 		s.startTurn(worker, turn)
 	case len(worker.queue) < simQueue:
 		at, _ := slices.BinarySearchFunc(worker.queue, turn.priority, func(other *simTurn, priority int) int {
@@ -313,7 +313,7 @@
 		worker.queue = slices.Insert(worker.queue, at, turn)
 	default:
 		turn.endWithoutEvent(s.clock())
-		turn.node.gate.Declined("models", turn.program.kind.urgency, s.clock())
+		turn.node.controller.Declined("models", turn.program.kind.urgency, s.clock())
 		turn.node.learner.End(turn.turn, scheduling.Outcome{Failed: true}, s.clock())
 		s.retry(turn, time.Duration(120+s.random.IntN(120))*time.Millisecond)
 	}
@@ -322,7 +322,7 @@
 // endWithoutEvent records that the turn ended without a first event.
 func (t *simTurn) endWithoutEvent(now time.Time) {
 	if t.sending != nil {
-		t.node.gate.EndedWithoutEvent(t.sending, now)
+		t.node.controller.EndedWithoutEvent(t.sending, now)
 	}
 }
 
@@ -332,7 +332,7 @@
 	waited := s.now - turn.sentAt
 	s.schedule(simFirstEvent, func() {
 		if turn.sending != nil {
-			turn.node.gate.FirstEvent(turn.sending, s.clock())
+			turn.node.controller.FirstEvent(turn.sending, s.clock())
 		}
 	})
 	s.schedule(turn.work, func() {
