--- a/internal/scheduling/estimator.go
+++ b/internal/scheduling/estimator.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxRoutes and maxPrograms bound the memory of a Estimator.
+	// maxRoutes and maxPrograms bound the memory of an Estimator.
 	maxRoutes   = 256
 	maxPrograms = 1024
 )
@@ -20,11 +20,11 @@
 	Tenant  string
 	Urgency int    // priority of the route; 0 is the most urgent
 	Line    string // sequence of turns within the program, such as a sub-agent's; empty if unknown
-	// Begins says that the turn does not continue an earlier one.
+	// Begins means that the turn does not continue an earlier one.
 	Begins bool
 	// Number is the number of the turn within its line, from 1; 0 if unknown.
 	Number       int
-	HasFinish    bool          // Finish is set
+	HasFinish    bool          // TimeToFinish is set
 	TimeToFinish time.Duration // time left until the caller's deadline for the program
 	Hint         int           // the caller's estimate of the tokens to be generated; 0 if none
 }
@@ -40,13 +40,13 @@
 // programState is the state of a program with turns at this node. Its main line is the line of its
 // first turn.
 type programState struct {
-	line         uint64        // hash of the main line's name
-	place        int           // number of the latest turn of the main line
-	countedPlace int           // number of the latest completed turn of the main line
-	budget       time.Duration // time to the deadline at the first turn
-	waited       time.Duration // time that main-line turns spent queueing or on failed tries
-	running      int           // turns in progress on all lines
-	endedAt      time.Time     // when the latest turn completed; zero if none has
+	line          uint64        // hash of the main line's name
+	number        int           // number of the latest turn of the main line
+	countedNumber int           // number of the latest completed turn of the main line
+	budget        time.Duration // time to the deadline at the first turn
+	waited        time.Duration // time that main-line turns spent queueing or on failed tries
+	running       int           // turns in progress on all lines
+	endedAt       time.Time     // when the latest turn completed; zero if none has
 }
 
 // Estimator estimates from the turns that pass through a node how long programs take. It is safe for
@@ -57,7 +57,7 @@
 	programs fifoMap[uint64, programState]
 }
 
-// NewEstimator returns a Estimator without observations.
+// NewEstimator returns an Estimator without observations.
 func NewEstimator() *Estimator {
 	return &Estimator{
 		routes:   newFIFOMap[string, routeStats](maxRoutes),
@@ -67,23 +67,23 @@
 
 // Begin records the start of a turn and returns the scheduling state of its program, without Returns.
 // The caller must call End when the turn is over.
-func (l *Estimator) Begin(turn Turn, now time.Time) Program {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (e *Estimator) Begin(turn Turn, now time.Time) Program {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
 	program := Program{
 		Key: turn.Program, Tenant: turn.Tenant, Urgency: turn.Urgency,
 		Begins: turn.Begins, Timed: turn.HasFinish, Finish: turn.TimeToFinish,
 	}
-	stats := l.routeStats(turn.Route)
-	state := l.programs.get(xxhash.Sum64String(turn.Program))
+	stats := e.routeStats(turn.Route)
+	state := e.programs.get(xxhash.Sum64String(turn.Program))
 	if state == nil && !turn.Begins {
-		program.Needs, program.Turns = stats.remainingFromPlace(turn)
+		program.Needs, program.Turns = stats.remainingFromNumber(turn)
 		return program
 	}
 	if state == nil {
-		state = l.addProgram(turn)
+		state = e.addProgram(turn)
 	}
-	program.Begins = turn.Begins && state.place <= 1
+	program.Begins = turn.Begins && state.number <= 1
 	state.beginTurn(turn, stats, now)
 	program.Waited = state.idleTime(stats, now)
 	program.Needs, program.Turns = state.remaining(turn, stats)
@@ -92,11 +92,11 @@
 }
 
 // End records the outcome of a turn that was passed to Begin.
-func (l *Estimator) End(turn Turn, took Outcome, now time.Time) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	stats := l.routeStats(turn.Route)
-	state := l.programs.get(xxhash.Sum64String(turn.Program))
+func (e *Estimator) End(turn Turn, took Outcome, now time.Time) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	stats := e.routeStats(turn.Route)
+	state := e.programs.get(xxhash.Sum64String(turn.Program))
 	if state != nil {
 		state.endTurn(turn, stats, took, now)
 	}
@@ -110,10 +110,10 @@
 
 // UnloadedTime returns how long a turn of a route takes without queueing, in all and until its first event.
 // known is false while there are too few observations.
-func (l *Estimator) UnloadedTime(route string) (whole, first time.Duration, known bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	stats := l.routes.get(route)
+func (e *Estimator) UnloadedTime(route string) (whole, first time.Duration, known bool) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	stats := e.routes.get(route)
 	if stats == nil || !stats.turn.known() || !stats.first.known() {
 		return 0, 0, false
 	}
@@ -121,25 +121,25 @@
 }
 
 // routeStats returns the estimates of a route and adds them if needed.
-func (l *Estimator) routeStats(route string) *routeStats {
-	if stats := l.routes.get(route); stats != nil {
+func (e *Estimator) routeStats(route string) *routeStats {
+	if stats := e.routes.get(route); stats != nil {
 		return stats
 	}
-	return l.routes.add(route)
+	return e.routes.add(route)
 }
 
 // addProgram adds a program at its first turn.
-func (l *Estimator) addProgram(turn Turn) *programState {
-	state := l.programs.add(xxhash.Sum64String(turn.Program))
+func (e *Estimator) addProgram(turn Turn) *programState {
+	state := e.programs.add(xxhash.Sum64String(turn.Program))
 	state.line = xxhash.Sum64String(turn.Line)
 	state.budget = turn.TimeToFinish
 	return state
 }
 
-// remainingFromPlace estimates the remaining time and turns of a program that this node has no state of,
+// remainingFromNumber estimates the remaining time and turns of a program that this node has no state of,
 // by the number of its turn. If that is unknown or observations are too few it returns one turn; without
 // any observations, zeros.
-func (r *routeStats) remainingFromPlace(turn Turn) (needs time.Duration, turns int) {
+func (r *routeStats) remainingFromNumber(turn Turn) (needs time.Duration, turns int) {
 	if needs, turns, known := r.remaining(turn.Number); known {
 		return needs + r.hintAdjustment(turn), turns
 	}
@@ -157,16 +157,16 @@
 	if turn.Begins && s.endedAt.IsZero() {
 		s.waited = max(0, s.budget-turn.TimeToFinish) // no turn has completed: all time since the first try was spent waiting
 	}
-	if s.line != xxhash.Sum64String(turn.Line) || turn.Number > 0 && turn.Number <= s.place {
+	if s.line != xxhash.Sum64String(turn.Line) || turn.Number > 0 && turn.Number <= s.number {
 		return // a sub-agent's turn or a retry
 	}
-	if turn.Begins && s.place >= 1 {
+	if turn.Begins && s.number >= 1 {
 		return // a retry of the first turn
 	}
 	if !s.endedAt.IsZero() && s.running == 0 {
 		stats.pause.observe(now.Sub(s.endedAt), medianQuantile)
 	}
-	s.place = max(s.place+1, turn.Number)
+	s.number = max(s.number+1, turn.Number)
 }
 
 // endTurn updates the program at the end of a turn.
@@ -190,14 +190,14 @@
 }
 
 // countTurn counts a completed turn of the main line. Refused and failed turns are not counted, since
-// they say nothing about how many turns programs have.
+// they do not show how many turns programs have.
 func (s *programState) countTurn(turn Turn, stats *routeStats) {
-	if s.countedPlace >= s.place {
+	if s.countedNumber >= s.number {
 		return
 	}
-	s.countedPlace = s.place
-	stats.countReached(s.place)
-	if turn.HasFinish && s.place == 1 {
+	s.countedNumber = s.number
+	stats.countReached(s.number)
+	if turn.HasFinish && s.number == 1 {
 		stats.budget.observe(turn.TimeToFinish, medianQuantile)
 		stats.lowBudget.observe(turn.TimeToFinish, lowBudgetQuantile)
 	}
--- a/internal/scheduling/estimator_test.go
+++ b/internal/scheduling/estimator_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// programRunner runs programs of equal turns with equal pauses through a Estimator. A caller's budget is
+// programRunner runs programs of equal turns with equal pauses through an Estimator. A caller's budget is
 // one and a half times the unloaded duration.
 type programRunner struct {
 	learner *Estimator
@@ -32,8 +32,8 @@
 func (p *programRunner) run(name string, turns int, wait time.Duration) []Program {
 	began := p.now
 	var states []Program
-	for place := 1; place <= turns; place++ {
-		turn := newTurn(name, place, budgetFor(turns)-p.now.Sub(began))
+	for number := 1; number <= turns; number++ {
+		turn := newTurn(name, number, budgetFor(turns)-p.now.Sub(began))
 		states = append(states, p.learner.Begin(turn, p.now))
 		p.now = p.now.Add(testTurn + wait)
 		p.learner.End(turn, Outcome{Total: testTurn + wait, FirstEvent: testTurn/4 + wait, Tokens: 100}, p.now)
@@ -42,8 +42,8 @@
 	return states
 }
 
-func newTurn(name string, place int, finish time.Duration) Turn {
-	return Turn{Route: "r", Program: name, Line: "main", Begins: place == 1, Number: place, HasFinish: true, TimeToFinish: finish}
+func newTurn(name string, number int, finish time.Duration) Turn {
+	return Turn{Route: "r", Program: name, Line: "main", Begins: number == 1, Number: number, HasFinish: true, TimeToFinish: finish}
 }
 
 // Without observations the need must be derived from the caller's budget.
@@ -123,12 +123,12 @@
 	p := newProgramRunner()
 	for index := range 40 {
 		name := fmt.Sprint("p", index)
-		for place := 1; place <= 3; place++ {
-			turn := newTurn(name, place, budgetFor(3))
+		for number := 1; number <= 3; number++ {
+			turn := newTurn(name, number, budgetFor(3))
 			p.learner.Begin(turn, p.now)
 			p.learner.End(turn, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
 			for agent := range 5 {
-				helper := newTurn(name, place+1, budgetFor(3))
+				helper := newTurn(name, number+1, budgetFor(3))
 				helper.Line = fmt.Sprint("agent", agent)
 				p.learner.Begin(helper, p.now)
 				p.learner.End(helper, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
@@ -176,8 +176,8 @@
 	require.Equal(t, bad.Begin(long, time.Unix(0, 0)).Needs, bad.Begin(usual, time.Unix(0, 0)).Needs)
 }
 
-// Many programs and routes must not make a Estimator grow without limit.
-func TestLearnerMemoryIsBounded(t *testing.T) {
+// Many programs and routes must not make an Estimator grow without limit.
+func TestEstimatorMemoryIsBounded(t *testing.T) {
 	l := NewEstimator()
 	for index := range 10 * maxPrograms {
 		turn := newTurn(fmt.Sprint("p", index), 1, time.Second)
--- a/internal/scheduling/order.go
+++ b/internal/scheduling/order.go
@@ -88,7 +88,7 @@
 // Workers run lower numbers first.
 type PriorityRange struct{ First, Last int }
 
-// Priority returns the worker priority within the band for a program's request. A band with fewer
+// Priority returns the worker priority within the range for a program's request. A range with fewer
 // priorities than classes maps several classes to the same priority.
 func (b PriorityRange) Priority(program Program) int {
 	class := Classify(program)
--- a/internal/scheduling/program.go
+++ b/internal/scheduling/program.go
@@ -1,8 +1,8 @@
 // Package scheduling estimates how close a program is to its deadline, and orders programs that compete
 // for capacity.
 //
-// A program is a sequence of requests, called turns. Its standing is its scheduling state: the time to
-// its deadline, the work that remains, its urgency and its tenant. Scheduling order, admission control
+// A program is a sequence of requests, called turns. Its scheduling state consists of the time to
+// its deadline, the remaining work, its urgency and its tenant. Scheduling order, admission control
 // and capacity shares are all derived from it. The package uses neither the clock nor the network;
 // callers pass the current time.
 package scheduling
@@ -17,11 +17,11 @@
 	Tenant string
 	// Urgency is the priority of the request's route; 0 is the most urgent.
 	Urgency int
-	// Begins says that no turn of the program has run yet.
+	// Begins means that no turn of the program has run yet.
 	Begins bool
-	// Returns says that the program was refused before and retries at the time that it was given.
+	// Returns means that the program was refused before and retries at the time that it was given.
 	Returns bool
-	// Timed says that the program has a deadline. Finish is the time left until then, 0 or less if it
+	// Timed means that the program has a deadline. Finish is the time left until then, 0 or less if it
 	// has passed.
 	Timed  bool
 	Finish time.Duration
@@ -29,7 +29,7 @@
 	Needs time.Duration
 	// Turns is the expected number of remaining turns, including this one; 0 if unknown.
 	Turns int
-	// Waited is how long the program has made no progress, as far as known.
+	// Waited is how long the program has made no progress; 0 if unknown.
 	Waited time.Duration
 }
 
--- a/internal/scheduling/routestats.go
+++ b/internal/scheduling/routestats.go
@@ -39,12 +39,12 @@
 	hints        hintStats
 }
 
-// countReached counts a line that completes turn number place.
-func (r *routeStats) countReached(place int) {
-	if place > maxCountedTurns {
+// countReached counts a line that completes the turn with this number.
+func (r *routeStats) countReached(number int) {
+	if number > maxCountedTurns {
 		return
 	}
-	r.linesReached[place]++
+	r.linesReached[number]++
 	if r.linesReached[1] <= maxCountedLines {
 		return
 	}
@@ -53,22 +53,22 @@
 	}
 }
 
-// turnsAfter returns the median number of turns that follow turn number place, among lines that
-// reach it. As a median it is not skewed by a few endless lines.
-func (r *routeStats) turnsAfter(place int) (count int, known bool) {
-	if place < 1 || place > maxCountedTurns || r.linesReached[place] < minObservations {
+// turnsAfter returns the median number of turns that follow the turn with this number, among lines
+// that reach it. As a median it is not skewed by a few endless lines.
+func (r *routeStats) turnsAfter(number int) (count int, known bool) {
+	if number < 1 || number > maxCountedTurns || r.linesReached[number] < minObservations {
 		return 0, false
 	}
-	for next := place + 1; next <= maxCountedTurns && 2*r.linesReached[next] >= r.linesReached[place]; next++ {
+	for next := number + 1; next <= maxCountedTurns && 2*r.linesReached[next] >= r.linesReached[number]; next++ {
 		count++
 	}
 	return count, true
 }
 
-// remaining estimates the time and the turns that a program needs from turn number place on, without
+// remaining estimates the time and the turns that a program needs from the turn with this number on, without
 // queueing.
-func (r *routeStats) remaining(place int) (needs time.Duration, turns int, known bool) {
-	following, known := r.turnsAfter(place)
+func (r *routeStats) remaining(number int) (needs time.Duration, turns int, known bool) {
+	following, known := r.turnsAfter(number)
 	if !known || !r.turn.known() {
 		return 0, 0, false
 	}
