--- a/internal/eligibility/eligibility.go
+++ b/internal/eligibility/eligibility.go
@@ -12,8 +12,8 @@
 const (
 	// Allowed: the request may be sent.
 	Allowed Verdict = iota
-	// NeedsWarmupPlace: the worker is cold; the request may be sent only with a place from the worker's
-	// warm-up allowance.
+	// NeedsWarmupPlace: the worker is cold; the request may be sent only with a permit from the worker's
+	// warm-up limit.
 	NeedsWarmupPlace
 	// Draining: the worker is draining and must get no new work.
 	Draining
