--- a/internal/timing/sleep.go
+++ b/internal/timing/sleep.go
@@ -1,5 +1,5 @@
-// Package timing provides sleeping that a context can interrupt, backoff with jitter,
-// and adaptive timeouts from observed durations.
+// Package timing provides sleeping with a context, backoff with jitter, and timeouts that
+// adapt to observed durations.
 package timing
 
 import (
--- a/internal/timing/sleep_test.go
+++ b/internal/timing/sleep_test.go
@@ -10,7 +10,7 @@
 )
 
 // Sleep must return nil after the full time and the context's error as soon as that ends.
-func TestForSleepsUntilDoneOrCanceled(t *testing.T) {
+func TestSleepsUntilDoneOrCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		assert.NoError(t, Sleep(t.Context(), time.Minute))
