--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -103,29 +103,29 @@
 	return zone
 }
 
-// Location is a zone from which distances are measured. With a nil Places, no regions are known.
+// Location is a zone from which distances are measured. With nil Zones, no regions are known.
 type Location struct {
 	Zones *ZoneMap // region of each zone
 	Zone  string
 }
 
 // DistanceTo returns the distance to a zone.
-func (v Location) DistanceTo(zone string) Distance { return v.Zones.RoundTrip(v.Zone, zone) }
+func (l Location) DistanceTo(zone string) Distance { return l.Zones.RoundTrip(l.Zone, zone) }
 
-// OwnRegion returns the region of the vantage's own zone.
-func (v Location) OwnRegion() string { return v.Zones.Region(v.Zone) }
+// OwnRegion returns the region of the location's own zone.
+func (l Location) OwnRegion() string { return l.Zones.Region(l.Zone) }
 
-// OwnRegionFirst stably moves items in other regions behind those in the vantage's own region. zoneOf
+// OwnRegionFirst stably moves items in other regions behind those in the location's own region. zoneOf
 // returns the zone of an item.
-func OwnRegionFirst[T any](v Location, items []T, zoneOf func(T) string) {
+func OwnRegionFirst[T any](l Location, items []T, zoneOf func(T) string) {
 	slices.SortStableFunc(items, func(a, b T) int {
-		return cmp.Compare(v.regionRank(zoneOf(a)), v.regionRank(zoneOf(b)))
+		return cmp.Compare(l.regionRank(zoneOf(a)), l.regionRank(zoneOf(b)))
 	})
 }
 
-// PreferOwnRegion returns the items in the vantage's own region, or all items if there are none.
-func PreferOwnRegion[T any](v Location, items []T, zoneOf func(T) string) []T {
-	local := slices.DeleteFunc(slices.Clone(items), func(item T) bool { return v.regionRank(zoneOf(item)) > 0 })
+// PreferOwnRegion returns the items in the location's own region, or all items if there are none.
+func PreferOwnRegion[T any](l Location, items []T, zoneOf func(T) string) []T {
+	local := slices.DeleteFunc(slices.Clone(items), func(item T) bool { return l.regionRank(zoneOf(item)) > 0 })
 	if len(local) == 0 {
 		return items
 	}
@@ -133,8 +133,8 @@
 }
 
 // regionRank is 1 for zones in other regions, else 0.
-func (v Location) regionRank(zone string) int {
-	if v.DistanceTo(zone) == OtherRegion {
+func (l Location) regionRank(zone string) int {
+	if l.DistanceTo(zone) == OtherRegion {
 		return 1
 	}
 	return 0
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -38,13 +38,13 @@
 
 // Guards against choosing a remote item while a local one exists, and against an empty choice.
 func TestOwnRegionIsPreferred(t *testing.T) {
-	vantage := Location{Zones: NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
+	location := Location{Zones: NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"}), Zone: "a1"}
 	identity := func(zone string) string { return zone }
 	zones := []string{"b1", "a2", "unknown", "a1"}
-	OwnRegionFirst(vantage, zones, identity)
+	OwnRegionFirst(location, zones, identity)
 	require.Equal(t, []string{"a2", "a1", "b1", "unknown"}, zones, "stable within each region")
-	require.Equal(t, []string{"a2", "a1"}, PreferOwnRegion(vantage, zones, identity))
-	require.Equal(t, []string{"b1"}, PreferOwnRegion(vantage, []string{"b1"}, identity), "no local item")
+	require.Equal(t, []string{"a2", "a1"}, PreferOwnRegion(location, zones, identity))
+	require.Equal(t, []string{"b1"}, PreferOwnRegion(location, []string{"b1"}, identity), "no local item")
 	require.Equal(t, []string{"x", "y"}, PreferOwnRegion(Location{Zone: "x"}, []string{"x", "y"}, identity), "no regions in the map")
 }
 
