--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -70,7 +70,7 @@
 
 // simNode is a node; nodes share no state.
 type simNode struct {
-	learner    *scheduling.Estimator
+	estimator  *scheduling.Estimator
 	controller *Controller
 }
 
@@ -133,7 +133,7 @@
 func newSimulation(seed uint64, admission bool) *simulation {
 	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), admission: admission}
 	for range simNodes {
-		s.nodes = append(s.nodes, &simNode{learner: scheduling.NewEstimator(), controller: NewGate(nil)})
+		s.nodes = append(s.nodes, &simNode{estimator: scheduling.NewEstimator(), controller: NewGate(nil)})
 	}
 	for range simWorkers {
 		s.workers = append(s.workers, &simWorker{})
@@ -213,7 +213,7 @@
 		Begins: turn.line == "main" && turn.position == 1, Number: turn.position,
 		HasFinish: true, TimeToFinish: max(0, program.budget-(s.now-program.beganAt)),
 	}
-	state := turn.node.learner.Begin(turn.turn, s.clock())
+	state := turn.node.estimator.Begin(turn.turn, s.clock())
 	if s.admission {
 		verdict, request, _ := turn.node.controller.Decide("models", state, s.timeLeft(turn), s.clock())
 		if !verdict.Admitted {
@@ -234,7 +234,7 @@
 		s.refusedWithCapacity++
 	}
 	turn.program.refused++
-	turn.node.learner.End(turn.turn, scheduling.Outcome{Failed: true}, s.clock())
+	turn.node.estimator.End(turn.turn, scheduling.Outcome{Failed: true}, s.clock())
 	s.retry(turn, after)
 }
 
@@ -295,7 +295,7 @@
 // dispatch starts or queues a turn at a worker. If the worker's queue is full the turn is declined.
 func (s *simulation) dispatch(turn *simTurn) {
 	turn.sending = nil
-	if whole, first, known := turn.node.learner.UnloadedTime(turn.turn.Route); known {
+	if whole, first, known := turn.node.estimator.UnloadedTime(turn.turn.Route); known {
 		turn.sending = turn.node.controller.Sent("models", turn.state, UnloadedTime{FirstEvent: first, Total: whole}, s.clock())
 	}
 	turn.work = time.Duration((0.5 + s.random.Float64()) * float64(simWork))
@@ -314,7 +314,7 @@
 	default:
 		turn.endWithoutEvent(s.clock())
 		turn.node.controller.Declined("models", turn.program.kind.urgency, s.clock())
-		turn.node.learner.End(turn.turn, scheduling.Outcome{Failed: true}, s.clock())
+		turn.node.estimator.End(turn.turn, scheduling.Outcome{Failed: true}, s.clock())
 		s.retry(turn, time.Duration(120+s.random.IntN(120))*time.Millisecond)
 	}
 }
@@ -338,7 +338,7 @@
 	s.schedule(turn.work, func() {
 		worker.running--
 		took := scheduling.Outcome{Total: s.now - turn.sentAt, FirstEvent: waited + simFirstEvent, Tokens: 1}
-		turn.node.learner.End(turn.turn, took, s.clock())
+		turn.node.estimator.End(turn.turn, took, s.clock())
 		s.startQueued(worker)
 		s.turnEnded(turn)
 	})
@@ -354,7 +354,7 @@
 			return
 		}
 		next.endWithoutEvent(s.clock())
-		next.node.learner.End(next.turn, scheduling.Outcome{Failed: true, Total: s.now - next.sentAt}, s.clock())
+		next.node.estimator.End(next.turn, scheduling.Outcome{Failed: true, Total: s.now - next.sentAt}, s.clock())
 		next.tries = simTries
 		s.retry(next, 0)
 	}
--- a/internal/backend/latency.go
+++ b/internal/backend/latency.go
@@ -12,10 +12,10 @@
 func (r *Registry) Silences(service string) *LatencyEstimates {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, ok := r.silences[service]
+	known, ok := r.latencies[service]
 	if !ok {
 		known = new(LatencyEstimates)
-		r.silences[service] = known
+		r.latencies[service] = known
 	}
 	return known
 }
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -57,7 +57,7 @@
 	keys          map[string]string  // key by ID, for workers whose key differs from their ID
 	services      map[string]roster
 	lingering     map[string][]lingeringWorker
-	silences      map[string]*LatencyEstimates
+	latencies     map[string]*LatencyEstimates
 	unreported    unreportedWorkers
 	trials        trials
 	unreachable   chan *Worker              // workers that accepted no connection
@@ -91,7 +91,7 @@
 		keys:        map[string]string{},
 		services:    map[string]roster{},
 		lingering:   map[string][]lingeringWorker{},
-		silences:    map[string]*LatencyEstimates{},
+		latencies:   map[string]*LatencyEstimates{},
 		unreported:  unreportedWorkers{services: map[string]map[*Worker]struct{}{}},
 		unreachable: make(chan *Worker, unreachableBacklog),
 	}
--- a/internal/backend/verdicts.go
+++ b/internal/backend/verdicts.go
@@ -21,9 +21,9 @@
 	// verdictPrecedence is the age up to which a verdict overrides newer observations of this node.
 	verdictPrecedence = 500 * time.Millisecond
 	// trialTTL is how long a trial may wait for a suitable request. During the first
-	// spareOnlyPeriod it is reserved for requests that can be retried at another worker.
-	trialTTL        = 800 * time.Millisecond
-	spareOnlyPeriod = 200 * time.Millisecond
+	// retryableOnlyPeriod it is reserved for requests that can be retried at another worker.
+	trialTTL            = 800 * time.Millisecond
+	retryableOnlyPeriod = 200 * time.Millisecond
 	// maxCost and maxSlowness bound the values of a verdict.
 	maxCost     = time.Second
 	maxSlowness = 100
@@ -254,7 +254,7 @@
 
 // TakeTrial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
 // cached context at another worker and can be retried elsewhere. If none arrives within
-// spareOnlyPeriod, a program's first turn is used, since it has no cached context. Each trial is used once.
+// retryableOnlyPeriod, a program's first turn is used, since it has no cached context. Each trial is used once.
 func (r *Registry) TakeTrial(query Query) (*Worker, bool) {
 	if r.trials.count.Load() == 0 || !query.Retryable && !query.FirstTurn || len(query.Only) > 0 {
 		return nil, false
@@ -262,7 +262,7 @@
 	now := r.options.Now()
 	return r.trials.take(now, func(trial trial) bool {
 		worker := trial.worker
-		return (query.Retryable || trial.until.Sub(now) <= trialTTL-spareOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
+		return (query.Retryable || trial.until.Sub(now) <= trialTTL-retryableOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
 			(query.Home == "" || query.Home == worker.key) &&
 			!slices.Contains(query.Exclude, worker.key) &&
 			r.Check(worker, query.Regions) == eligibility.Allowed && worker.triable(now)
--- a/internal/backend/verdicts_test.go
+++ b/internal/backend/verdicts_test.go
@@ -137,23 +137,23 @@
 	registry := newClockedRegistry(4)
 	trial := outlier.Verdict{Worker: "w1", Until: maxVerdictTTL, Trial: true}
 	registry.ApplyVerdicts([]outlier.Verdict{trial})
-	spare := func(q *Query) { q.Retryable = true }
+	retryable := func(q *Query) { q.Retryable = true }
 	require.Zero(t, registry.chosen(t, nil)["w1"], "a request that cannot be retried makes no trial")
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Home = true, "w2" })["w1"])
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Only = true, []string{"w2"} })["w1"])
 	require.Zero(t, registry.chosen(t, func(q *Query) { q.Retryable, q.Exclude = true, []string{"w1"} })["w1"])
-	require.Equal(t, 1, registry.chosen(t, spare)["w1"])
+	require.Equal(t, 1, registry.chosen(t, retryable)["w1"])
 	registry.ApplyVerdicts([]outlier.Verdict{trial})
 	registry.advance(trialTTL)
-	require.Zero(t, registry.chosen(t, spare)["w1"], "the trial has expired")
+	require.Zero(t, registry.chosen(t, retryable)["w1"], "the trial has expired")
 	registry.ApplyVerdicts([]outlier.Verdict{trial})
 	begins := func(q *Query) { q.FirstTurn = true }
 	require.Zero(t, registry.chosen(t, begins)["w1"], "requests that can be retried come first")
-	registry.advance(spareOnlyPeriod)
+	registry.advance(retryableOnlyPeriod)
 	require.Equal(t, 1, registry.chosen(t, begins)["w1"])
 	registry.ApplyVerdicts([]outlier.Verdict{trial})
 	draining("w1")(registry.Registry)
-	require.Zero(t, registry.chosen(t, spare)["w1"])
+	require.Zero(t, registry.chosen(t, retryable)["w1"])
 }
 
 // Verdicts come from another process, so out-of-range values must be bounded.
--- a/internal/backend/zones_test.go
+++ b/internal/backend/zones_test.go
@@ -53,8 +53,8 @@
 	registry.Remove("w0")
 	_, err := registry.Choose(Query{Service: "s"})
 	require.Error(t, err)
-	why, _ := registry.WhyClosed("s", nil, nil)
-	require.Equal(t, eligibility.Evacuated, why)
+	reason, _ := registry.WhyClosed("s", nil, nil)
+	require.Equal(t, eligibility.Evacuated, reason)
 }
 
 // Guards against missing the only worker of an allowed region among many others.
@@ -70,29 +70,29 @@
 }
 
 // The reason and the zones decide the remedy that a refused caller receives.
-func TestClosed(t *testing.T) {
+func TestWhyClosed(t *testing.T) {
 	places := locality.NewMap(map[string]string{"z": "one", "y": "one", "x": "other"})
 	for _, c := range []struct {
 		name      string
 		evacuated []string
 		regions   locality.Regions
 		only      []string
-		why       eligibility.Verdict
+		reason    eligibility.Verdict
 		zones     []string
 	}{
 		{name: "open"},
 		{name: "one zone of three", evacuated: []string{"z"}},
-		{name: "all zones", evacuated: []string{"x", "y", "z"}, why: eligibility.Evacuated, zones: []string{"x", "y", "z"}},
-		{name: "all of the region", evacuated: []string{"y", "z"}, regions: locality.Regions{"one"}, why: eligibility.Evacuated, zones: []string{"y", "z"}},
-		{name: "no worker in the region", regions: locality.Regions{"third"}, why: eligibility.OutsideRegions},
-		{name: "no region", regions: locality.Regions{}, why: eligibility.OutsideRegions},
-		{name: "all allowed workers", evacuated: []string{"z"}, only: []string{"w0"}, why: eligibility.Evacuated, zones: []string{"z"}},
+		{name: "all zones", evacuated: []string{"x", "y", "z"}, reason: eligibility.Evacuated, zones: []string{"x", "y", "z"}},
+		{name: "all of the region", evacuated: []string{"y", "z"}, regions: locality.Regions{"one"}, reason: eligibility.Evacuated, zones: []string{"y", "z"}},
+		{name: "no worker in the region", regions: locality.Regions{"third"}, reason: eligibility.OutsideRegions},
+		{name: "no region", regions: locality.Regions{}, reason: eligibility.OutsideRegions},
+		{name: "all allowed workers", evacuated: []string{"z"}, only: []string{"w0"}, reason: eligibility.Evacuated, zones: []string{"z"}},
 		{name: "an unknown zone", evacuated: []string{"nowhere"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			registry := newTestRegistry(Options{Places: places, Evacuated: evacuatedFunc(c.evacuated...)}, 3, "z", "y", "x")
-			why, zones := registry.WhyClosed("s", c.regions, c.only)
-			require.Equal(t, c.why, why)
+			reason, zones := registry.WhyClosed("s", c.regions, c.only)
+			require.Equal(t, c.reason, reason)
 			require.Equal(t, c.zones, zones)
 		})
 	}
@@ -102,6 +102,6 @@
 func TestEmptyServiceIsNotClosed(t *testing.T) {
 	now := time.Now()
 	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 0)
-	why, _ := registry.WhyClosed("s", nil, nil)
-	require.Equal(t, eligibility.Allowed, why)
+	reason, _ := registry.WhyClosed("s", nil, nil)
+	require.Equal(t, eligibility.Allowed, reason)
 }
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -24,26 +24,26 @@
 // workersInOrder adds as many workers as there are scripts. The worker tried first runs the first
 // script, and so on.
 func (f *fixture) workersInOrder(does ...script) {
-	asked := map[string]int{}
+	tried := map[string]int{}
 	for index := range does {
 		id := fmt.Sprint("w", index)
 		f.worker(id, func(ctx context.Context, call Call) (*Answer, error) {
-			if _, ok := asked[id]; !ok {
-				asked[id] = len(asked)
+			if _, ok := tried[id]; !ok {
+				tried[id] = len(tried)
 			}
-			return does[asked[id]](ctx, call)
+			return does[tried[id]](ctx, call)
 		})
 	}
 }
 
-// askedWorkers returns the workers that were sent a call, each once, in order.
-func (f *fixture) askedWorkers() (asked []string) {
+// triedWorkers returns the workers that were sent a call, each once, in order.
+func (f *fixture) triedWorkers() (tried []string) {
 	for _, call := range f.sent() {
-		if len(asked) == 0 || asked[len(asked)-1] != call.worker {
-			asked = append(asked, call.worker)
+		if len(tried) == 0 || tried[len(tried)-1] != call.worker {
+			tried = append(tried, call.worker)
 		}
 	}
-	return asked
+	return tried
 }
 
 // twoEventsThen is a worker that sends two events and then runs a function.
@@ -84,14 +84,14 @@
 		"a stream, two workers allowed": {turnRoute(func(r *route.Route) { r.Resumable, r.MaxAttempts = true, 2 }),
 			twoEventsThen(staysSilent), streams(3, 0), 2, true},
 	} {
-		for why, dialError := range map[string]error{"dials time out": nil, "dials are refused": syscall.ECONNREFUSED} {
-			t.Run(name+", "+why, func(t *testing.T) {
+		for cause, dialError := range map[string]error{"dials time out": nil, "dials are refused": syscall.ECONNREFUSED} {
+			t.Run(name+", "+cause, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFixture(t, test.route)
 					f.dialError = dialError
 					f.workersInOrder(test.silent, test.other, test.other)
 					got := f.serve(t.Context(), nil)
-					require.Len(t, f.askedWorkers(), test.workers)
+					require.Len(t, f.triedWorkers(), test.workers)
 					require.Equal(t, test.served, got.ended)
 					require.Equal(t, 1, got.finalAnswers)
 					if !test.served && !got.aborted {
@@ -122,7 +122,7 @@
 					got := f.serve(t.Context(), nil)
 					require.Equal(t, whole, got.ended)
 					require.Equal(t, !whole, got.aborted)
-					require.Len(t, f.askedWorkers(), 1)
+					require.Len(t, f.triedWorkers(), 1)
 					require.Equal(t, min(pause, limit), got.took)
 				})
 			})
@@ -161,7 +161,7 @@
 				if test.moves {
 					require.Equal(t, events(5), got.body.String(), "resumed within the same answer")
 				} else {
-					require.Len(t, f.askedWorkers(), 1)
+					require.Len(t, f.triedWorkers(), 1)
 				}
 			})
 		})
@@ -174,7 +174,7 @@
 		f := newFixture(t, plainRoute(route.Safe, 1))
 		f.reachable, f.missEvery = true, 2
 		f.worker("w", func(ctx context.Context, _ Call) (*Answer, error) {
-			if err := timing.Sleep(ctx, 7*safeSilence/2); err != nil {
+			if err := timing.Sleep(ctx, 7*safeIdleTimeout/2); err != nil {
 				return nil, err
 			}
 			return answer(http.StatusOK, false, strings.NewReader("ok")), nil
--- a/internal/forward/deadconnection_test.go
+++ b/internal/forward/deadconnection_test.go
@@ -97,7 +97,7 @@
 }
 
 // Guards against resending a stream that may not run twice when its connection is dead.
-func TestUnrepeatableStreamFailsOnASilentConnection(t *testing.T) {
+func TestUnrepeatableStreamFailsOnADeadConnection(t *testing.T) {
 	f, transport, answered, _ := stalledFixture(t, turnRoute(nil))
 	got := f.serve(t.Context(), longRequest)
 	require.EqualValues(t, 2, transport.sends.Load(), "it was sent once")
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -56,7 +56,7 @@
 	for name, test := range map[string]struct {
 		kind     route.Kind
 		attempts int
-		first    script // of the worker that is asked first
+		first    script // of the worker that is tried first
 		second   script
 		want     expectation
 	}{
@@ -208,13 +208,13 @@
 		usual time.Duration
 		does  func(usual time.Duration) script
 	}{
-		"safe": {plainRoute(route.Safe, 2), 2 * safeSilence, func(usual time.Duration) script {
+		"safe": {plainRoute(route.Safe, 2), 2 * safeIdleTimeout, func(usual time.Duration) script {
 			return func(context.Context, Call) (*Answer, error) {
 				time.Sleep(usual)
 				return answer(http.StatusOK, false, strings.NewReader("ok")), nil
 			}
 		}},
-		"streaming": {turnRoute(nil), 2 * streamSilence, func(usual time.Duration) script {
+		"streaming": {turnRoute(nil), 2 * streamIdleTimeout, func(usual time.Duration) script {
 			return func(ctx context.Context, call Call) (*Answer, error) {
 				time.Sleep(usual)
 				return streams(3, 0)(ctx, call)
--- a/internal/forward/history_test.go
+++ b/internal/forward/history_test.go
@@ -22,7 +22,7 @@
 	asked []budget.Holder
 }
 
-func (r *peerHistory) note(holder budget.Holder) {
+func (r *peerHistory) record(holder budget.Holder) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.asked = append(r.asked, holder)
@@ -30,7 +30,7 @@
 
 // History implements HistoryPeers.
 func (r *peerHistory) History(_ context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
-	r.note(holder)
+	r.record(holder)
 	return r.store.CachedChain(turn), nil
 }
 
@@ -65,12 +65,12 @@
 
 // fakeTurnDirectory is a TurnDirectory in memory.
 type fakeTurnDirectory struct {
-	holders map[string]budget.Holder
-	noted   []string
+	holders  map[string]budget.Holder
+	recorded []string
 }
 
 // RecordRun implements TurnDirectory.
-func (r *fakeTurnDirectory) RecordRun(_, turn string) { r.noted = append(r.noted, turn) }
+func (r *fakeTurnDirectory) RecordRun(_, turn string) { r.recorded = append(r.recorded, turn) }
 
 // Lookup implements TurnDirectory.
 func (r *fakeTurnDirectory) Lookup(_ context.Context, _, turn string) (budget.Holder, bool) {
@@ -122,11 +122,11 @@
 			require.Zero(t, reads)
 			if holders < maxHistoryPeers {
 				require.NotContains(t, peer.asked, budget.Holder{Process: "ran"}, "all nodes that ran turns are asked")
-				require.Empty(t, turns.noted)
+				require.Empty(t, turns.recorded)
 				return
 			}
 			require.Equal(t, []budget.Holder{{Process: "ran"}}, peer.asked)
-			require.Equal(t, []string{"t2"}, turns.noted)
+			require.Equal(t, []string{"t2"}, turns.recorded)
 		})
 	}
 }
--- a/internal/forward/plain.go
+++ b/internal/forward/plain.go
@@ -17,9 +17,9 @@
 	// maxBufferedAnswer is the largest answer, in bytes, that is read completely before it is
 	// passed on, so that a truncated one can still be replaced.
 	maxBufferedAnswer = 256 << 10
-	// safeSilence is how long a safe request waits for a silent worker before it checks whether
+	// safeIdleTimeout is how long a safe request waits for data before the node checks whether
 	// the worker still accepts connections.
-	safeSilence = 100 * time.Millisecond
+	safeIdleTimeout = 100 * time.Millisecond
 )
 
 // servePlain serves a request whose answer is not a stream.
@@ -67,7 +67,7 @@
 func (x *exchange) tryPlain(ctx context.Context, worker *backend.Worker) (done bool, refusal *fault.Error) {
 	defer worker.Begin()()
 	repeatable := x.route.Repeatable()
-	limited, watcher := x.watch(ctx, worker, safeSilence, !repeatable)
+	limited, watcher := x.watch(ctx, worker, safeIdleTimeout, !repeatable)
 	if !repeatable {
 		watcher.timer.Stop()
 	}
--- a/internal/forward/presend.go
+++ b/internal/forward/presend.go
@@ -37,8 +37,8 @@
 
 // WarmupPermit permits sending one request to a cold worker, or refuses it.
 type WarmupPermit struct {
-	ExpiresAt  time.Time     // expiry of the permission; zero: refused
-	RetryAfter time.Duration // if refused: time until a permission may be available
+	ExpiresAt  time.Time     // expiry of the permit; zero: refused
+	RetryAfter time.Duration // if refused: time until a permit may be available
 }
 
 // valid reports whether the permit allows a send now.
--- a/internal/forward/presend_test.go
+++ b/internal/forward/presend_test.go
@@ -18,15 +18,15 @@
 
 // fakeLimiter issues permits by a function and records the requests.
 type fakeLimiter struct {
-	acquire func(WarmupRequest) WarmupPermit
-	asked   []WarmupRequest
+	acquire  func(WarmupRequest) WarmupPermit
+	requests []WarmupRequest
 }
 
 // Acquire implements WarmupLimiter.
-func (a *fakeLimiter) Acquire(_ context.Context, request WarmupRequest) WarmupPermit {
-	a.asked = append(a.asked, request)
+func (l *fakeLimiter) Acquire(_ context.Context, request WarmupRequest) WarmupPermit {
+	l.requests = append(l.requests, request)
 	time.Sleep(2 * time.Millisecond)
-	return a.acquire(request)
+	return l.acquire(request)
 }
 
 // permitsFor issues permits that are valid for a time; a negative time issues expired ones.
@@ -57,38 +57,38 @@
 }
 
 // Guards against refusing a cold worker although a permit was issued.
-func TestColdWorkerGetsRequestWithALoan(t *testing.T) {
+func TestColdWorkerGetsRequestWithAPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, limiter := coldFixture(t, permitsFor(100*time.Millisecond), "c")
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
-		require.Equal(t, []WarmupRequest{{Worker: "c", Zone: "z", Service: "s", FirstTurn: true}}, limiter.asked)
+		require.Equal(t, []WarmupRequest{{Worker: "c", Zone: "z", Service: "s", FirstTurn: true}}, limiter.requests)
 	})
 }
 
 // Guards against asking for permits for warm workers.
-func TestWarmWorkerNeedsNoLoan(t *testing.T) {
+func TestWarmWorkerNeedsNoPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, limiter := coldFixture(t, refusesPermits)
 		f.worker("warm", answers(http.StatusOK, "well"))
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
-		require.Empty(t, limiter.asked)
+		require.Empty(t, limiter.requests)
 	})
 }
 
 // Guards against spending the request's time on asking for permits for many cold workers.
-func TestRequestWithoutALoanGoesToAWarmWorker(t *testing.T) {
+func TestRequestWithoutAPermitGoesToAWarmWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, limiter := coldFixture(t, refusesPermits, strings.Split("abcdefgh", "")...)
 		f.worker("warm", answers(http.StatusOK, "well"))
 		f.workers.Workers("s")[len(f.workers.Workers("s"))-1].RecordRefusal(time.Now()) // so that cold workers are tried first
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 		require.Equal(t, "warm", f.sent()[0].worker)
-		require.Len(t, limiter.asked, maxColdAttempts, "it stops asking for permits")
+		require.Len(t, limiter.requests, maxColdAttempts, "it stops asking for permits")
 	})
 }
 
 // Guards against sending to a cold worker after its permit has expired.
-func TestExpiredLoanIsNotUsed(t *testing.T) {
+func TestExpiredPermitIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := coldFixture(t, permitsFor(-time.Millisecond), "c")
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
@@ -98,7 +98,7 @@
 
 // Guards against holding a request that can get no worker, and against losing the limiter's retry
 // delay.
-func TestColdWorkersWithoutLoansRefuseAtOnce(t *testing.T) {
+func TestColdWorkersWithoutPermitsRefuseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := coldFixture(t, refusesPermits, "a", "b")
 		got := f.serve(t.Context(), nil)
@@ -111,20 +111,20 @@
 }
 
 // Guards against resending a request to a cold worker without a second permit.
-func TestEachRetryNeedsALoan(t *testing.T) {
+func TestEachRetryNeedsAPermit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, limiter := coldFixture(t, permitsFor(100*time.Millisecond), "a", "b")
 		for name := range f.scripts {
 			f.scripts[name] = resets
 		}
 		f.serve(t.Context(), nil)
-		require.Len(t, limiter.asked, len(f.sent()))
+		require.Len(t, limiter.requests, len(f.sent()))
 		require.Greater(t, len(f.sent()), 1)
 	})
 }
 
 // Guards against sending to cold workers without any limit.
-func TestNodeWithoutAllowanceSendsNothingToColdWorkers(t *testing.T) {
+func TestNodeWithoutWarmupLimiterSendsNothingToColdWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := coldFixture(t, refusesPermits, "c")
 		f.forwarder.options.WarmupLimiter = nil
@@ -135,25 +135,27 @@
 
 // fakeProber reports the same warm-up time for all workers.
 type fakeProber struct {
-	left  time.Duration
-	err   error
-	takes time.Duration // response time
-	asked int
+	left     time.Duration
+	err      error
+	takes    time.Duration // response time
+	requests int
 }
 
 // WarmupLeft implements Prober.
 func (p *fakeProber) WarmupLeft(ctx context.Context, _ *backend.Worker, _ string) (time.Duration, error) {
-	p.asked++
+	p.requests++
 	if err := timing.Sleep(ctx, p.takes); err != nil {
 		return 0, err
 	}
 	return p.left, p.err
 }
 
-// lapsedFixture has a worker whose entry in the worker list is outdated, and no permits.
-func lapsedFixture(t *testing.T, prober *fakeProber) *fixture { return lapsedFixtureAt(t, "z", prober) }
+// outdatedFixture has a worker whose entry in the worker list is outdated, and no permits.
+func outdatedFixture(t *testing.T, prober *fakeProber) *fixture {
+	return outdatedFixtureAt(t, "z", prober)
+}
 
-func lapsedFixtureAt(t *testing.T, zone string, prober *fakeProber) *fixture {
+func outdatedFixtureAt(t *testing.T, zone string, prober *fakeProber) *fixture {
 	f, _ := coldFixture(t, refusesPermits)
 	f.workerAt("w", zone, answers(http.StatusOK, "well"))
 	f.forwarder.options.Prober = prober
@@ -169,18 +171,18 @@
 // request.
 func TestWorkerOfUnknownWarmthIsProbedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asked := &fakeProber{}
-		f := lapsedFixture(t, asked)
+		prober := &fakeProber{}
+		f := outdatedFixture(t, prober)
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
-		require.Equal(t, 1, asked.asked, "the first result is cached")
+		require.Equal(t, 1, prober.requests, "the first result is cached")
 	})
 }
 
 // Guards against a health timeout that is shorter than the round trips to another region.
 func TestHealthTimeoutAllowsForRoundTrips(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := lapsedFixtureAt(t, "x", &fakeProber{takes: 2*20*time.Millisecond + 10*time.Millisecond})
+		f := outdatedFixtureAt(t, "x", &fakeProber{takes: 2*20*time.Millisecond + 10*time.Millisecond})
 		require.Equal(t, http.StatusOK, f.serve(t.Context(), nil).status)
 	})
 }
@@ -188,7 +190,7 @@
 // Guards against sending to a worker that reported itself cold.
 func TestWorkerProbedColdGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := lapsedFixture(t, &fakeProber{left: time.Second})
+		f := outdatedFixture(t, &fakeProber{left: time.Second})
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
 	})
@@ -197,7 +199,7 @@
 // Guards against treating a failed health query as warm.
 func TestWorkerThatFailsTheProbeGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := lapsedFixture(t, &fakeProber{err: errReset})
+		f := outdatedFixture(t, &fakeProber{err: errReset})
 		require.NotNil(t, f.serve(t.Context(), nil).refusal)
 		require.Empty(t, f.sent())
 	})
--- a/internal/forward/program.go
+++ b/internal/forward/program.go
@@ -16,8 +16,8 @@
 type programState struct {
 	turn       scheduling.Turn
 	current    scheduling.Program
-	band       scheduling.PriorityRange
-	known      bool                   // turn, current and band are set
+	priorities scheduling.PriorityRange
+	known      bool                   // turn, current and priorities are set
 	sending    *admission.PendingTurn // the last send, until its first event; nil: none is tracked
 	sentAt     time.Time              // time of the last send
 	firstEvent time.Duration          // time from the last send to its first event; 0: no event yet
@@ -57,7 +57,7 @@
 	return time.Until(deadline)
 }
 
-// assessProgram determines the state of the turn's program and its priority band.
+// assessProgram determines the state of the turn's program and its range of worker priorities.
 func (x *exchange) assessProgram(configuration *route.Configuration, turnNumber int) {
 	turn := scheduling.Turn{
 		Route:        x.route.Name,
@@ -75,7 +75,7 @@
 	}
 	x.program.turn, x.program.known = turn, true
 	x.program.current = x.options.Estimator.Begin(turn, time.Now())
-	x.program.band = priorityBand(configuration, x.service, x.route.Priority)
+	x.program.priorities = priorityRange(configuration, x.service, x.route.Priority)
 }
 
 // reportTurn passes the turn's outcome to the estimator.
@@ -149,9 +149,9 @@
 	firstTurnPenalty = 1 // programs that are running come before new ones
 )
 
-// priorityBand returns the range of worker priorities for requests of one urgency to a service.
-// It ends before the band of the next less urgent route.
-func priorityBand(configuration *route.Configuration, service string, urgency int) scheduling.PriorityRange {
+// priorityRange returns the range of worker priorities for requests of one urgency to a service.
+// It ends before the range of the next less urgent route.
+func priorityRange(configuration *route.Configuration, service string, urgency int) scheduling.PriorityRange {
 	shared := scheduling.PriorityRange{First: min(urgency*priorityStep, lowestPriority), Last: lowestPriority}
 	if next, ok := configuration.NextLowerPriority(service, urgency); ok {
 		shared.Last = min(next*priorityStep, lowestPriority+1) - 1
@@ -163,7 +163,7 @@
 // priority returns the worker priority of the request; workers admit lower values first.
 func (x *exchange) priority() int {
 	if x.program.known {
-		return x.program.band.Priority(x.program.current)
+		return x.program.priorities.Priority(x.program.current)
 	}
 	priority := x.route.Priority * priorityStep
 	if x.home == "" {
--- a/internal/forward/program_test.go
+++ b/internal/forward/program_test.go
@@ -75,8 +75,8 @@
 	})
 }
 
-// Guards against overlapping priority bands.
-func TestPriorityBandEndsBeforeTheNextRoutes(t *testing.T) {
+// Guards against overlapping ranges of worker priorities.
+func TestPriorityRangeEndsBeforeTheNextRoutes(t *testing.T) {
 	routes := []route.Route{}
 	for index, priority := range []int{0, 1, 4} {
 		turn := turnRoute(func(r *route.Route) { r.Priority = priority })
@@ -84,19 +84,19 @@
 		routes = append(routes, turn)
 	}
 	configuration := route.New(1, routes, nil, route.Limits{})
-	require.Equal(t, scheduling.PriorityRange{First: 0, Last: 1}, priorityBand(configuration, "s", 0))
-	require.Equal(t, scheduling.PriorityRange{First: 2, Last: 7}, priorityBand(configuration, "s", 1))
-	require.Equal(t, scheduling.PriorityRange{First: 8, Last: 9}, priorityBand(configuration, "s", 4))
-	require.Equal(t, scheduling.PriorityRange{First: 9, Last: 9}, priorityBand(configuration, "s", 12))
-	require.Equal(t, scheduling.PriorityRange{First: 0, Last: 9}, priorityBand(configuration, "unknown", 0))
+	require.Equal(t, scheduling.PriorityRange{First: 0, Last: 1}, priorityRange(configuration, "s", 0))
+	require.Equal(t, scheduling.PriorityRange{First: 2, Last: 7}, priorityRange(configuration, "s", 1))
+	require.Equal(t, scheduling.PriorityRange{First: 8, Last: 9}, priorityRange(configuration, "s", 4))
+	require.Equal(t, scheduling.PriorityRange{First: 9, Last: 9}, priorityRange(configuration, "s", 12))
+	require.Equal(t, scheduling.PriorityRange{First: 0, Last: 9}, priorityRange(configuration, "unknown", 0))
 }
 
-// overload reports to the gate first turns with long waits for their first event.
-func overload(gate *admission.Controller, urgency int) {
+// overload reports to admission control first turns with long waits for their first event.
+func overload(controller *admission.Controller, urgency int) {
 	idle := admission.UnloadedTime{FirstEvent: 10 * time.Millisecond, Total: 100 * time.Millisecond}
 	program := scheduling.Program{Begins: true, Urgency: urgency}
 	for range 10 {
-		gate.FirstEvent(gate.Sent("s", program, idle, time.Now().Add(-5*time.Second)), time.Now())
+		controller.FirstEvent(controller.Sent("s", program, idle, time.Now().Add(-5*time.Second)), time.Now())
 	}
 }
 
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// streamSilence is how long a stream may be silent before the node checks whether its worker
-	// still accepts connections.
-	streamSilence = 200 * time.Millisecond
+	// streamIdleTimeout is how long a stream may go without data before the node checks whether its
+	// worker still accepts connections.
+	streamIdleTimeout = 200 * time.Millisecond
 	// resendDelay, times the number of sends so far, is the delay before the request is sent
 	// again after a failure.
 	resendDelay = 15 * time.Millisecond
@@ -80,7 +80,7 @@
 // sent again.
 func (x *exchange) tryStream(ctx context.Context, worker *backend.Worker, perEvent int) (done bool, refusal *fault.Error) {
 	defer worker.Begin()()
-	limited, watcher := x.watch(ctx, worker, streamSilence, false)
+	limited, watcher := x.watch(ctx, worker, streamIdleTimeout, false)
 	defer watcher.stop()
 	x.clock.enter(stepFirstEvent, time.Now())
 	defer x.reportNoFirstEvent()
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -32,9 +32,9 @@
 	checksInQueue     = 9
 )
 
-// maxSilenceFactor limits the silence timeout to a multiple of its minimum, for services whose
-// workers are usually silent for long.
-const maxSilenceFactor = 8
+// maxIdleFactor limits the idle timeout to a multiple of its minimum, for services whose
+// workers usually take long.
+const maxIdleFactor = 8
 
 // unreachableError reports a worker to which two test connections in a row failed.
 type unreachableError struct {
@@ -50,13 +50,13 @@
 // Unwrap makes the error match errUnreachable.
 func (u *unreachableError) Unwrap() error { return errUnreachable }
 
-// watchdog cancels an exchange with a worker that has become silent.
+// watchdog cancels an exchange with a worker that sends no more data.
 type watchdog struct {
-	logger     log.Interface // with the request and the worker as fields
-	worker     *backend.Worker
-	silences   *backend.LatencyEstimates // usual durations of silence of the worker's service
-	minSilence time.Duration             // least silence before a check
-	conn       *httpconn.Watch           // distinguishes a dead connection from a silent worker
+	logger         log.Interface // with the request and the worker as fields
+	worker         *backend.Worker
+	estimates      *backend.LatencyEstimates // usual times without data in the worker's service
+	minIdleTimeout time.Duration             // least time without data before a check
+	conn           *httpconn.Watch           // distinguishes a dead connection from a silent worker
 	// waitForDeadline: a worker that accepts connections is not given up before the deadline.
 	waitForDeadline bool
 	// repeatable: the request may be sent again on a new connection.
@@ -78,34 +78,34 @@
 }
 
 // watch starts checks of the worker once it has been silent for longer than usual, and at least
-// for minSilence. It returns a context that is canceled when they fail. The cause is
+// for minIdleTimeout. It returns a context that is canceled when they fail. The cause is
 // errUnreachable, errStalled or, if the request may be sent again, errDeadConnection.
-func (x *exchange) watch(ctx context.Context, worker *backend.Worker, minSilence time.Duration, waitForDeadline bool) (context.Context, *watchdog) {
+func (x *exchange) watch(ctx context.Context, worker *backend.Worker, minIdleTimeout time.Duration, waitForDeadline bool) (context.Context, *watchdog) {
 	ctx, conn := httpconn.WithWatch(ctx)
 	ctx, cancel := context.WithCancelCause(ctx)
 	now := time.Now()
 	w := &watchdog{
 		logger: x.options.Logger.WithFields(log.Fields{"request": x.request.ID, "worker": worker.Key()}),
-		conn:   conn, worker: worker, silences: x.options.Workers.Silences(x.service), minSilence: minSilence, waitForDeadline: waitForDeadline, repeatable: x.route.Repeatable(), movable: x.mayMove(worker.Key()),
+		conn:   conn, worker: worker, estimates: x.options.Workers.Silences(x.service), minIdleTimeout: minIdleTimeout, waitForDeadline: waitForDeadline, repeatable: x.route.Repeatable(), movable: x.mayMove(worker.Key()),
 		sentAt: now, lastReceived: now, priority: x.priority(), cancel: cancel,
 	}
-	w.timer = time.AfterFunc(w.silenceTimeout(), func() { w.check(ctx) })
+	w.timer = time.AfterFunc(w.idleTimeout(), func() { w.check(ctx) })
 	return ctx, w
 }
 
-// received records that the worker sent data, and restarts the silence timeout.
+// received records that the worker sent data, and restarts the idle timeout.
 func (w *watchdog) received() {
 	now := time.Now()
 	w.mutex.Lock()
-	w.usualSilence().Observe(now.Sub(w.lastReceived))
+	w.idleEstimate().Observe(now.Sub(w.lastReceived))
 	w.lastReceived, w.checks, w.firstFailure = now, 0, time.Time{}
 	w.mutex.Unlock()
 	w.answerStarted.Store(true)
-	w.timer.Reset(w.silenceTimeout())
+	w.timer.Reset(w.idleTimeout())
 	w.worker.RecordServed(w.sentAt, w.priority)
 }
 
-// delivered records that the client has accepted the data. The worker's silence counts from now.
+// delivered records that the client has accepted the data. The idle time counts from now.
 func (w *watchdog) delivered(now time.Time) {
 	w.mutex.Lock()
 	w.lastReceived = now
@@ -113,25 +113,25 @@
 	w.relaying.Store(false)
 }
 
-// silenceLeft returns how much longer the worker may be silent.
-func (w *watchdog) silenceLeft(now time.Time) time.Duration {
+// idleTimeLeft returns how much longer the worker may go without sending data.
+func (w *watchdog) idleTimeLeft(now time.Time) time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.silenceTimeout() - now.Sub(w.lastReceived)
+	return w.idleTimeout() - now.Sub(w.lastReceived)
 }
 
-// usualSilence is the usual silence in this part of the answer: before its first data or between
+// idleEstimate is the usual time without data in this part of the answer: before its first data or between
 // later data.
-func (w *watchdog) usualSilence() *timing.LatencyEstimate {
+func (w *watchdog) idleEstimate() *timing.LatencyEstimate {
 	if w.answerStarted.Load() {
-		return &w.silences.Next
+		return &w.estimates.Next
 	}
-	return &w.silences.First
+	return &w.estimates.First
 }
 
-// silenceTimeout is how long the worker may be silent before it is checked.
-func (w *watchdog) silenceTimeout() time.Duration {
-	return w.usualSilence().Timeout(w.minSilence, maxSilenceFactor*w.minSilence)
+// idleTimeout is how long the worker may go without sending data before it is checked.
+func (w *watchdog) idleTimeout() time.Duration {
+	return w.idleEstimate().Timeout(w.minIdleTimeout, maxIdleFactor*w.minIdleTimeout)
 }
 
 // isStalled reports whether to give up a worker that accepts connections.
@@ -155,11 +155,11 @@
 // if the worker has been silent for too long.
 func (w *watchdog) check(ctx context.Context) {
 	if w.relaying.Load() {
-		w.timer.Reset(w.silenceTimeout()) // a slow client blocks the exchange, not the worker
+		w.timer.Reset(w.idleTimeout()) // a slow client blocks the exchange, not the worker
 		return
 	}
 	begun := time.Now()
-	if left := w.silenceLeft(begun); left > 0 {
+	if left := w.idleTimeLeft(begun); left > 0 {
 		w.timer.Reset(left)
 		return
 	}
@@ -189,7 +189,7 @@
 	case w.isStalled(w.checks):
 		w.cancel(errStalled)
 	default:
-		w.timer.Reset(w.silenceTimeout())
+		w.timer.Reset(w.idleTimeout())
 	}
 }
 
@@ -211,7 +211,7 @@
 	if w.answerStarted.Load() && !w.movable {
 		w.worker.RecordUnreachable(time.Now())
 		w.firstFailure = time.Time{}
-		w.timer.Reset(w.silenceTimeout())
+		w.timer.Reset(w.idleTimeout())
 		return
 	}
 	w.cancel(&unreachableError{since: w.firstFailure, last: err})
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -14,7 +14,7 @@
 	Adapter id.Adapter
 	Tokens  int       // KV cache that the call may need, in tokens
 	Home    id.Worker // where the program's last call ran; empty if unknown
-	Zone    string    // of the program's leader
+	Zone    string    // zone of the node that sends the call
 	Exclude []id.Worker
 	// Key, if set, breaks ties: calls with the same key prefer the same worker on every
 	// node. Without it ties are broken at random.
--- a/internal/scheduling/estimator_test.go
+++ b/internal/scheduling/estimator_test.go
@@ -11,12 +11,12 @@
 // programRunner runs programs of equal turns with equal pauses through an Estimator. A caller's budget is
 // one and a half times the unloaded duration.
 type programRunner struct {
-	learner *Estimator
-	now     time.Time
+	estimator *Estimator
+	now       time.Time
 }
 
 func newProgramRunner() *programRunner {
-	return &programRunner{learner: NewEstimator(), now: time.Unix(1000, 0)}
+	return &programRunner{estimator: NewEstimator(), now: time.Unix(1000, 0)}
 }
 
 const (
@@ -34,9 +34,9 @@
 	var states []Program
 	for number := 1; number <= turns; number++ {
 		turn := newTurn(name, number, budgetFor(turns)-p.now.Sub(began))
-		states = append(states, p.learner.Begin(turn, p.now))
+		states = append(states, p.estimator.Begin(turn, p.now))
 		p.now = p.now.Add(testTurn + wait)
-		p.learner.End(turn, Outcome{Total: testTurn + wait, FirstEvent: testTurn/4 + wait, Tokens: 100}, p.now)
+		p.estimator.End(turn, Outcome{Total: testTurn + wait, FirstEvent: testTurn/4 + wait, Tokens: 100}, p.now)
 		p.now = p.now.Add(testPause)
 	}
 	return states
@@ -48,7 +48,7 @@
 
 // Without observations the need must be derived from the caller's budget.
 func TestNeedWithoutObservationsIsAShareOfTheBudget(t *testing.T) {
-	program := newProgramRunner().learner.Begin(newTurn("p", 1, time.Second), time.Unix(0, 0))
+	program := newProgramRunner().estimator.Begin(newTurn("p", 1, time.Second), time.Unix(0, 0))
 	require.True(t, program.Begins)
 	require.Equal(t, 600*time.Millisecond, program.Needs)
 	slack, known := program.Slack()
@@ -71,7 +71,7 @@
 		p.run(fmt.Sprint("busy", index), 4, wait)
 	}
 	whole := 4*testTurn + 3*testPause
-	program := p.learner.Begin(newTurn("new", 1, budgetFor(4)), p.now)
+	program := p.estimator.Begin(newTurn("new", 1, budgetFor(4)), p.now)
 	require.InDelta(t, whole.Seconds(), program.Needs.Seconds(), 0.2*whole.Seconds())
 	require.Equal(t, 4, program.Turns)
 }
@@ -98,7 +98,7 @@
 	for index := range 40 {
 		p.run(fmt.Sprint("calm", index), 4, 0)
 	}
-	program := p.learner.Begin(newTurn("moved", 3, time.Second), p.now)
+	program := p.estimator.Begin(newTurn("moved", 3, time.Second), p.now)
 	require.False(t, program.Begins)
 	require.Equal(t, 2, program.Turns)
 	require.InDelta(t, (2*testTurn + testPause).Seconds(), program.Needs.Seconds(), 0.03)
@@ -114,7 +114,7 @@
 		}
 		p.run(fmt.Sprint("p", index), turns, 0)
 	}
-	program := p.learner.Begin(newTurn("moved", 2, time.Second), p.now)
+	program := p.estimator.Begin(newTurn("moved", 2, time.Second), p.now)
 	require.Equal(t, 3, program.Turns)
 }
 
@@ -125,18 +125,18 @@
 		name := fmt.Sprint("p", index)
 		for number := 1; number <= 3; number++ {
 			turn := newTurn(name, number, budgetFor(3))
-			p.learner.Begin(turn, p.now)
-			p.learner.End(turn, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
+			p.estimator.Begin(turn, p.now)
+			p.estimator.End(turn, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
 			for agent := range 5 {
 				helper := newTurn(name, number+1, budgetFor(3))
 				helper.Line = fmt.Sprint("agent", agent)
-				p.learner.Begin(helper, p.now)
-				p.learner.End(helper, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
+				p.estimator.Begin(helper, p.now)
+				p.estimator.End(helper, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
 			}
 			p.now = p.now.Add(testTurn + testPause)
 		}
 	}
-	require.Equal(t, 3, p.learner.Begin(newTurn("new", 1, budgetFor(3)), p.now).Turns)
+	require.Equal(t, 3, p.estimator.Begin(newTurn("new", 1, budgetFor(3)), p.now).Turns)
 }
 
 // On a retry of a first turn, the time that passed must reduce the slack, also if earlier tries went to
@@ -146,13 +146,13 @@
 	for index := range 40 {
 		p.run(fmt.Sprint("calm", index), 4, 0)
 	}
-	before := p.learner.Begin(newTurn("again", 1, budgetFor(4)), p.now)
-	p.learner.End(newTurn("again", 1, budgetFor(4)), Outcome{Failed: true}, p.now)
-	after := p.learner.Begin(newTurn("again", 1, budgetFor(4)-time.Second), p.now.Add(time.Second))
+	before := p.estimator.Begin(newTurn("again", 1, budgetFor(4)), p.now)
+	p.estimator.End(newTurn("again", 1, budgetFor(4)), Outcome{Failed: true}, p.now)
+	after := p.estimator.Begin(newTurn("again", 1, budgetFor(4)-time.Second), p.now.Add(time.Second))
 	require.True(t, after.Begins)
 	require.InDelta(t, before.Needs.Seconds(), after.Needs.Seconds(), 0.01)
 	require.True(t, after.Late())
-	other := p.learner.Begin(newTurn("again elsewhere", 1, 100*time.Millisecond), p.now)
+	other := p.estimator.Begin(newTurn("again elsewhere", 1, 100*time.Millisecond), p.now)
 	require.True(t, other.Late(), "an unusually low budget counts as the rest of a larger one")
 }
 
@@ -178,12 +178,12 @@
 
 // Many programs and routes must not make an Estimator grow without limit.
 func TestEstimatorMemoryIsBounded(t *testing.T) {
-	l := NewEstimator()
+	estimator := NewEstimator()
 	for index := range 10 * maxPrograms {
 		turn := newTurn(fmt.Sprint("p", index), 1, time.Second)
 		turn.Route = fmt.Sprint("r", index)
-		l.Begin(turn, time.Unix(0, 0))
+		estimator.Begin(turn, time.Unix(0, 0))
 	}
-	require.Len(t, l.programs.entries, maxPrograms)
-	require.Len(t, l.routes.entries, maxRoutes)
+	require.Len(t, estimator.programs.entries, maxPrograms)
+	require.Len(t, estimator.routes.entries, maxRoutes)
 }
--- a/internal/scheduling/order.go
+++ b/internal/scheduling/order.go
@@ -90,9 +90,9 @@
 
 // Priority returns the worker priority within the range for a program's request. A range with fewer
 // priorities than classes maps several classes to the same priority.
-func (b PriorityRange) Priority(program Program) int {
+func (r PriorityRange) Priority(program Program) int {
 	class := Classify(program)
-	width := b.Last - b.First + 1
+	width := r.Last - r.First + 1
 	step := 0
 	switch {
 	case width >= classCount:
@@ -102,7 +102,7 @@
 	case class == ClassLate:
 		step = (width - 1) / 2
 	}
-	return b.First + max(0, step)
+	return r.First + max(0, step)
 }
 
 // classCount is the number of classes.
--- a/internal/scheduling/order_test.go
+++ b/internal/scheduling/order_test.go
@@ -86,27 +86,27 @@
 	})
 }
 
-// Priorities must lie within their band and never reverse the order of classes.
-func TestPriorityStaysInBand(t *testing.T) {
+// Priorities must lie within their range and never reverse the order of classes.
+func TestPriorityStaysInRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first := rapid.IntRange(0, 9).Draw(t, "first")
-		band := PriorityRange{First: first, Last: rapid.IntRange(first, 9).Draw(t, "last")}
+		priorities := PriorityRange{First: first, Last: rapid.IntRange(first, 9).Draw(t, "last")}
 		a, b := drawProgram(t, "a"), drawProgram(t, "b")
 		b.Urgency = a.Urgency
 		for _, program := range []Program{a, b} {
-			require.GreaterOrEqual(t, band.Priority(program), band.First)
-			require.LessOrEqual(t, band.Priority(program), band.Last)
+			require.GreaterOrEqual(t, priorities.Priority(program), priorities.First)
+			require.LessOrEqual(t, priorities.Priority(program), priorities.Last)
 		}
 		if Classify(a) <= Classify(b) {
-			require.LessOrEqual(t, band.Priority(a), band.Priority(b), "priorities reverse the order of classes")
+			require.LessOrEqual(t, priorities.Priority(a), priorities.Priority(b), "priorities reverse the order of classes")
 		}
 	})
 }
 
-// Even a band of two priorities must separate new programs from those in progress.
-func TestNarrowBandSeparatesNewPrograms(t *testing.T) {
-	band := PriorityRange{First: 0, Last: 1}
-	require.Equal(t, 0, band.Priority(newProgram(nil)))
-	require.Equal(t, 1, band.Priority(newProgram(notStarted)))
-	require.Equal(t, 0, band.Priority(newProgram(late)))
+// Even a range of two priorities must separate new programs from those in progress.
+func TestNarrowRangeSeparatesNewPrograms(t *testing.T) {
+	priorities := PriorityRange{First: 0, Last: 1}
+	require.Equal(t, 0, priorities.Priority(newProgram(nil)))
+	require.Equal(t, 1, priorities.Priority(newProgram(notStarted)))
+	require.Equal(t, 0, priorities.Priority(newProgram(late)))
 }
