--- a/internal/forward/deadconnection_test.go
+++ b/internal/forward/deadconnection_test.go
@@ -107,7 +107,7 @@
 }
 
 // Guards against keeping an unsafe request until its deadline when its connection has failed.
-func TestSilentConnectionFailsAnUnsafeRequest(t *testing.T) {
+func TestDeadConnectionFailsAnUnsafeRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, plainRoute(route.Unsafe, 3))
 		const bound = 700 * time.Millisecond
