--- a/internal/backend/latency.go
+++ b/internal/backend/latency.go
@@ -8,14 +8,14 @@
 	Next  timing.LatencyEstimate // between two chunks
 }
 
-// LatencyEstimates returns the estimates for a service, creating them on first use.
+// Silences returns the estimates for a service, creating them on first use.
 func (r *Registry) Silences(service string) *LatencyEstimates {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, ok := r.silences[service]
+	known, ok := r.latencies[service]
 	if !ok {
 		known = new(LatencyEstimates)
-		r.silences[service] = known
+		r.latencies[service] = known
 	}
 	return known
 }
--- a/internal/forward/history_test.go
+++ b/internal/forward/history_test.go
@@ -17,12 +17,12 @@
 
 // peerHistory is another node's history cache.
 type peerHistory struct {
-	keeper *history.TurnStore
-	mutex  sync.Mutex
-	asked  []budget.Holder
+	store *history.TurnStore
+	mutex sync.Mutex
+	asked []budget.Holder
 }
 
-func (r *peerHistory) note(holder budget.Holder) {
+func (r *peerHistory) record(holder budget.Holder) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.asked = append(r.asked, holder)
@@ -30,8 +30,8 @@
 
 // History implements HistoryPeers.
 func (r *peerHistory) History(_ context.Context, holder budget.Holder, turn string) ([]*history.Turn, error) {
-	r.note(holder)
-	return r.keeper.CachedChain(turn), nil
+	r.record(holder)
+	return r.store.CachedChain(turn), nil
 }
 
 // Guards against a turn failing while the store cannot read its history, although the node that
@@ -52,25 +52,25 @@
 		other := newFixture(t, turnRoute(retained))
 		other.worker("w", streams(2, 0))
 		other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
-		neighbour := &peerHistory{keeper: f.forwarder.options.History}
-		other.forwarder.options.HistoryPeers = neighbour
+		peer := &peerHistory{store: f.forwarder.options.History}
+		other.forwarder.options.HistoryPeers = peer
 		other.table.SetFault(func(string, bool) storetest.Fault { return storetest.RequestLost }) // reads and writes of turns
 		other.forwarder.options.History = newHistory(other.table)
 		other.serve(t.Context(), program("t3", "t2"))
 		require.Equal(t, "t1;t1\nt2\nt2;t1\nt2\nt3;", other.sent()[0].body)
-		require.Equal(t, "n", neighbour.asked[0].Process)
+		require.Equal(t, "n", peer.asked[0].Process)
 		time.Sleep(time.Minute)
 	})
 }
 
 // fakeTurnDirectory is a TurnDirectory in memory.
 type fakeTurnDirectory struct {
-	holders map[string]budget.Holder
-	noted   []string
+	holders  map[string]budget.Holder
+	recorded []string
 }
 
 // RecordRun implements TurnDirectory.
-func (r *fakeTurnDirectory) RecordRun(_, turn string) { r.noted = append(r.noted, turn) }
+func (r *fakeTurnDirectory) RecordRun(_, turn string) { r.recorded = append(r.recorded, turn) }
 
 // Lookup implements TurnDirectory.
 func (r *fakeTurnDirectory) Lookup(_ context.Context, _, turn string) (budget.Holder, bool) {
@@ -109,9 +109,9 @@
 			other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{
 				Store: f.table, Self: budget.Holder{Process: "m"}, Locator: spreadLocator{count: holders},
 			})
-			neighbour := &peerHistory{keeper: f.forwarder.options.History}
+			peer := &peerHistory{store: f.forwarder.options.History}
 			turns := &fakeTurnDirectory{holders: map[string]budget.Holder{"t1": {Process: "ran"}}}
-			other.forwarder.options.HistoryPeers, other.forwarder.options.TurnDirectory = neighbour, turns
+			other.forwarder.options.HistoryPeers, other.forwarder.options.TurnDirectory = peer, turns
 			other.forwarder.options.History = newHistory(other.table)
 			got := other.serve(t.Context(), func(r *Request) {
 				r.ID, r.PreviousTurn, r.Program, r.TokenBudget, r.MaxOutputTokens = "t2", "t1", "p", 10_000, 60
@@ -121,12 +121,12 @@
 			_, reads := other.table.Calls()
 			require.Zero(t, reads)
 			if holders < maxHistoryPeers {
-				require.NotContains(t, neighbour.asked, budget.Holder{Process: "ran"}, "all nodes that ran turns are asked")
-				require.Empty(t, turns.noted)
+				require.NotContains(t, peer.asked, budget.Holder{Process: "ran"}, "all nodes that ran turns are asked")
+				require.Empty(t, turns.recorded)
 				return
 			}
-			require.Equal(t, []budget.Holder{{Process: "ran"}}, neighbour.asked)
-			require.Equal(t, []string{"t2"}, turns.noted)
+			require.Equal(t, []budget.Holder{{Process: "ran"}}, peer.asked)
+			require.Equal(t, []string{"t2"}, turns.recorded)
 		})
 	}
 }
@@ -148,7 +148,7 @@
 			other := newFixture(t, turnRoute(retained))
 			other.worker("w", streams(2, 0))
 			other.forwarder.options.Budgets = budget.NewAccounts(budget.Options{Store: f.table, Self: budget.Holder{Process: "m"}})
-			other.forwarder.options.HistoryPeers = &wrongHistory{peerHistory: peerHistory{keeper: memory}}
+			other.forwarder.options.HistoryPeers = &wrongHistory{peerHistory: peerHistory{store: memory}}
 			other.forwarder.options.History = newHistory(f.table)
 			other.serve(t.Context(), claim("t2", "t1"))
 			require.Equal(t, "t1;t1\nt2\nt2;", other.sent()[0].body)
@@ -175,7 +175,7 @@
 
 		other := newFixture(t, turnRoute(retained))
 		other.worker("w", streams(2, 0))
-		other.forwarder.options.HistoryPeers = &peerHistory{keeper: newHistory(f.table)}
+		other.forwarder.options.HistoryPeers = &peerHistory{store: newHistory(f.table)}
 		other.forwarder.options.History = newHistory(table)
 		got := other.serve(t.Context(), claim("t3", "t2"))
 		require.NotNil(t, got.refusal, "not a worker's answer, nor a broken connection")
