--- a/internal/tablesync/churn.go
+++ b/internal/tablesync/churn.go
@@ -32,9 +32,9 @@
 	minRateWindow = 50 * time.Millisecond
 	// wholeRereadInterval is the interval between rereads of a table that is kept whole and grows fast.
 	wholeRereadInterval = time.Second
-	// firstGatherDivisor divides Options.BatchDelay for the first changes after a quiet time. The shorter wait
+	// firstBatchDivisor divides Options.BatchDelay for the first changes after a quiet time. The shorter wait
 	// shows sooner whether many changes follow.
-	firstGatherDivisor = 8
+	firstBatchDivisor = 8
 )
 
 // rereadInterval returns the interval between rereads during churn.
--- a/internal/tablesync/follow.go
+++ b/internal/tablesync/follow.go
@@ -52,7 +52,7 @@
 	// OnResponse is called after each successful read, with or without changes; may be nil.
 	OnResponse func()
 	// Part makes the follower keep only a part of a long table; nil keeps all rows. With a part,
-	// Change may also be called from Ask and AskAt; calls never overlap.
+	// Change may also be called from Fetch and FetchAt; calls never overlap.
 	Part   *Part
 	Logger log.Interface
 }
@@ -85,7 +85,7 @@
 	version        store.Version   // newest version applied
 	loaded         bool            // the rows have been read, and need not be read anew
 	span           span            // the part of the table that is kept
-	requested      map[string]bool // rows outside the part that are kept because they were asked for
+	requested      map[string]bool // rows outside the part that are kept because they were requested
 	requestedOrder []string        // the same rows, oldest request first
 }
 
@@ -99,7 +99,7 @@
 		err := f.step(ctx)
 		f.recordResult(ctx, err)
 		if err == nil {
-			f.notifyHeard()
+			f.notifyResponse()
 			pauses.Reset()
 			continue
 		}
@@ -111,7 +111,7 @@
 	}
 }
 
-func (f *Follower) notifyHeard() {
+func (f *Follower) notifyResponse() {
 	if f.options.OnResponse != nil {
 		f.options.OnResponse()
 	}
@@ -151,11 +151,11 @@
 	quiet := time.Since(f.lastFeed) > 2*f.options.BatchDelay
 	f.assessChanges(rows)
 	if rows > 0 && f.options.BatchDelay > 0 && !f.churning {
-		gather := f.options.BatchDelay
+		delay := f.options.BatchDelay
 		if quiet && f.options.Part != nil {
-			gather /= firstGatherDivisor
+			delay /= firstBatchDivisor
 		}
-		_ = timing.Sleep(ctx, gather+rand.N(gather/4+1))
+		_ = timing.Sleep(ctx, delay+rand.N(delay/4+1))
 	}
 	return nil
 }
@@ -177,8 +177,8 @@
 	return max(minPollDuration, f.options.MaxStaleness-responseTimeout-reconnectTimeout)
 }
 
-// errStale reports a response that is older than the known state.
-var errStale = errors.New("the table returned a state older than the known one; read it again")
+// errStale reports a response that is older than the cached state.
+var errStale = errors.New("the table returned a state older than the cached one; read it again")
 
 // readWhole reads all pages that follow page, which may be empty, and applies each as it arrives.
 // Changes made after the first page was read are delivered by the feed next.
@@ -254,7 +254,7 @@
 	case err != nil && f.lostSince.IsZero():
 		f.lostSince = time.Now()
 		f.notifyLost(true)
-		entry.WithError(err).Warn("table stopped responding; continuing with the known rows")
+		entry.WithError(err).Warn("table stopped responding; continuing with the cached rows")
 	case err == nil && !f.lostSince.IsZero():
 		entry.WithField("after_ms", time.Since(f.lostSince).Milliseconds()).Info("table responds again")
 		f.lostSince = time.Time{}
--- a/internal/tablesync/part.go
+++ b/internal/tablesync/part.go
@@ -10,7 +10,7 @@
 )
 
 // Part makes a follower keep only a part of a long table: a range of rows that starts at a position
-// derived from Text, plus the rows requested with Ask and AskAt. Short tables are kept whole. This
+// derived from Text, plus the rows requested with Fetch and FetchAt. Short tables are kept whole. This
 // bounds what nodes read at startup, which would otherwise be nodes times rows.
 type Part struct {
 	// Key selects the position. Processes with different texts keep evenly spread parts.
@@ -37,7 +37,7 @@
 	maxDrawAttempts = 16
 	// maxRequestedRows limits the requested rows kept outside the part.
 	maxRequestedRows = 2048
-	// maxAskAttempts limits the attempts of Ask when the response is older than the known state.
+	// maxAskAttempts limits the attempts of Fetch when the response is older than the cached state.
 	maxAskAttempts = 3
 )
 
@@ -235,7 +235,7 @@
 	return nil, errStale
 }
 
-// FetchAt calls Ask with a position derived from text. All processes get the same position for the same
+// FetchAt calls Fetch with a position derived from text. All processes get the same position for the same
 // text. It returns ErrNoNamePattern if the table has not been read in part yet, or if no position with
 // rows was found.
 func (f *Follower) FetchAt(ctx context.Context, text string, limit int) ([]store.Row, error) {
--- a/internal/tablesync/part_test.go
+++ b/internal/tablesync/part_test.go
@@ -268,7 +268,7 @@
 	})
 }
 
-// Processes that ask with the same text must get the same rows, and must keep them up to date.
+// Processes that call FetchAt with the same text must get the same rows, and must keep them up to date.
 func TestAskAtReturnsTheSameRowsEverywhere(t *testing.T) {
 	runPart(t, 3000, func(ctx context.Context, table *countingStore) {
 		var names []string
