--- a/internal/evacuation/board.go
+++ b/internal/evacuation/tracker.go
@@ -30,7 +30,7 @@
 }
 
 // Snapshot is the state that a node has cached. It is complete up to Revision: a zone without a
-// ZoneState was not evacuated then. Words newer than Revision are later changes. The zero value is
+// ZoneState was not evacuated then. Words newer than Revision are states after later changes. The zero value is
 // empty.
 type Snapshot struct {
 	Revision store.Version
@@ -46,8 +46,8 @@
 // state is immutable once it is published.
 type state struct {
 	known    bool          // a full read of the rows was applied
-	revision store.Version // of the last full read, which covers all words up to it
-	words    map[string]ZoneState
+	revision store.Version // of the last full read, which covers all states up to it
+	zones    map[string]ZoneState
 }
 
 // Tracker holds the latest state of each zone. It is safe for concurrent use. The zero value
@@ -58,111 +58,111 @@
 	changed func(Change)
 }
 
-// New returns a board that calls changed, if it is not nil, for each zone whose evacuation
-// starts or ends. The calls are serialized, and made before the board shows the change. changed
-// must not call Hear, Whole or Learn.
+// New returns a tracker that calls changed, if it is not nil, for each zone whose evacuation
+// starts or ends. The calls are serialized, and made before Evacuated returns the new state. changed
+// must not call Apply, ApplyFullRead or Merge.
 func New(changed func(Change)) *Tracker { return &Tracker{changed: changed} }
 
-func (b *Tracker) load() *state {
-	if current := b.current.Load(); current != nil {
+func (t *Tracker) load() *state {
+	if current := t.current.Load(); current != nil {
 		return current
 	}
 	return &state{}
 }
 
-// Known reports whether the board has applied a full read of the rows, its own or that of
+// Known reports whether the tracker has applied a full read of the rows, its own or that of
 // another node's snapshot. The read may have been empty.
-func (b *Tracker) Known() bool { return b.load().known }
+func (t *Tracker) Known() bool { return t.load().known }
 
 // Evacuated reports whether a zone's workers must get no new requests.
-func (b *Tracker) Evacuated(zone string) bool { return b.load().words[zone].Evacuated }
+func (t *Tracker) Evacuated(zone string) bool { return t.load().zones[zone].Evacuated }
 
 // Apply applies the state of one zone. It is ignored unless it is newer than the cached one and
 // the last full read, so that a stale row cannot restart an evacuation that was ended.
-func (b *Tracker) Apply(word ZoneState, source Source) {
-	b.update(source, func(next *state) { next.apply(word) })
+func (t *Tracker) Apply(zoneState ZoneState, source Source) {
+	t.update(source, func(next *state) { next.apply(zoneState) })
 }
 
 // ApplyFullRead applies a full read of the rows at a revision. It ends the evacuation of each zone
 // without a row, unless a newer state of the zone is cached. A read older than the last one
 // changes no zone.
-func (b *Tracker) ApplyFullRead(revision store.Version, rows []ZoneState) {
-	b.update(FromStore, func(next *state) {
+func (t *Tracker) ApplyFullRead(revision store.Version, rows []ZoneState) {
+	t.update(FromStore, func(next *state) {
 		next.known = true
 		next.merge(Snapshot{Revision: revision, Words: rows})
 	})
 }
 
 // Merge merges the snapshot of another node.
-func (b *Tracker) Merge(snapshot Snapshot) {
-	b.update(FromNode, func(next *state) { next.merge(snapshot) })
+func (t *Tracker) Merge(snapshot Snapshot) {
+	t.update(FromNode, func(next *state) { next.merge(snapshot) })
 }
 
-// Snapshot returns the state of the board, to be sent to other nodes.
-func (b *Tracker) Snapshot() Snapshot {
-	current := b.load()
-	words := slices.SortedFunc(maps.Values(current.words), func(one, other ZoneState) int {
+// Snapshot returns the state of the tracker, to be sent to other nodes.
+func (t *Tracker) Snapshot() Snapshot {
+	current := t.load()
+	zones := slices.SortedFunc(maps.Values(current.zones), func(one, other ZoneState) int {
 		return cmp.Compare(one.Zone, other.Zone)
 	})
-	return Snapshot{Revision: current.revision, Words: words}
+	return Snapshot{Revision: current.revision, Words: zones}
 }
 
-func (b *Tracker) update(source Source, change func(*state)) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	before := b.load()
-	next := &state{known: before.known, revision: before.revision, words: maps.Clone(before.words)}
-	if next.words == nil {
-		next.words = map[string]ZoneState{}
+func (t *Tracker) update(source Source, change func(*state)) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	before := t.load()
+	next := &state{known: before.known, revision: before.revision, zones: maps.Clone(before.zones)}
+	if next.zones == nil {
+		next.zones = map[string]ZoneState{}
 	}
 	change(next)
-	b.notify(before, next, source) // before publishing: a zone reopens only after its workers are marked cold
-	b.current.Store(next)
+	t.notify(before, next, source) // before publishing: a zone reopens only after its workers are marked cold
+	t.current.Store(next)
 }
 
 // notify calls changed for each zone whose evacuation differs.
-func (b *Tracker) notify(before, next *state, source Source) {
-	if b.changed == nil {
+func (t *Tracker) notify(before, next *state, source Source) {
+	if t.changed == nil {
 		return
 	}
-	for zone, word := range next.words {
-		if word.Evacuated != before.words[zone].Evacuated {
-			b.changed(Change{ZoneState: word, Source: source})
+	for zone, zoneState := range next.zones {
+		if zoneState.Evacuated != before.zones[zone].Evacuated {
+			t.changed(Change{ZoneState: zoneState, Source: source})
 		}
 	}
-	for zone, word := range before.words {
-		if _, exists := next.words[zone]; !exists && word.Evacuated {
-			b.changed(Change{ZoneState: ZoneState{Zone: zone, Revision: next.revision}, Source: source})
+	for zone, zoneState := range before.zones {
+		if _, exists := next.zones[zone]; !exists && zoneState.Evacuated {
+			t.changed(Change{ZoneState: ZoneState{Zone: zone, Revision: next.revision}, Source: source})
 		}
 	}
 }
 
 // apply stores the state of a zone if it is newer than the cached one and the last full read.
-func (s *state) apply(word ZoneState) {
-	if word.Revision > s.revision && word.Revision > s.words[word.Zone].Revision {
-		s.words[word.Zone] = word
+func (s *state) apply(zoneState ZoneState) {
+	if zoneState.Revision > s.revision && zoneState.Revision > s.zones[zoneState.Zone].Revision {
+		s.zones[zoneState.Zone] = zoneState
 	}
 }
 
 // merge applies a snapshot. One that is newer than the last full read replaces all states up to
 // its revision, so evacuations that ended earlier need no entry. Of an older one, only newer
-// words are applied.
+// states are applied.
 func (s *state) merge(snapshot Snapshot) {
 	if snapshot.Revision <= s.revision {
-		for _, word := range snapshot.Words {
-			s.apply(word)
+		for _, zoneState := range snapshot.Words {
+			s.apply(zoneState)
 		}
 		return
 	}
-	known := s.words
+	cached := s.zones
 	s.known = true
-	s.revision, s.words = snapshot.Revision, make(map[string]ZoneState, len(snapshot.Words))
-	for _, word := range snapshot.Words {
-		if word.Evacuated || word.Revision > s.revision {
-			s.words[word.Zone] = word
+	s.revision, s.zones = snapshot.Revision, make(map[string]ZoneState, len(snapshot.Words))
+	for _, zoneState := range snapshot.Words {
+		if zoneState.Evacuated || zoneState.Revision > s.revision {
+			s.zones[zoneState.Zone] = zoneState
 		}
 	}
-	for _, word := range known {
-		s.apply(word)
+	for _, zoneState := range cached {
+		s.apply(zoneState)
 	}
 }
