--- a/internal/staleness/freshness.go
+++ b/internal/staleness/freshness.go
@@ -39,7 +39,7 @@
 // the request reaches its worker, including up to 150 ms for a new connection.
 const dispatchMargin = 250 * time.Millisecond
 
-// New returns a keeper without a proof. revokeWithin bounds how long a removed key is still
+// New returns a tracker without a proof. revokeWithin bounds how long a removed key is still
 // accepted; 0 sets no bound.
 func New(revokeWithin time.Duration) *Tracker {
 	return &Tracker{maxAge: max(0, revokeWithin-dispatchMargin)}
@@ -47,52 +47,52 @@
 
 // MaxAge returns the maximum age of a proof with which keys are accepted. 0 means that no proof is
 // needed.
-func (k *Tracker) MaxAge() time.Duration { return k.maxAge }
+func (t *Tracker) MaxAge() time.Duration { return t.maxAge }
 
 // SetActive records that a revision has become active. Older revisions are ignored.
-func (k *Tracker) SetActive(revision store.Version) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.revision = max(k.revision, revision)
-	if k.pending.revision != 0 && k.pending.revision <= k.revision {
-		k.advance(k.pending.moment)
-		k.pending = pendingProof{}
+func (t *Tracker) SetActive(revision store.Version) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.revision = max(t.revision, revision)
+	if t.pending.revision != 0 && t.pending.revision <= t.revision {
+		t.advance(t.pending.moment)
+		t.pending = pendingProof{}
 	}
 }
 
 // AddProof records that a revision was the newest at the given time of this process's clock. A proof
 // of a revision newer than the active one takes effect once that revision is active.
-func (k *Tracker) AddProof(revision store.Version, moment time.Time) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if revision <= k.revision {
-		k.advance(moment)
+func (t *Tracker) AddProof(revision store.Version, moment time.Time) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if revision <= t.revision {
+		t.advance(moment)
 		return
 	}
-	if revision >= k.pending.revision {
-		k.pending = pendingProof{revision: revision, moment: moment}
+	if revision >= t.pending.revision {
+		t.pending = pendingProof{revision: revision, moment: moment}
 	}
 }
 
 // advance replaces the proof by a more recent one. The caller holds the mutex.
-func (k *Tracker) advance(moment time.Time) {
-	if moment.After(k.provenAt) {
-		k.provenAt = moment
+func (t *Tracker) advance(moment time.Time) {
+	if moment.After(t.provenAt) {
+		t.provenAt = moment
 	}
 }
 
 // Age implements forward.ConfigFreshness.
-func (k *Tracker) Age() (age time.Duration, fresh bool) {
-	proof := k.Proof()
-	return proof.Age, k.maxAge == 0 || proof.Revision != 0 && proof.Age < k.maxAge
+func (t *Tracker) Age() (age time.Duration, fresh bool) {
+	proof := t.Proof()
+	return proof.Age, t.maxAge == 0 || proof.Revision != 0 && proof.Age < t.maxAge
 }
 
 // Proof returns the current proof. Its Revision is 0 if there is none.
-func (k *Tracker) Proof() Proof {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.provenAt.IsZero() {
+func (t *Tracker) Proof() Proof {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.provenAt.IsZero() {
 		return Proof{}
 	}
-	return Proof{Revision: k.revision, Age: time.Since(k.provenAt)}
+	return Proof{Revision: t.revision, Age: time.Since(t.provenAt)}
 }
--- a/internal/staleness/freshness_test.go
+++ b/internal/staleness/freshness_test.go
@@ -12,11 +12,11 @@
 
 // TestNotFreshWithoutProof guards against accepting keys before the first proof.
 func TestNotFreshWithoutProof(t *testing.T) {
-	keeper := New(revokeWithin)
-	keeper.SetActive(7)
-	_, fresh := keeper.Age()
+	tracker := New(revokeWithin)
+	tracker.SetActive(7)
+	_, fresh := tracker.Age()
 	require.False(t, fresh)
-	require.Zero(t, keeper.Proof().Revision)
+	require.Zero(t, tracker.Proof().Revision)
 	_, fresh = New(0).Age()
 	require.True(t, fresh, "without a bound no proof is needed")
 }
@@ -25,16 +25,16 @@
 // and against using up the bound before the request reaches its worker.
 func TestProofAgesFromRequestAndExpiresBeforeBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		keeper := New(revokeWithin)
-		keeper.SetActive(7)
+		tracker := New(revokeWithin)
+		tracker.SetActive(7)
 		sent := time.Now()
 		time.Sleep(3 * time.Second) // a slow reply or a paused process
-		keeper.AddProof(7, sent)
-		age, fresh := keeper.Age()
+		tracker.AddProof(7, sent)
+		age, fresh := tracker.Age()
 		require.Equal(t, 3*time.Second, age)
 		require.True(t, fresh)
 		time.Sleep(revokeWithin - 3*time.Second - dispatchMargin)
-		_, fresh = keeper.Age()
+		_, fresh = tracker.Age()
 		require.False(t, fresh, "the margin is for the request to reach its worker")
 	})
 }
@@ -42,13 +42,13 @@
 // TestOlderProofIsIgnored guards against replies out of order that make the proof older.
 func TestOlderProofIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		keeper := New(revokeWithin)
-		keeper.SetActive(7)
+		tracker := New(revokeWithin)
+		tracker.SetActive(7)
 		early := time.Now()
 		time.Sleep(time.Second)
-		keeper.AddProof(7, time.Now())
-		keeper.AddProof(7, early)
-		age, _ := keeper.Age()
+		tracker.AddProof(7, time.Now())
+		tracker.AddProof(7, early)
+		age, _ := tracker.Age()
 		require.Zero(t, age)
 	})
 }
@@ -56,18 +56,18 @@
 // TestProofOfNewerRevisionIsDeferred guards against a proof of a revision that is not active here yet.
 func TestProofOfNewerRevisionIsDeferred(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		keeper := New(revokeWithin)
-		keeper.SetActive(7)
-		keeper.AddProof(7, time.Now())
+		tracker := New(revokeWithin)
+		tracker.SetActive(7)
+		tracker.AddProof(7, time.Now())
 		time.Sleep(2 * time.Second)
-		keeper.AddProof(9, time.Now())
-		age, _ := keeper.Age()
+		tracker.AddProof(9, time.Now())
+		age, _ := tracker.Age()
 		require.Equal(t, 2*time.Second, age, "revision 9 is not active here yet")
-		keeper.SetActive(8)
-		age, _ = keeper.Age()
+		tracker.SetActive(8)
+		age, _ = tracker.Age()
 		require.Equal(t, 2*time.Second, age)
-		keeper.SetActive(9)
-		age, _ = keeper.Age()
+		tracker.SetActive(9)
+		age, _ = tracker.Age()
 		require.Zero(t, age)
 	})
 }
@@ -76,10 +76,10 @@
 // was replaced meanwhile.
 func TestProofOfOlderRevisionAppliesToCurrent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		keeper := New(revokeWithin)
-		keeper.SetActive(9)
-		keeper.AddProof(7, time.Now())
-		require.EqualValues(t, 9, keeper.Proof().Revision, "all changes acknowledged before the proof are active here")
+		tracker := New(revokeWithin)
+		tracker.SetActive(9)
+		tracker.AddProof(7, time.Now())
+		require.EqualValues(t, 9, tracker.Proof().Revision, "all changes acknowledged before the proof are active here")
 	})
 }
 
@@ -96,11 +96,11 @@
 			time.Sleep(100 * time.Millisecond)
 			next := New(revokeWithin)
 			next.SetActive(7)
-			asked := time.Now()
+			sent := time.Now()
 			time.Sleep(50 * time.Millisecond) // request in transit
 			proof := before.Proof()
 			time.Sleep(50 * time.Millisecond) // reply in transit
-			next.AddProof(proof.Revision, asked.Add(-proof.Age))
+			next.AddProof(proof.Revision, sent.Add(-proof.Age))
 			age, _ := next.Age()
 			require.GreaterOrEqual(t, age, time.Since(start))
 			before = next
