--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -59,18 +59,18 @@
 	return last != 0 && !time.Unix(0, last).Before(since)
 }
 
-// Bounds of the patience, the time to wait for a response before another attempt, and its
+// Bounds of the hedge delay, the time to wait for a response before another attempt, and its
 // ratio to the usual latency. The factor keeps calls that are only a little slow from being
 // repeated.
 const (
-	minPatience    = 25 * time.Millisecond
-	maxPatience    = 450 * time.Millisecond
-	patienceFactor = 2
+	minHedgeDelay    = 25 * time.Millisecond
+	maxHedgeDelay    = 450 * time.Millisecond
+	hedgeDelayFactor = 2
 )
 
-// Patience implements LatencyTracker. It follows the observed latency of the table.
+// Patience implements LatencyTracker. The hedge delay follows the observed latency of the table.
 func (g *Gate) Patience() time.Duration {
-	return min(max(patienceFactor*g.latency.Timeout(0, maxPatience), minPatience), maxPatience)
+	return min(max(hedgeDelayFactor*g.latency.Timeout(0, maxHedgeDelay), minHedgeDelay), maxHedgeDelay)
 }
 
 // partPause is the pause during which calls to a failed part are rejected.
--- a/internal/store/hedge.go
+++ b/internal/store/hedge.go
@@ -13,24 +13,24 @@
 	Patience() time.Duration
 }
 
-// defaultPatience applies to stores that are not LatencyTracker.
-const defaultPatience = 60 * time.Millisecond
+// defaultHedgeDelay applies to stores that do not implement LatencyTracker.
+const defaultHedgeDelay = 60 * time.Millisecond
 
 // hedgeDelays are the delays before the additional attempts of a hedged commit, each counted
-// from the attempt before, as multiples of the store's patience.
+// from the attempt before, as multiples of the store's hedge delay (LatencyTracker.Patience).
 var hedgeDelays = []time.Duration{1, 4, 8}
 
 // PatienceAtLeast returns how long to wait for a response from table before another attempt. The
 // result is never less than least.
 func PatienceAtLeast(table Store, least time.Duration) time.Duration {
-	return max(least, patienceOf(table))
+	return max(least, hedgeDelayOf(table))
 }
 
-func patienceOf(table Store) time.Duration {
+func hedgeDelayOf(table Store) time.Duration {
 	if paced, ok := table.(LatencyTracker); ok {
 		return paced.Patience()
 	}
-	return defaultPatience
+	return defaultHedgeDelay
 }
 
 // Bounds of the pause after a failed attempt when no other attempt is in flight.
@@ -41,7 +41,7 @@
 
 // CommitHedged commits a transaction with hedged requests: while no attempt has responded, it
 // sends the same transaction again on another connection, and returns the first conclusive
-// result. ErrPartClosed is conclusive. After ErrThrottled it backs off, and gives up if the
+// result. ErrPartUnavailable is conclusive. After ErrThrottled it backs off, and gives up if the
 // deadline of ctx comes before the next attempt and no attempt is in flight. It also gives up
 // when ctx ends. The error is ErrNotApplied only if no attempt can have had an effect.
 //
@@ -91,8 +91,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h.launch(ctx)
-	patience := patienceOf(h.table)
-	timer := time.NewTimer(patience * hedgeDelays[0])
+	hedgeDelay := hedgeDelayOf(h.table)
+	timer := time.NewTimer(hedgeDelay * hedgeDelays[0])
 	defer timer.Stop()
 	for {
 		select {
@@ -101,7 +101,7 @@
 		case <-timer.C:
 			h.launch(ctx)
 			if h.inFlight <= len(hedgeDelays) {
-				timer.Reset(patience * hedgeDelays[h.inFlight-1])
+				timer.Reset(hedgeDelay * hedgeDelays[h.inFlight-1])
 			}
 		case result := <-h.results:
 			h.inFlight--
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -159,9 +159,9 @@
 	})
 }
 
-// With a table of low latency, patience must stay at its minimum, so that a lost response is
+// With a table of low latency, the hedge delay must stay at its minimum, so that a lost response is
 // retried soon.
-func TestPatienceOfFastTable(t *testing.T) {
+func TestHedgeDelayOfFastTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := store.NewGate(storetest.NewSlowTable(time.Millisecond), &log.Logger{Handler: discard.New()})
 		for range 100 {
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -27,9 +27,9 @@
 	// suspectThreshold is the number of consecutive failures of different parts after which
 	// the table is suspect: calls are relayed at once, and the gate sends probes.
 	suspectThreshold = 2
-	// relayPatienceFactor is the time after which a call without a response is also relayed, as
-	// a multiple of the patience.
-	relayPatienceFactor = 3
+	// relayDelayFactor is the time after which a call without a response is also relayed, as
+	// a multiple of the hedge delay.
+	relayDelayFactor = 3
 	// Bounds of the pause in relaying after a relayed call failed, which shows that the table
 	// or the part itself is down. It doubles with each failure.
 	minRelayPause = 50 * time.Millisecond
@@ -123,7 +123,7 @@
 	if r.Suspect() {
 		startRelay()
 	}
-	timer := time.NewTimer(relayPatienceFactor * r.Patience())
+	timer := time.NewTimer(relayDelayFactor * r.Patience())
 	defer timer.Stop()
 	var failure error
 	for {
