--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -37,8 +37,8 @@
 // HTTP/2 keepalive pings detect connections to a machine that disappeared
 // without closing them.
 const (
-	pingAfterSilence = 10 * time.Second
-	pingTimeout      = 5 * time.Second
+	pingAfterIdle = 10 * time.Second
+	pingTimeout   = 5 * time.Second
 )
 
 // HTTP/2 flow control windows in bytes. They bound the memory that one stream,
@@ -89,7 +89,7 @@
 		IdleConnTimeout:    t.options.IdleTimeout,
 		DisableCompression: true,
 		HTTP2: &http.HTTP2Config{
-			SendPingTimeout:               pingAfterSilence,
+			SendPingTimeout:               pingAfterIdle,
 			PingTimeout:                   pingTimeout,
 			MaxReceiveBufferPerStream:     streamWindow,
 			MaxReceiveBufferPerConnection: connectionWindow,
--- a/internal/peer/http_test.go
+++ b/internal/peer/http_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// TestHTTPCapsAndPassesDeadlines: the handler must get the caller's deadline, capped by MaxDeadline.
+// TestHTTPCapsAndPassesDeadlines: the handler must get the caller's deadline, capped by MaxCallDuration.
 func TestHTTPCapsAndPassesDeadlines(t *testing.T) {
 	options := Options{Keys: NewKeys("secret"), MaxCallDuration: 20 * time.Second}
 	address := startServer(t, options, echoMux())
--- a/internal/peer/memory.go
+++ b/internal/peer/memory.go
@@ -19,7 +19,7 @@
 }
 
 // MemoryNetwork connects the Muxes of many nodes in one process. The function set
-// with SetJudge can delay, drop or duplicate each message. No lock is held while it
+// with SetFaultInjector can delay, drop or duplicate each message. No lock is held while it
 // runs, so that hundreds of nodes do not contend.
 type MemoryNetwork struct {
 	nodes  sync.Map // Address → *Mux
--- a/internal/peer/node_transport_test.go
+++ b/internal/peer/node_transport_test.go
@@ -104,8 +104,8 @@
 	callTime  = 50 * time.Millisecond
 )
 
-func stallOptions(givenUp *atomic.Int64) Options {
-	return Options{Keys: NewKeys("secret"), DialTimeout: time.Minute, UnresponsiveAfter: quietTime, Guard: deadconn.Guard{OnDeadConnection: func() { givenUp.Add(1) }}}
+func stallOptions(deadConnections *atomic.Int64) Options {
+	return Options{Keys: NewKeys("secret"), DialTimeout: time.Minute, UnresponsiveAfter: quietTime, Guard: deadconn.Guard{OnDeadConnection: func() { deadConnections.Add(1) }}}
 }
 
 // requireEcho makes a successful call through the proxy.
@@ -122,8 +122,8 @@
 // TestUnresponsiveConnectionIsReplaced: a few timed-out calls must be enough to open a new
 // connection, without waiting for the HTTP/2 ping timeout.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
-	var givenUp atomic.Int64
-	options := stallOptions(&givenUp)
+	var deadConnections atomic.Int64
+	options := stallOptions(&deadConnections)
 	proxy := newStallingProxy(t, startServer(t, options, echoMux()))
 	client := newClient(t, options)
 	requireEcho(t, client, proxy)
@@ -132,38 +132,38 @@
 		ctx, cancel := context.WithTimeout(t.Context(), callTime)
 		defer cancel()
 		return echo(ctx, client, proxy.address, "b") == nil
-	}, pingAfterSilence/2, time.Millisecond)
+	}, pingAfterIdle/2, time.Millisecond)
 	require.Greater(t, proxy.dialed(), 1)
-	require.EqualValues(t, 1, givenUp.Load())
+	require.EqualValues(t, 1, deadConnections.Load())
 }
 
 // TestRepeatableCallIsRetried: a repeatable call must succeed on a new connection within its own
 // deadline when the peer does not acknowledge data on the old one.
 func TestRepeatableCallIsRetried(t *testing.T) {
-	var givenUp atomic.Int64
-	options := stallOptions(&givenUp)
+	var deadConnections atomic.Int64
+	options := stallOptions(&deadConnections)
 	proxy := newStallingProxy(t, startServer(t, options, echoMux()))
 	client := newClient(t, options)
 	requireEcho(t, client, proxy)
 	proxy.stall()
-	ctx, cancel := context.WithTimeout(t.Context(), pingAfterSilence/2)
+	ctx, cancel := context.WithTimeout(t.Context(), pingAfterIdle/2)
 	defer cancel()
 	require.NoError(t, echo(WithRepeatable(ctx), client, proxy.address, longText))
-	require.EqualValues(t, 1, givenUp.Load())
+	require.EqualValues(t, 1, deadConnections.Load())
 }
 
 // TestUnresponsivenessIsCheckedAgain: a check that comes too early must be repeated, so that the
 // call is not left waiting on the old connection.
 func TestUnresponsivenessIsCheckedAgain(t *testing.T) {
-	var givenUp atomic.Int64
-	options := stallOptions(&givenUp)
+	var deadConnections atomic.Int64
+	options := stallOptions(&deadConnections)
 	proxy := newStallingProxy(t, startServer(t, options, echoMux()))
 	client := newClient(t, options)
 	requireEcho(t, client, proxy)
 	proxy.stall()
 	payload, err := Encode(question{Text: longText})
 	require.NoError(t, err)
-	ctx, cancel := context.WithTimeout(WithRepeatable(t.Context()), pingAfterSilence/2)
+	ctx, cancel := context.WithTimeout(WithRepeatable(t.Context()), pingAfterIdle/2)
 	defer cancel()
 	response, err := client.roundTrip(ctx, proxy.address, func(ctx context.Context) *http.Request {
 		time.Sleep(3 * quietTime) // past the first check
@@ -171,13 +171,13 @@
 	})
 	require.NoError(t, err)
 	require.NoError(t, response.Body.Close())
-	require.EqualValues(t, 1, givenUp.Load())
+	require.EqualValues(t, 1, deadConnections.Load())
 }
 
 // TestNonRepeatableCallIsNotRetried: a call that is not repeatable must time out instead.
 func TestNonRepeatableCallIsNotRetried(t *testing.T) {
-	var givenUp, handled atomic.Int64
-	options := stallOptions(&givenUp)
+	var deadConnections, handled atomic.Int64
+	options := stallOptions(&deadConnections)
 	handlers := echoMux()
 	Handle(handlers, "count once", func(_ context.Context, q question) (reply, error) {
 		handled.Add(1)
@@ -197,17 +197,17 @@
 // TestWaitingCallDoesNotBlockOthers: while a call that is not repeatable waits on an unresponsive
 // connection, later calls must use a new one.
 func TestWaitingCallDoesNotBlockOthers(t *testing.T) {
-	var givenUp atomic.Int64
-	options := stallOptions(&givenUp)
+	var deadConnections atomic.Int64
+	options := stallOptions(&deadConnections)
 	proxy := newStallingProxy(t, startServer(t, options, echoMux()))
 	client := newClient(t, options)
 	requireEcho(t, client, proxy)
 	proxy.stall()
-	patient, cancel := context.WithCancel(t.Context())
+	callContext, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- echo(patient, client, proxy.address, longText) }()
-	require.Eventually(t, func() bool { return givenUp.Load() == 1 }, pingAfterSilence/2, time.Millisecond)
-	later, stop := context.WithTimeout(t.Context(), pingAfterSilence/2)
+	go func() { ended <- echo(callContext, client, proxy.address, longText) }()
+	require.Eventually(t, func() bool { return deadConnections.Load() == 1 }, pingAfterIdle/2, time.Millisecond)
+	later, stop := context.WithTimeout(t.Context(), pingAfterIdle/2)
 	defer stop()
 	require.NoError(t, echo(later, client, proxy.address, "b"))
 	cancel()
@@ -216,8 +216,8 @@
 
 // TestSlowNodeKeepsItsConnection: a connection whose peer acknowledges data must not be replaced.
 func TestSlowNodeKeepsItsConnection(t *testing.T) {
-	var givenUp atomic.Int64
-	options := stallOptions(&givenUp)
+	var deadConnections atomic.Int64
+	options := stallOptions(&deadConnections)
 	handlers := echoMux()
 	release := make(chan struct{})
 	var slow atomic.Int64
@@ -244,7 +244,7 @@
 	require.NoError(t, <-ended)
 	require.EqualValues(t, 1, slow.Load(), "sent once")
 	require.Same(t, used, client.nodeTransportFor(proxy.address).active(), "later calls use it, too")
-	require.Zero(t, givenUp.Load())
+	require.Zero(t, deadConnections.Load())
 }
 
 // TestNoteTimeout: without unacknowledged data, a connection may be considered unresponsive only after
--- a/internal/peer/schema.go
+++ b/internal/peer/schema.go
@@ -29,7 +29,7 @@
 
 var knownSchemas schemaCache
 
-// add caches a schema, if there is room, and returns its hash.
+// add caches a schema, unless the cache is full, and returns its hash.
 func (s *schemaCache) add(schema []byte) uint64 {
 	hash := xxhash.Sum64(schema)
 	if _, known := s.byHash.Load(hash); known || s.count.Load() >= maxKnownSchemas {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -46,7 +46,7 @@
 		ErrorLog:          newErrorLog(options.Log),
 		HTTP2: &http.HTTP2Config{
 			MaxConcurrentStreams:          maxConcurrentStreams,
-			SendPingTimeout:               pingAfterSilence,
+			SendPingTimeout:               pingAfterIdle,
 			PingTimeout:                   pingTimeout,
 			MaxReceiveBufferPerStream:     streamWindow,
 			MaxReceiveBufferPerConnection: connectionWindow,
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -137,10 +137,10 @@
 	forceReload(t, serving.TLS, server)
 	assert.NoError(t, echoOver(t, calling, address), "the last valid files stay in use")
 	assert.Error(t, serving.TLS.Failure())
-	gathered, err := registry.Gather()
+	families, err := registry.Gather()
 	require.NoError(t, err)
 	shown := map[string]float64{}
-	for _, family := range gathered {
+	for _, family := range families {
 		shown[family.GetName()] = family.GetMetric()[0].GetGauge().GetValue()
 	}
 	assert.EqualValues(t, 1, shown["cloverwheel_peer_certificate_reload_failed"])
