--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -61,11 +61,11 @@
 	OnDial      func()        // called for each connection attempt; may be nil
 	// OnConnected is called with the time that a successful connection attempt took; may be nil.
 	OnConnected func(took time.Duration)
-	OnProbe     func()      // called by each Reach; may be nil
+	OnProbe     func()      // called by each Probe; may be nil
 	OnBytes     ByteCounter // counts sent and received bytes; may be nil
 	// Guard detects unresponsive connections.
 	Guard deadconn.Guard
-	// TimeoutMeansUnresponsive says that the peer normally answers well within the deadlines of calls. A call
+	// TimeoutMeansUnresponsive states that the peer normally answers well within the deadlines of calls. A call
 	// that times out on a previously working connection then marks it as unresponsive.
 	TimeoutMeansUnresponsive bool
 	// Dial opens a connection; nil dials Address over TCP.
--- a/internal/httpconn/conn_test.go
+++ b/internal/httpconn/conn_test.go
@@ -254,7 +254,7 @@
 }
 
 // TestKeepAliveHeaderSetsIdleTime: the idle time must follow the peer's Keep-Alive timeout, up to
-// LongestIdle.
+// MaxIdleTime.
 func TestKeepAliveHeaderSetsIdleTime(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -263,7 +263,7 @@
 	}{
 		{"not announced", 0, 4*time.Second - keepAliveMargin},
 		{"announced", 10 * time.Second, 10*time.Second - keepAliveMargin},
-		{"announced above LongestIdle", time.Hour, 15 * time.Second},
+		{"announced above MaxIdleTime", time.Hour, 15 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := NewPool(Options{MaxIdle: 1, IdleTimeout: 4 * time.Second, MaxIdleTime: 15 * time.Second})
--- a/internal/httpconn/unresponsive_test.go
+++ b/internal/httpconn/unresponsive_test.go
@@ -122,8 +122,8 @@
 	require.Equal(t, 4, peer.dialed())
 }
 
-// TestTimeoutOnNewConnectionIsNotErrSilent: a timeout on a new connection must not be ErrUnresponsive.
-func TestTimeoutOnNewConnectionIsNotErrSilent(t *testing.T) {
+// TestTimeoutOnNewConnectionIsNotErrUnresponsive: a timeout on a new connection must not be ErrUnresponsive.
+func TestTimeoutOnNewConnectionIsNotErrUnresponsive(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -131,7 +131,7 @@
 	require.NotErrorIs(t, requireTimeout(t, p), ErrUnresponsive)
 }
 
-// TestSlowPeerKeepsItsConnections: without Prompt a timeout, and with it a canceled caller, must
+// TestSlowPeerKeepsItsConnections: without TimeoutMeansUnresponsive a timeout, and with it a canceled caller, must
 // not mark connections as unresponsive.
 func TestSlowPeerKeepsItsConnections(t *testing.T) {
 	peer := newStallingServer(t)
@@ -161,7 +161,7 @@
 	require.Equal(t, []*conn{active}, p.idle)
 }
 
-// TestCallerCanReportUnresponsiveConnection: ErrSilent as the cancellation cause must be honored.
+// TestCallerCanReportUnresponsiveConnection: ErrUnresponsive as the cancellation cause must be honored.
 func TestCallerCanReportUnresponsiveConnection(t *testing.T) {
 	peer := newStallingServer(t)
 	p := pool(peer.address)
