--- a/internal/deadconn/guard.go
+++ b/internal/deadconn/guard.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// ReportDead reports a connection that is abandoned as dead to GivenUp, if set.
+// ReportDead reports a connection that is abandoned as dead to OnDeadConnection, if set.
 func (g Guard) ReportDead() {
 	if g.OnDeadConnection != nil {
 		g.OnDeadConnection()
