--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -1,4 +1,4 @@
-// Package isolation detects that this node has lost both the table, by every route, and the nodes
+// Package isolation detects that this node has lost both the table, by every path, and the nodes
 // of other zones. Such a node can't start programs; it reports that it is not ready, so that new
 // clients are routed to other nodes.
 //
@@ -27,7 +27,7 @@
 )
 
 // Detector tracks replies from nodes of other zones, or from any other node in a deployment of one
-// zone. The zero value is ready to use and has seen none. It is safe for concurrent use.
+// zone. The zero value is ready to use and has recorded no reply. It is safe for concurrent use.
 type Detector struct {
 	mutex      sync.Mutex
 	lastAnswer time.Time // last reply from a node of another zone
@@ -74,7 +74,7 @@
 }
 
 // Isolated reports whether this node is isolated. tableLost reports that the table is unreachable
-// by every route.
+// by every path.
 func (d *Detector) Isolated(tableLost bool, now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
