--- a/internal/sweep/sweep.go
+++ b/internal/sweep/sweep.go
@@ -46,7 +46,7 @@
 // Sweeper deletes expired rows.
 type Sweeper struct{ options Options }
 
-// New returns a sweeper. It does nothing until Run or Part is called.
+// New returns a sweeper. It does nothing until Run or SweepPartition is called.
 func New(options Options) *Sweeper { return &Sweeper{options: options} }
 
 // Run scans at random intervals until ctx ends.
