--- a/internal/tablesync/churn.go
+++ b/internal/tablesync/churn.go
@@ -78,7 +78,7 @@
 // Before its feed has been idle for the first time, it may be a table that is still being filled.
 func (f *Follower) mayChurn() bool { return !f.span.whole || !f.wasIdle }
 
-// invalidate has the table read anew. The rows already known stay in use until then.
+// invalidate has the table read anew. The rows already cached stay in use until then.
 func (f *Follower) invalidate() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/tablesync/part.go
+++ b/internal/tablesync/part.go
@@ -37,8 +37,8 @@
 	maxDrawAttempts = 16
 	// maxRequestedRows limits the requested rows kept outside the part.
 	maxRequestedRows = 2048
-	// maxAskAttempts limits the attempts of Fetch when the response is older than the cached state.
-	maxAskAttempts = 3
+	// maxFetchAttempts limits the attempts of Fetch when the response is older than the cached state.
+	maxFetchAttempts = 3
 )
 
 // ErrNoNamePattern reports a table whose row names have no common pattern to derive positions from.
@@ -223,7 +223,7 @@
 // Fetch reads up to limit rows in the range of names [from, to) and keeps them in addition to the part. An
 // empty to means the end of the table.
 func (f *Follower) Fetch(ctx context.Context, from, to string, limit int) ([]store.Row, error) {
-	for range maxAskAttempts {
+	for range maxFetchAttempts {
 		page, err := f.options.Store.Range(ctx, f.options.Table, "", from, to, limit)
 		if err != nil {
 			return nil, err
@@ -256,7 +256,7 @@
 }
 
 // applyRequested applies requested rows. It returns false, and applies none, if the page is older than
-// the known state, since changes of its rows may have been skipped, or if the table must be read anew.
+// the cached state, since changes of its rows may have been skipped, or if the table must be read anew.
 func (f *Follower) applyRequested(page store.Page) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
