--- a/internal/httpconn/conn.go
+++ b/internal/httpconn/conn.go
@@ -156,24 +156,24 @@
 }
 
 // DisableReuse prevents the connection from being reused.
-func (a *Response) DisableReuse() { a.notReusable.Store(true) }
+func (r *Response) DisableReuse() { r.notReusable.Store(true) }
 
 // Close ends the exchange. The connection is reused only if readWhole is true, the
 // response allows it, and no further data was received.
-func (a *Response) Close(readWhole bool) {
-	if a.done {
+func (r *Response) Close(readWhole bool) {
+	if r.done {
 		return
 	}
-	a.done = true
-	if !a.stop() || !readWhole || a.notReusable.Load() || a.Response.Close || a.conn.reader.Buffered() > 0 {
-		a.conn.Conn.Close()
+	r.done = true
+	if !r.stop() || !readWhole || r.notReusable.Load() || r.Response.Close || r.conn.reader.Buffered() > 0 {
+		r.conn.Conn.Close()
 		return
 	}
-	if limit, ok := keepAliveOf(a.Header); ok {
-		a.conn.keepAlive = limit
+	if limit, ok := keepAliveOf(r.Header); ok {
+		r.conn.keepAlive = limit
 	}
-	a.conn.answered, a.conn.lastReceived = true, time.Now()
-	a.pool.put(a.conn)
+	r.conn.answered, r.conn.lastReceived = true, time.Now()
+	r.pool.put(r.conn)
 }
 
 // keepAliveOf returns the timeout in a Keep-Alive header, or false if there is none.
@@ -356,24 +356,24 @@
 	p.idle = nil
 }
 
-// Next skips the rest of this answer's body, of fewer than limit bytes, and returns the
+// Next skips the rest of this response's body, of fewer than limit bytes, and returns the
 // next response on the same connection, which is not reused afterwards.
-func (a *Response) Next(limit int64) (*Response, error) {
-	a.done = true
-	_, err := io.CopyN(io.Discard, a.Body, limit)
+func (r *Response) Next(limit int64) (*Response, error) {
+	r.done = true
+	_, err := io.CopyN(io.Discard, r.Body, limit)
 	if err == nil {
 		err = errors.New("response body is too long to be skipped")
 	}
 	if errors.Is(err, io.EOF) {
 		var response *http.Response
-		response, err = http.ReadResponse(a.conn.reader, a.Request)
+		response, err = http.ReadResponse(r.conn.reader, r.Request)
 		if err == nil {
-			next := &Response{Response: response, pool: a.pool, conn: a.conn, stop: a.stop}
+			next := &Response{Response: response, pool: r.pool, conn: r.conn, stop: r.stop}
 			next.DisableReuse()
 			return next, nil
 		}
 	}
-	a.stop()
-	a.conn.Conn.Close()
+	r.stop()
+	r.conn.Conn.Close()
 	return nil, err
 }
--- a/internal/isolation/isolation.go
+++ b/internal/isolation/isolation.go
@@ -2,7 +2,7 @@
 // of other zones. Such a node can't start programs; it reports that it is not ready, so that new
 // clients are routed to other nodes.
 //
-// An outage of the table alone isolates no node, because nodes of other zones still answer. A node
+// An outage of the table alone isolates no node, because nodes of other zones still reply. A node
 // that has sent no requests is not isolated either.
 package isolation
 
@@ -16,7 +16,7 @@
 	// least minMissSpan. Fewer may come from single failed nodes or from a slow local node.
 	minMisses   = 4
 	minMissSpan = 300 * time.Millisecond
-	// probeAfter is how long no node of another zone may have answered before one is probed. An
+	// probeAfter is how long no node of another zone may have replied before one is probed. An
 	// idle node thus sends two probes per second. All nodes of a zone that is cut off must detect
 	// it; otherwise those that don't still receive clients.
 	probeAfter = 500 * time.Millisecond
@@ -29,29 +29,29 @@
 // Detector tracks replies from nodes of other zones, or from any other node in a deployment of one
 // zone. The zero value is ready to use and has recorded no reply. It is safe for concurrent use.
 type Detector struct {
-	mutex      sync.Mutex
-	lastAnswer time.Time // last reply from a node of another zone
-	misses     int       // consecutive missed replies
-	firstMiss  time.Time // first of these misses
-	lastMiss   time.Time // most recent miss
+	mutex     sync.Mutex
+	lastReply time.Time // last reply from a node of another zone
+	misses    int       // consecutive missed replies
+	firstMiss time.Time // first of these misses
+	lastMiss  time.Time // most recent miss
 }
 
 // RecordReply records a reply from a node of another zone.
 func (d *Detector) RecordReply(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.lastAnswer, d.misses = now, 0
+	d.lastReply, d.misses = now, 0
 }
 
-// NeedsProbe reports whether a node of another zone should be probed because none has answered
+// NeedsProbe reports whether a node of another zone should be probed because none has replied
 // recently.
 func (d *Detector) NeedsProbe(now time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return now.Sub(d.lastAnswer) >= probeAfter
+	return now.Sub(d.lastReply) >= probeAfter
 }
 
-// RecordMiss records that a node of another zone did not answer within the usual time.
+// RecordMiss records that a node of another zone did not reply within the usual time.
 func (d *Detector) RecordMiss(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
