--- a/internal/tablesync/churn.go
+++ b/internal/tablesync/churn.go
@@ -32,9 +32,9 @@
 	minRateWindow = 50 * time.Millisecond
 	// wholeRereadInterval is the interval between rereads of a table that is kept whole and grows fast.
 	wholeRereadInterval = time.Second
-	// firstGatherDivisor divides Options.BatchDelay for the first changes after a quiet time. The shorter wait
+	// firstBatchDivisor divides Options.BatchDelay for the first changes after a quiet time. The shorter wait
 	// shows sooner whether many changes follow.
-	firstGatherDivisor = 8
+	firstBatchDivisor = 8
 )
 
 // rereadInterval returns the interval between rereads during churn.
@@ -78,7 +78,7 @@
 // Before its feed has been idle for the first time, it may be a table that is still being filled.
 func (f *Follower) mayChurn() bool { return !f.span.whole || !f.wasIdle }
 
-// invalidate has the table read anew. The rows already known stay in use until then.
+// invalidate has the table read anew. The rows already cached stay in use until then.
 func (f *Follower) invalidate() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
