--- a/cmd/cloverwheeld/main.go
+++ b/cmd/cloverwheeld/main.go
@@ -115,7 +115,7 @@
 		Store:     platform.NewTable(settings.Store, guards.Store, platform.TableMeter{Call: metrics.StoreCall, Bytes: metrics.StoreBytes}),
 		Transport: platform.WorkerClient{},
 		Prober:    platform.WorkerClient{},
-		Records: server.RowDecoders{
+		RowDecoders: server.RowDecoders{
 			ConfigurationTable: platform.TableOperator,
 			WorkersTable:       platform.TableWorkers,
 			Configuration:      platform.DecodeConfiguration,
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -127,7 +127,7 @@
 
 // A refused program that retries too early must be refused again; on time it must be admitted.
 func TestControllerAdmitsRefusedProgramAtItsRetryTime(t *testing.T) {
-	controller, now := NewGate(nil), time.Unix(1000, 0)
+	controller, now := NewController(nil), time.Unix(1000, 0)
 	observeWaits(controller, 2*time.Second, now)
 	first, _, _ := controller.Decide("s", newProgram("p"), 3*time.Second, now)
 	require.False(t, first.Admitted)
@@ -144,7 +144,7 @@
 
 // Turns that are still queueing must count as load, although their first event has not arrived.
 func TestControllerCountsPendingTurns(t *testing.T) {
-	controller, now := NewGate(nil), time.Unix(1000, 0)
+	controller, now := NewController(nil), time.Unix(1000, 0)
 	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	var sendings []*PendingTurn
 	for range 5 {
@@ -163,7 +163,7 @@
 
 // A turn that ends without a first event must count with the time that it queued.
 func TestTurnWithoutFirstEventCounts(t *testing.T) {
-	controller, now := NewGate(nil), time.Unix(1000, 0)
+	controller, now := NewController(nil), time.Unix(1000, 0)
 	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	for range 5 {
 		controller.EndedWithoutEvent(controller.Sent("s", newProgram("x"), idle, now.Add(-3*time.Second)), now)
@@ -185,7 +185,7 @@
 
 // Queueing of urgent turns must not count as load of less urgent ones.
 func TestLoadIsTrackedPerUrgency(t *testing.T) {
-	controller, now := NewGate(nil), time.Unix(1000, 0)
+	controller, now := NewController(nil), time.Unix(1000, 0)
 	observeWaits(controller, 2*time.Second, now)
 	lessUrgent := newProgram("p")
 	lessUrgent.Urgency = 2
@@ -195,7 +195,7 @@
 
 // Many programs and services must not make a Controller grow without limit.
 func TestControllerMemoryIsBounded(t *testing.T) {
-	controller, now := NewGate(nil), time.Unix(1000, 0)
+	controller, now := NewController(nil), time.Unix(1000, 0)
 	for index := range 3 * maxRefused {
 		observeWaits(controller, 2*time.Second, now)
 		program := newProgram(fmt.Sprint("p", index))
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -40,8 +40,8 @@
 	refused     refusedPrograms
 }
 
-// NewGate returns a Controller without history. If utilization is nil, only the load seen by this node counts.
-func NewGate(utilization UtilizationSource) *Controller {
+// NewController returns a Controller without history. If utilization is nil, only the load seen by this node counts.
+func NewController(utilization UtilizationSource) *Controller {
 	return &Controller{utilization: utilization, windows: map[queue]*window{}, refused: refusedPrograms{returnAt: map[uint64]time.Time{}}}
 }
 
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -133,7 +133,7 @@
 func newSimulation(seed uint64, admission bool) *simulation {
 	s := &simulation{random: rand.New(rand.NewPCG(seed, 1)), admission: admission}
 	for range simNodes {
-		s.nodes = append(s.nodes, &simNode{estimator: scheduling.NewEstimator(), controller: NewGate(nil)})
+		s.nodes = append(s.nodes, &simNode{estimator: scheduling.NewEstimator(), controller: NewController(nil)})
 	}
 	for range simWorkers {
 		s.workers = append(s.workers, &simWorker{})
@@ -209,7 +209,7 @@
 	turn.node = s.nodes[(len(program.name)*7+int(hashRank(program.name)*simNodes)+turn.tries+turn.sends)%simNodes]
 	turn.sentAt = s.now
 	turn.turn = scheduling.Turn{
-		Route: program.kind.name, Program: program.name, Line: turn.line, Urgency: program.kind.urgency,
+		Route: program.kind.name, Program: program.name, Branch: turn.line, Urgency: program.kind.urgency,
 		Begins: turn.line == "main" && turn.position == 1, Number: turn.position,
 		HasFinish: true, TimeToFinish: max(0, program.budget-(s.now-program.beganAt)),
 	}
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -77,12 +77,12 @@
 	slowness := make([]float64, 0, len(workers))
 	for _, worker := range workers {
 		verdict := r.Check(worker, query.Regions)
-		if verdict.Refused() || verdict == eligibility.NeedsWarmupPlace && query.WarmOnly {
+		if verdict.Refused() || verdict == eligibility.NeedsWarmupPermit && query.WarmOnly {
 			continue
 		}
 		candidate := worker.candidate(query, now)
 		candidate.RoundTrip = r.RoundTrip(worker)
-		if verdict == eligibility.NeedsWarmupPlace {
+		if verdict == eligibility.NeedsWarmupPermit {
 			candidate.Wait += coldPenalty
 		}
 		candidates = append(candidates, candidate)
@@ -121,7 +121,7 @@
 	// that has just reopened is not seen with warm workers.
 	evacuated := r.options.Evacuated(worker.zone)
 	return eligibility.Worker{
-		Region:    r.options.Places.Region(worker.zone),
+		Region:    r.options.Zones.Region(worker.zone),
 		Draining:  worker.Record().Draining,
 		Evacuated: evacuated,
 		Cold:      r.cold(worker),
@@ -244,7 +244,7 @@
 		Worker:       id.Worker(w.key),
 		Zone:         w.record.Zone,
 		Healthy:      !now.Before(w.avoidUntil) && !w.ejected(now),
-		Leaving:      w.record.Draining,
+		Draining:     w.record.Draining,
 		ModelLoaded:  true,
 		AdapterReady: true,
 		Running:      w.running,
--- a/internal/backend/latency.go
+++ b/internal/backend/latency.go
@@ -8,8 +8,8 @@
 	Next  timing.LatencyEstimate // between two chunks
 }
 
-// Silences returns the estimates for a service, creating them on first use.
-func (r *Registry) Silences(service string) *LatencyEstimates {
+// LatencyEstimates returns the estimates for a service, creating them on first use.
+func (r *Registry) LatencyEstimates(service string) *LatencyEstimates {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known, ok := r.latencies[service]
--- a/internal/backend/latency_test.go
+++ b/internal/backend/latency_test.go
@@ -10,7 +10,7 @@
 // Guards against mixing the latencies of services.
 func TestLatencyEstimatesArePerService(t *testing.T) {
 	registry := NewRegistry(Options{})
-	registry.Silences("a").First.Observe(time.Second)
-	require.Equal(t, time.Second, registry.Silences("a").First.Timeout(0, time.Second))
-	require.Zero(t, registry.Silences("b").First.Timeout(0, time.Second))
+	registry.LatencyEstimates("a").First.Observe(time.Second)
+	require.Equal(t, time.Second, registry.LatencyEstimates("a").First.Timeout(0, time.Second))
+	require.Zero(t, registry.LatencyEstimates("b").First.Timeout(0, time.Second))
 }
--- a/internal/backend/prefix_test.go
+++ b/internal/backend/prefix_test.go
@@ -12,7 +12,7 @@
 // zone of another region. Four workers of each zone are assigned to cache the shared prefix.
 func newPrefixWorkersRegistry() (registry *Registry, prefixWorkers []string) {
 	updates := fleetUpdates(200, "z", "a2", "b1")
-	registry = NewRegistry(Options{Zone: "z", Places: testPlaces()})
+	registry = NewRegistry(Options{Zone: "z", Zones: testPlaces()})
 	registry.Apply(updates)
 	for _, update := range updates[:12] {
 		prefixWorkers = append(prefixWorkers, update.Record.ID)
--- a/internal/backend/region_test.go
+++ b/internal/backend/region_test.go
@@ -16,7 +16,7 @@
 	for index := range zones {
 		zones[index] = []string{"z", "b1", "c1", "a2", "b2", "c2"}[index%6]
 	}
-	options.Places = testPlaces()
+	options.Zones = testPlaces()
 	return newTestRegistry(options, workers, zones...)
 }
 
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -17,8 +17,8 @@
 
 // Options configures a Registry.
 type Options struct {
-	Zone   string            // zone of this node
-	Places *locality.ZoneMap // region of each zone
+	Zone  string            // zone of this node
+	Zones *locality.ZoneMap // region of each zone
 	// Evacuated reports whether a zone's workers must get no new work; nil: no zone is evacuated.
 	Evacuated func(zone string) bool
 	// Cold returns whether cold workers of a service get less work than warm ones, and how long
@@ -78,7 +78,7 @@
 	if options.Evacuated == nil {
 		options.Evacuated = func(string) bool { return false }
 	}
-	location := locality.Location{Zones: options.Places, Zone: options.Zone}
+	location := locality.Location{Zones: options.Zones, Zone: options.Zone}
 	if options.Cold == nil {
 		options.Cold = func(string) (bool, time.Duration) { return false, 0 }
 	}
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -27,7 +27,7 @@
 func TestRosterStaysSorted(t *testing.T) {
 	places := locality.NewMap(map[string]string{"z": "one", "y": "one", "x": "other"})
 	rapid.Check(t, func(t *rapid.T) {
-		registry := NewRegistry(Options{Zone: "z", Places: places})
+		registry := NewRegistry(Options{Zone: "z", Zones: places})
 		revision := uint64(0)
 		want := map[string]Record{}
 		for range rapid.IntRange(1, 8).Draw(t, "batches") {
@@ -111,7 +111,7 @@
 	places := locality.NewMap(map[string]string{"a": "r", "b": "r", "c": "r", "d": "r", "e": "r"})
 	for _, size := range []int{100, 1000, 10_000, 20_000} {
 		updates := fleetUpdates(size, "a", "b", "c", "d", "e")
-		registry := NewRegistry(Options{Zone: "a", Places: places})
+		registry := NewRegistry(Options{Zone: "a", Zones: places})
 		loadInPages(registry, updates)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for round := 0; b.Loop(); round++ {
--- a/internal/backend/warmth_test.go
+++ b/internal/backend/warmth_test.go
@@ -32,7 +32,7 @@
 // Guards against overloading a cold worker, and against limiting it after its cold start.
 func TestWorkerIsColdUntilColdStartEnds(t *testing.T) {
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1, ColdRemaining: 2 * time.Second})
-	require.Equal(t, eligibility.NeedsWarmupPlace, registry.Check(worker, nil))
+	require.Equal(t, eligibility.NeedsWarmupPermit, registry.Check(worker, nil))
 	advance(2 * time.Second)
 	require.Equal(t, eligibility.Allowed, registry.Check(worker, nil))
 }
@@ -83,7 +83,7 @@
 		registry.ZoneReopened("z", 10)
 		return false
 	}
-	require.Equal(t, eligibility.NeedsWarmupPlace, registry.Check(worker, nil))
+	require.Equal(t, eligibility.NeedsWarmupPermit, registry.Check(worker, nil))
 }
 
 // Guards against replacing a longer cold start by the default one.
@@ -146,7 +146,7 @@
 	registry, worker, advance := newColdRegistry(t, Record{Revision: 1})
 	advance(registry.warmthTTL + time.Millisecond)
 	require.True(t, registry.Warmth(worker).Expired)
-	require.Equal(t, eligibility.NeedsWarmupPlace, registry.Check(worker, nil))
+	require.Equal(t, eligibility.NeedsWarmupPermit, registry.Check(worker, nil))
 	registry.ListConfirmed()
 	require.Equal(t, eligibility.Allowed, registry.Check(worker, nil), "the list was confirmed without changes")
 }
--- a/internal/backend/zones.go
+++ b/internal/backend/zones.go
@@ -26,16 +26,16 @@
 // zoneVerdict decides whether a request that may be served in the given regions may go to a zone.
 func (r *Registry) zoneVerdict(zone string, regions locality.Regions) eligibility.Verdict {
 	return eligibility.Check(eligibility.Request{Regions: regions}, eligibility.Worker{
-		Region:    r.options.Places.Region(zone),
+		Region:    r.options.Zones.Region(zone),
 		Evacuated: r.options.Evacuated(zone),
 	})
 }
 
-// WhyClosed returns why no worker of a service may get a request that may be served in the given regions,
+// ClosedReason returns why no worker of a service may get a request that may be served in the given regions,
 // and which zones would accept it if they were not evacuated. The verdict is eligibility.Allowed if some
 // worker's zone accepts the request or if the service has no workers. Draining workers do not count. If
 // only is not empty, just the workers with these keys are considered.
-func (r *Registry) WhyClosed(service string, regions locality.Regions, only []string) (reason eligibility.Verdict, evacuated []string) {
+func (r *Registry) ClosedReason(service string, regions locality.Regions, only []string) (reason eligibility.Verdict, evacuated []string) {
 	workers := r.Workers(service)
 	for _, worker := range workers {
 		if len(only) > 0 && !slices.Contains(only, worker.key) {
--- a/internal/backend/zones_test.go
+++ b/internal/backend/zones_test.go
@@ -53,7 +53,7 @@
 	registry.Remove("w0")
 	_, err := registry.Choose(Query{Service: "s"})
 	require.Error(t, err)
-	reason, _ := registry.WhyClosed("s", nil, nil)
+	reason, _ := registry.ClosedReason("s", nil, nil)
 	require.Equal(t, eligibility.Evacuated, reason)
 }
 
@@ -62,7 +62,7 @@
 	zones := alternatingZones(0, 60)
 	zones[17] = "w"
 	places := locality.NewMap(map[string]string{"z": "one", "y": "one", "x": "one", "w": "other"})
-	registry := newTestRegistry(Options{Places: places}, len(zones), zones...)
+	registry := newTestRegistry(Options{Zones: places}, len(zones), zones...)
 	for program := range 50 {
 		query := modelCall(func(q *Query) { q.Key, q.Regions = fmt.Sprint(program), locality.Regions{"other"} })
 		require.Equal(t, "w17", choose(t, registry, query))
@@ -90,8 +90,8 @@
 		{name: "an unknown zone", evacuated: []string{"nowhere"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			registry := newTestRegistry(Options{Places: places, Evacuated: evacuatedFunc(c.evacuated...)}, 3, "z", "y", "x")
-			reason, zones := registry.WhyClosed("s", c.regions, c.only)
+			registry := newTestRegistry(Options{Zones: places, Evacuated: evacuatedFunc(c.evacuated...)}, 3, "z", "y", "x")
+			reason, zones := registry.ClosedReason("s", c.regions, c.only)
 			require.Equal(t, c.reason, reason)
 			require.Equal(t, c.zones, zones)
 		})
@@ -102,6 +102,6 @@
 func TestEmptyServiceIsNotClosed(t *testing.T) {
 	now := time.Now()
 	registry := newTestRegistry(Options{Now: func() time.Time { return now }}, 0)
-	reason, _ := registry.WhyClosed("s", nil, nil)
+	reason, _ := registry.ClosedReason("s", nil, nil)
 	require.Equal(t, eligibility.Allowed, reason)
 }
--- a/internal/budget/accounts.go
+++ b/internal/budget/accounts.go
@@ -31,12 +31,12 @@
 	Store store.Store
 	Self  Holder
 	Peers Peers // nil: no other node is asked for tokens
-	// Patience estimates the response times of other processes, from which the timeouts of
+	// ResponseTimes estimates the response times of other processes, from which the timeouts of
 	// requests follow. Nil means that no latency is known.
-	Patience timing.TimeoutFunc
-	// Vantage is the location of this process. Processes in the same region are asked
+	ResponseTimes timing.TimeoutFunc
+	// Location is the location of this process. Processes in the same region are asked
 	// first.
-	Vantage locality.Location
+	Location locality.Location
 	// Locator finds processes that ran turns of a program. Nil: only the store is
 	// consulted.
 	Locator Locator
@@ -45,9 +45,9 @@
 	Granter Granter
 }
 
-// LocateResult is what the locator returns for a program. It may be stale or incomplete. It is
-// sent between nodes with gob, so its fields keep their names.
-type LocateResult struct {
+// Located is the result of looking up a program with the locator. It may be stale or incomplete.
+// It is sent between nodes with gob: its name and those of its fields are part of the encoding.
+type Located struct {
 	Holders []Holder // other processes that ran turns of the program, newest first
 	// Spent is the size, in tokens, of a turn that the store recently refused to some
 	// process, and SpentAgo is how long ago. Zero Spent means that no refusal is known.
@@ -56,12 +56,12 @@
 }
 
 // refuses reports whether a recent refusal implies that the store would refuse this turn.
-func (l LocateResult) refuses(tokens int) bool {
+func (l Located) refuses(tokens int) bool {
 	return l.Spent > 0 && tokens >= l.Spent && l.SpentAgo < peerExhaustedTTL
 }
 
 // refusal returns the error for a turn that refuses reports as refused.
-func (l LocateResult) refusal(tokens int) error {
+func (l Located) refusal(tokens int) error {
 	return fault.Newf(fault.BudgetExhausted, exhaustedRemedy,
 		"the turn may need %d tokens, but the store refused %d tokens to another node %v ago", tokens, l.Spent, l.SpentAgo.Round(time.Millisecond))
 }
@@ -70,7 +70,7 @@
 type Locator interface {
 	// Locate returns what is recorded for a program and records that this process runs a turn
 	// of it.
-	Locate(ctx context.Context, program string) LocateResult
+	Locate(ctx context.Context, program string) Located
 	// RecordRefusal records that the store refused a turn of that many tokens.
 	RecordRefusal(program string, tokens int)
 	// RecordReturned records that tokens were returned to the store, which invalidates
--- a/internal/budget/draw.go
+++ b/internal/budget/draw.go
@@ -113,7 +113,7 @@
 	failures := 0
 	claim.reportHolders(a.responsiveHolders(account))
 	for _, index := range account.shareOrder(budget, account.shortfall(tokens)) {
-		limited, cancel := context.WithTimeout(ctx, store.PatienceAtLeast(a.options.Store, shareTimeout))
+		limited, cancel := context.WithTimeout(ctx, store.HedgeDelayAtLeast(a.options.Store, shareTimeout))
 		err := a.drawFromShare(limited, account, index, claim, sources)
 		cancel()
 		a.recordShareResult(err)
--- a/internal/budget/latency_test.go
+++ b/internal/budget/latency_test.go
@@ -32,7 +32,7 @@
 func (c *cluster) newDelayedAccounts(process string, delay time.Duration) *Accounts {
 	return NewAccounts(Options{
 		Store: c.table, Self: Holder{Process: process, Address: process}, Peers: delayedPeers{c, delay},
-		Patience: func(_ string, least, most time.Duration) time.Duration { return min(max(delay+delay/4, least), most) },
+		ResponseTimes: func(_ string, least, most time.Duration) time.Duration { return min(max(delay+delay/4, least), most) },
 	})
 }
 
--- a/internal/budget/locate_test.go
+++ b/internal/budget/locate_test.go
@@ -23,7 +23,7 @@
 }
 
 // Locate implements Locator.
-func (l fakeLocator) Locate(_ context.Context, program string) (located LocateResult) {
+func (l fakeLocator) Locate(_ context.Context, program string) (located Located) {
 	*l.calls++
 	for _, holder := range l.requesters[program] {
 		if holder != l.self {
--- a/internal/budget/peers.go
+++ b/internal/budget/peers.go
@@ -111,9 +111,9 @@
 }
 
 // requestFromLocated asks the processes that the locator returns, once a turn.
-func (a *Accounts) requestFromLocated(ctx context.Context, account *account, tokens int, sources *tokenSources) (located LocateResult) {
+func (a *Accounts) requestFromLocated(ctx context.Context, account *account, tokens int, sources *tokenSources) (located Located) {
 	if a.options.Locator == nil || sources.locatorAsked || account.shortfall(tokens) <= 0 {
-		return LocateResult{}
+		return Located{}
 	}
 	sources.locatorAsked = true
 	located = a.options.Locator.Locate(ctx, account.program)
@@ -174,7 +174,7 @@
 	nodes = slices.DeleteFunc(nodes, func(holder Holder) bool {
 		return slices.Contains(asked, holder.Process) || a.isUnresponsive(holder)
 	})
-	locality.OwnRegionFirst(a.options.Vantage, nodes, Holder.Zone)
+	locality.OwnRegionFirst(a.options.Location, nodes, Holder.Zone)
 	return nodes[:min(len(nodes), maxBroadcastPeers)]
 }
 
@@ -193,7 +193,7 @@
 func (a *Accounts) responsiveHolders(account *account) []Holder {
 	holders := account.knownHolders()
 	slices.Reverse(holders)
-	locality.OwnRegionFirst(a.options.Vantage, holders, Holder.Zone)
+	locality.OwnRegionFirst(a.options.Location, holders, Holder.Zone)
 	return slices.DeleteFunc(holders, func(holder Holder) bool {
 		return holder.Process == a.options.Self.Process || a.isUnresponsive(holder)
 	})
@@ -201,7 +201,7 @@
 
 // requestFrom asks one process and reports whether it handed tokens over.
 func (a *Accounts) requestFrom(ctx context.Context, account *account, holder Holder, missing int) bool {
-	limited, cancel := context.WithTimeout(ctx, a.options.Patience.For(holder.Process, minRequestTimeout, maxRequestTimeout))
+	limited, cancel := context.WithTimeout(ctx, a.options.ResponseTimes.For(holder.Process, minRequestTimeout, maxRequestTimeout))
 	defer cancel()
 	answer, err := a.options.Peers.HandOver(limited, holder.Address, HandOverRequest{
 		Process: holder.Process,
--- a/internal/budget/regions_test.go
+++ b/internal/budget/regions_test.go
@@ -12,10 +12,10 @@
 // TestPeersInTheSameRegionAreAskedFirst guards against requests to other regions while
 // near processes may have tokens, for both direct and broadcast requests.
 func TestPeersInTheSameRegionAreAskedFirst(t *testing.T) {
-	places := locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
+	zoneMap := locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	accounts := NewAccounts(Options{
 		Store: storetest.New(), Self: Holder{Process: locality.ProcessName("a1", "self", "0")},
-		Vantage: locality.Location{Zones: places, Zone: "a1"},
+		Location: locality.Location{Zones: zoneMap, Zone: "a1"},
 	})
 	near, nearer, far := Holder{Process: locality.ProcessName("a2", "n", "0")}, Holder{Process: locality.ProcessName("a1", "m", "0")}, Holder{Process: locality.ProcessName("b1", "f", "0")}
 	accounts.addPeers(near, nearer, far)
--- a/internal/capacity/client.go
+++ b/internal/capacity/client.go
@@ -31,8 +31,8 @@
 
 // Peers sends requests to other nodes.
 type Peers interface {
-	// Room sends a request to a coordinator and returns its answer.
-	Room(ctx context.Context, coordinator budget.Holder, request Request) (Answer, error)
+	// Report sends a request to a coordinator and returns its answer.
+	Report(ctx context.Context, coordinator budget.Holder, request Request) (Answer, error)
 }
 
 // GroupResolver maps workers to groups. ok is false if the group is unknown, or if capacity is not
@@ -57,9 +57,9 @@
 	RoundTrip time.Duration
 }
 
-// Learner supplies this node's samples of worker behavior and receives the merged verdicts of all
+// SampleExchange supplies this node's samples of worker behavior and receives the merged verdicts of all
 // nodes.
-type Learner interface {
+type SampleExchange interface {
 	// TakeSamples returns the samples of a service's workers since the last call.
 	TakeSamples(service string) []outlier.Sample
 	// NoteVerdicts replaces the previous verdicts.
@@ -68,17 +68,17 @@
 
 // ClientOptions configures a Client.
 type ClientOptions struct {
-	Self    budget.Holder
-	Zone    string
-	Slots   *KeeperResolver
-	Peers   Peers
-	Workers GroupResolver
-	// Patience returns call timeouts from the observed response times of other nodes; nil: no
+	Self     budget.Holder
+	Zone     string
+	Resolver *CoordinatorResolver
+	Peers    Peers
+	Workers  GroupResolver
+	// ResponseTimes returns call timeouts from the observed response times of other nodes; nil: no
 	// observations.
-	Patience timing.TimeoutFunc
-	Keeper   *Coordinator // the coordinator of this process
-	// Learner is nil if this node exchanges no samples and verdicts.
-	Learner Learner
+	ResponseTimes timing.TimeoutFunc
+	Coordinator   *Coordinator // the coordinator of this process
+	// SampleExchange is nil if this node exchanges no samples and verdicts.
+	SampleExchange SampleExchange
 	// OnFind is called with the result of each Reserve. OnReport is called after each report without
 	// a query; accepted is whether a coordinator accepted it.
 	OnFind   func(Placement)
@@ -211,10 +211,10 @@
 // sendReport sends a report to a group's coordinator. A suspected coordinator is probed in this way
 // once its backoff is over.
 func (c *Client) sendReport(ctx context.Context, group Group) {
-	coordinator, passed, ok := c.options.Slots.coordinator(group, c.inBackoff)
+	coordinator, passed, ok := c.options.Resolver.coordinator(group, c.inBackoff)
 	var answer Answer
 	if ok {
-		ctx, cancel := context.WithTimeout(ctx, c.options.Patience.For(coordinator.Process, reportTimeout, maxReportTimeout))
+		ctx, cancel := context.WithTimeout(ctx, c.options.ResponseTimes.For(coordinator.Process, reportTimeout, maxReportTimeout))
 		defer cancel()
 		request, _ := c.newRequest(group, coordinator, passed, nil)
 		answer, ok = c.send(ctx, group, coordinator, request, true)
@@ -256,10 +256,10 @@
 // not answer. conclusive means that one missing answer suffices to suspect it.
 func (c *Client) send(ctx context.Context, group Group, coordinator budget.Holder, request Request, conclusive bool) (answer Answer, ok bool) {
 	if coordinator.Process == c.options.Self.Process {
-		answer = c.options.Keeper.Answer(ctx, request)
+		answer = c.options.Coordinator.Answer(ctx, request)
 	} else {
 		var err error
-		answer, err = c.options.Peers.Room(ctx, coordinator, request)
+		answer, err = c.options.Peers.Report(ctx, coordinator, request)
 		if err != nil {
 			c.handleError(ctx, coordinator, conclusive, err)
 			return Answer{}, false
@@ -272,10 +272,10 @@
 // handleAnswer updates the state of the group and of the coordinator from an answer.
 func (c *Client) handleAnswer(group Group, coordinator budget.Holder, answer Answer) {
 	if !answer.Keeper {
-		c.options.Slots.Owners.RequestRefresh()
+		c.options.Resolver.Owners.RequestRefresh()
 	}
-	if c.options.Learner != nil && len(answer.Avoid) > 0 {
-		c.options.Learner.NoteVerdicts(answer.Avoid)
+	if c.options.SampleExchange != nil && len(answer.Avoid) > 0 {
+		c.options.SampleExchange.NoteVerdicts(answer.Avoid)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -316,10 +316,10 @@
 // collectSamples returns the samples of a group's workers that have not been sent yet. Samples of
 // other groups of the service stay until their next report, up to targetGroupSize per group.
 func (c *Client) collectSamples(group Group) []outlier.Sample {
-	if c.options.Learner == nil {
+	if c.options.SampleExchange == nil {
 		return nil
 	}
-	samples := c.options.Learner.TakeSamples(group.Service)
+	samples := c.options.SampleExchange.TakeSamples(group.Service)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, sample := range samples {
--- a/internal/capacity/cluster_test.go
+++ b/internal/capacity/cluster_test.go
@@ -65,10 +65,10 @@
 	}
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	for _, node := range c.nodes {
-		slots := &KeeperResolver{Owners: node}
-		node.coordinator = NewCoordinator(CoordinatorOptions{Process: node.self.Process, Slots: slots, Members: node.members, Experience: &c.merged, OnAnswer: func(Outcome, Reason) {}, Logger: logger})
+		slots := &CoordinatorResolver{Owners: node}
+		node.coordinator = NewCoordinator(CoordinatorOptions{Process: node.self.Process, Resolver: slots, Members: node.members, OutlierDetector: &c.merged, OnAnswer: func(Outcome, Reason) {}, Logger: logger})
 		node.client = NewClient(ClientOptions{
-			Self: node.self, Zone: "z", Slots: slots, Peers: node, Workers: node, Keeper: node.coordinator, Learner: &node.samples,
+			Self: node.self, Zone: "z", Resolver: slots, Peers: node, Workers: node, Coordinator: node.coordinator, SampleExchange: &node.samples,
 			OnFind: func(placement Placement) { node.placements = append(node.placements, placement) }, OnReport: func(bool) {}, Logger: logger,
 		})
 		go node.client.Run(t.Context())
@@ -78,7 +78,7 @@
 
 // coordinatorIndex returns the index of the node that coordinates the group.
 func (c *testCluster) coordinatorIndex() int {
-	coordinator, _, _ := c.nodes[0].client.options.Slots.coordinator(testGroup, func(string) bool { return false })
+	coordinator, _, _ := c.nodes[0].client.options.Resolver.coordinator(testGroup, func(string) bool { return false })
 	return slices.IndexFunc(c.nodes, func(node *testNode) bool { return node.self == coordinator })
 }
 
@@ -124,8 +124,8 @@
 	return c.unresponsive[to] || c.unresponsive[n.self.Process] || c.cut[[2]string{n.self.Process, to}], c.outdated[to]
 }
 
-// Room implements Peers.
-func (n *testNode) Room(ctx context.Context, coordinator budget.Holder, request Request) (Answer, error) {
+// Report implements Peers.
+func (n *testNode) Report(ctx context.Context, coordinator budget.Holder, request Request) (Answer, error) {
 	lost, unknown := n.linkState(coordinator.Process)
 	if lost {
 		<-ctx.Done()
@@ -183,7 +183,7 @@
 		placement, reservation := c.nodes[2].find(PlacementRequest{})
 		require.Equal(t, SourceLocal, placement.Source)
 		require.Zero(t, placement.Took)
-		require.InDelta(t, 0.25, placement.Busy, 0)
+		require.InDelta(t, 0.25, placement.Utilization, 0)
 		reservation.Release()
 	})
 }
@@ -200,8 +200,8 @@
 		reservation.Release()
 		settle()
 		placement, reservation = c.nodes[3].find(PlacementRequest{})
-		require.Equal(t, SourceKeeper, placement.Source)
-		require.Equal(t, "w3", reservation.Worker())
+		require.Equal(t, SourceCoordinator, placement.Source)
+		require.Equal(t, "w3", reservation.WorkerKey())
 		require.LessOrEqual(t, placement.Took, 2*c.hop)
 	})
 }
@@ -216,8 +216,8 @@
 		begun := time.Now()
 		time.AfterFunc(50*time.Millisecond, func() { reservations[0].Release(); reservations[1].Release() })
 		placement, _ := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
-		require.Equal(t, SourceKeeper, placement.Source)
-		require.Equal(t, "w0", placement.Reservation.Worker())
+		require.Equal(t, SourceCoordinator, placement.Source)
+		require.Equal(t, "w0", placement.Reservation.WorkerKey())
 		require.LessOrEqual(t, time.Since(begun), 50*time.Millisecond+reportDelayBusy+2*reportTick+4*c.hop)
 	})
 }
@@ -295,7 +295,7 @@
 				for begun := time.Now(); time.Since(begun) < time.Second; {
 					placement := reserve()
 					waited += placement.Took
-					require.Contains(t, []Source{SourceKeeper, SourceNoAnswer, SourceUnsettled, SourceLocal}, placement.Source)
+					require.Contains(t, []Source{SourceCoordinator, SourceNoAnswer, SourceUnsettled, SourceLocal}, placement.Source)
 				}
 				require.LessOrEqual(t, waited, missesToSuspect*queryTimeout+time.Second/10)
 				for begun := time.Now(); time.Since(begun) < 3*time.Second; {
@@ -304,9 +304,9 @@
 					if failure.senderOnly {
 						continue
 					}
-					require.Equal(t, SourceKeeper, placement.Source, "after %v", time.Since(begun))
-					require.NotEqual(t, c.process(coordinator), placement.Keeper)
-					require.Equal(t, "w3", placement.Reservation.Worker())
+					require.Equal(t, SourceCoordinator, placement.Source, "after %v", time.Since(begun))
+					require.NotEqual(t, c.process(coordinator), placement.Coordinator)
+					require.Equal(t, "w3", placement.Reservation.WorkerKey())
 				}
 				if failure.stop == nil {
 					return
@@ -316,9 +316,9 @@
 					reserve()
 				}
 				placement := reserve()
-				require.Equal(t, SourceKeeper, placement.Source)
-				require.Equal(t, c.process(coordinator), placement.Keeper, "the recovered process must be coordinator again")
-				require.Equal(t, "w3", placement.Reservation.Worker())
+				require.Equal(t, SourceCoordinator, placement.Source)
+				require.Equal(t, c.process(coordinator), placement.Coordinator, "the recovered process must be coordinator again")
+				require.Equal(t, "w3", placement.Reservation.WorkerKey())
 			})
 		})
 	}
@@ -347,8 +347,8 @@
 			time.Sleep(30 * time.Millisecond)
 		}
 		last := func(index int) Placement { return c.nodes[index].placements[len(c.nodes[index].placements)-1] }
-		require.Equal(t, c.process(first), last(2).Keeper)
-		require.Equal(t, c.process(second), last(3).Keeper)
+		require.Equal(t, c.process(first), last(2).Coordinator)
+		require.Equal(t, c.process(second), last(3).Coordinator)
 
 		answer := c.nodes[second].coordinator.Answer(t.Context(), Request{Process: c.process(second), Report: Report{From: "x", Group: testGroup}})
 		require.False(t, answer.Keeper, "not the coordinator, and no other process was passed over")
@@ -368,7 +368,7 @@
 		utilization := func() float64 {
 			placement, reservation := c.nodes[3].find(PlacementRequest{})
 			reservation.Release()
-			return placement.Busy
+			return placement.Utilization
 		}
 		require.Greater(t, utilization(), 0.9)
 		c.setState(c.unresponsive, 2, true)
@@ -386,17 +386,17 @@
 		settle()
 		settle()
 		placement, reservation := c.nodes[3].find(PlacementRequest{})
-		require.Equal(t, "w2", placement.Reservation.Worker())
+		require.Equal(t, "w2", placement.Reservation.WorkerKey())
 		reservation.Release()
 		c.withLock(func() { c.workers[0] = "w0@2" })
 		time.Sleep(100 * time.Millisecond)
 		placement, reservation = c.nodes[3].find(PlacementRequest{Home: "w0"})
-		require.Equal(t, "w0@2", placement.Reservation.Worker())
+		require.Equal(t, "w0@2", placement.Reservation.WorkerKey())
 		reservation.Release()
 	})
 }
 
-// sampleRecorder implements Experience and Learner. It returns verdicts once it has received a sample.
+// sampleRecorder implements OutlierDetector and SampleExchange. It returns verdicts once it has received a sample.
 type sampleRecorder struct {
 	mutex    sync.Mutex
 	pending  []outlier.Sample  // returned by TakeSamples
@@ -455,7 +455,7 @@
 		node.withLock(func() { require.Equal(t, c.merged.avoid, node.verdicts) })
 		for range 4 {
 			placement, _ := c.nodes[3].find(PlacementRequest{Exclude: []string{"w0"}})
-			require.NotEqual(t, "w3", placement.Reservation.Worker())
+			require.NotEqual(t, "w3", placement.Reservation.WorkerKey())
 		}
 	})
 }
--- a/internal/capacity/coordinator.go
+++ b/internal/capacity/coordinator.go
@@ -21,8 +21,8 @@
 	maxHold = 250 * time.Millisecond
 )
 
-// Experience merges the nodes' samples of worker behavior into verdicts.
-type Experience interface {
+// OutlierDetector merges the nodes' samples of worker behavior into verdicts.
+type OutlierDetector interface {
 	// Add adds a node's samples of a group's workers.
 	Add(group Group, from string, samples []outlier.Sample, now time.Time)
 	// Verdicts returns the merged verdicts on a group's workers.
@@ -31,13 +31,13 @@
 
 // CoordinatorOptions configures a Coordinator.
 type CoordinatorOptions struct {
-	Process string
-	Slots   *KeeperResolver
+	Process  string
+	Resolver *CoordinatorResolver
 	// Members returns the workers of a group that may receive requests. ok is false if this process
 	// does not have the records of all of them.
 	Members func(Group) (members []Member, ok bool)
-	// Experience provides the verdicts on workers; nil: none.
-	Experience Experience
+	// OutlierDetector provides the verdicts on workers; nil: none.
+	OutlierDetector OutlierDetector
 	// OnAnswer is called with each answer to a query.
 	OnAnswer func(Outcome, Reason)
 	Logger   log.Interface
@@ -92,13 +92,13 @@
 
 // mergeSamples adds a node's samples and returns the merged verdicts on the group's workers.
 func (c *Coordinator) mergeSamples(report Report, now time.Time) []outlier.Verdict {
-	if c.options.Experience == nil {
+	if c.options.OutlierDetector == nil {
 		return nil
 	}
 	if len(report.Learnt) > 0 {
-		c.options.Experience.Add(report.Group, report.From, report.Learnt, now)
+		c.options.OutlierDetector.Add(report.Group, report.From, report.Learnt, now)
 	}
-	return c.options.Experience.Verdicts(report.Group, now)
+	return c.options.OutlierDetector.Verdicts(report.Group, now)
 }
 
 // withoutAvoided removes the workers that have an active verdict against them, unless none would be
@@ -135,7 +135,7 @@
 	if request.Passed {
 		return true
 	}
-	coordinator, _, ok := c.options.Slots.coordinator(request.Report.Group, func(string) bool { return false })
+	coordinator, _, ok := c.options.Resolver.coordinator(request.Report.Group, func(string) bool { return false })
 	return ok && coordinator.Process == c.options.Process
 }
 
--- a/internal/capacity/reservation.go
+++ b/internal/capacity/reservation.go
@@ -16,8 +16,8 @@
 	once    sync.Once
 }
 
-// Worker returns the key of the worker; empty for a nil Reservation.
-func (r *Reservation) Worker() string {
+// WorkerKey returns the key of the worker; empty for a nil Reservation.
+func (r *Reservation) WorkerKey() string {
 	if r == nil {
 		return ""
 	}
--- a/internal/capacity/reserve.go
+++ b/internal/capacity/reserve.go
@@ -38,13 +38,13 @@
 
 // Values of Source.
 const (
-	SourceUntracked Source = "none"   // no group: capacity is not tracked, the home worker is in another region, or this zone is not allowed
-	SourceLocal     Source = "calm"   // the load is low or not known yet; no query was sent
-	SourceKeeper    Source = "keeper" // the group's coordinator assigned a worker
-	SourceOtherZone Source = "away"   // the coordinator of a group in another zone assigned a worker, since the first group was full
-	SourceFull      Source = "full"   // no coordinator had capacity within the maximum wait
-	SourceUnsettled Source = "new"    // the coordinator cannot decide: not all nodes have reported yet, or it has no eligible worker
-	SourceNoAnswer  Source = "silent" // no coordinator is available, or it did not answer in time
+	SourceUntracked   Source = "none"   // no group: capacity is not tracked, the home worker is in another region, or this zone is not allowed
+	SourceLocal       Source = "calm"   // the load is low or not known yet; no query was sent
+	SourceCoordinator Source = "keeper" // the group's coordinator assigned a worker
+	SourceOtherZone   Source = "away"   // the coordinator of a group in another zone assigned a worker, since the first group was full
+	SourceFull        Source = "full"   // no coordinator had capacity within the maximum wait
+	SourceUnsettled   Source = "new"    // the coordinator cannot decide: not all nodes have reported yet, or it has no eligible worker
+	SourceNoAnswer    Source = "silent" // no coordinator is available, or it did not answer in time
 )
 
 // Placement is the result of Reserve. Without a Reservation the node chooses a worker from its
@@ -53,10 +53,10 @@
 	Reservation *Reservation
 	Source      Source
 	Group       Group
-	Keeper      string        // process that was queried last
+	Coordinator string        // process that was queried last
 	Reason      Reason        // reason of the coordinator's decision
-	Busy        float64       // utilization of the group, see Answer.Busy; 0 if not known
-	Age         time.Duration // age of Busy; 0 if a query returned it
+	Utilization float64       // utilization of the group, see Answer.Busy; 0 if not known
+	Age         time.Duration // age of Utilization; 0 if a query returned it
 	Took        time.Duration // duration of Reserve
 }
 
@@ -122,9 +122,9 @@
 	if !ok {
 		return Placement{Source: SourceLocal, Group: group}, true
 	}
-	placement = Placement{Source: SourceLocal, Group: group, Keeper: state.coordinator}
+	placement = Placement{Source: SourceLocal, Group: group, Coordinator: state.coordinator}
 	if utilization, age, known := state.Utilization(now); known {
-		placement.Busy, placement.Age = utilization, age
+		placement.Utilization, placement.Age = utilization, age
 	}
 	return placement, state.CanDecideLocally(now)
 }
@@ -132,11 +132,11 @@
 // queryGroup queries a group's coordinator, which may hold the query for up to hold.
 func (c *Client) queryGroup(ctx context.Context, group Group, request PlacementRequest, hold time.Duration) (Answer, Placement) {
 	placement := Placement{Source: SourceNoAnswer, Group: group}
-	coordinator, passed, ok := c.options.Slots.coordinator(group, c.isSuspected)
+	coordinator, passed, ok := c.options.Resolver.coordinator(group, c.isSuspected)
 	if !ok {
 		return Answer{}, placement
 	}
-	placement.Keeper = coordinator.Process
+	placement.Coordinator = coordinator.Process
 	answer, sequence, ok := c.query(ctx, group, coordinator, passed, c.newAsk(request, group, hold))
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -148,10 +148,10 @@
 	if !ok || !answer.Keeper {
 		return Answer{}, placement
 	}
-	placement.Busy, placement.Reason = answer.Busy, answer.Reason
+	placement.Utilization, placement.Reason = answer.Busy, answer.Reason
 	switch answer.Outcome {
 	case OutcomeAssigned:
-		placement.Source = SourceKeeper
+		placement.Source = SourceCoordinator
 		state.BeginGranted(answer.Worker, request.Tokens)
 		placement.Reservation = &Reservation{client: c, group: group, worker: answer.Worker, tokens: request.Tokens, started: time.Now()}
 	case OutcomeUnknown:
@@ -165,7 +165,7 @@
 // query sends a query to a coordinator and waits for the answer. It returns the sequence of the
 // query, 0 if none was sent, and whether the coordinator answered.
 func (c *Client) query(ctx context.Context, group Group, coordinator budget.Holder, passed bool, ask Ask) (Answer, uint64, bool) {
-	timeout := c.options.Patience.For(coordinator.Process, queryTimeout, maxQueryTimeout)
+	timeout := c.options.ResponseTimes.For(coordinator.Process, queryTimeout, maxQueryTimeout)
 	queryCtx, cancel := context.WithTimeout(ctx, timeout+ask.Patience)
 	defer cancel()
 	request, sequence := c.newRequest(group, coordinator, passed, &ask)
--- a/internal/capacity/resolver.go
+++ b/internal/capacity/resolver.go
@@ -17,9 +17,9 @@
 	RequestRefresh()
 }
 
-// KeeperResolver resolves the coordinator of each group: the owner of a directory slot in the
+// CoordinatorResolver resolves the coordinator of each group: the owner of a directory slot in the
 // region of the group's workers.
-type KeeperResolver struct {
+type CoordinatorResolver struct {
 	Layout     directory.Layout
 	Localities *locality.ZoneMap
 	Owners     SlotOwners
@@ -31,7 +31,7 @@
 // answering owner in the group's zone, in the order of its ranked slots, or else the first in
 // another zone. Processes for which skip is true are skipped. passed reports that a process of
 // higher rank was skipped or does not answer. ok is false if there is no such owner.
-func (s *KeeperResolver) coordinator(group Group, skip func(process string) bool) (coordinator budget.Holder, passed, ok bool) {
+func (s *CoordinatorResolver) coordinator(group Group, skip func(process string) bool) (coordinator budget.Holder, passed, ok bool) {
 	for _, slot := range s.slotsFor(group) {
 		owner, answering := s.Owners.Owner(slot)
 		sameZone := locality.ZoneOf(owner.Process) == group.Zone
@@ -49,7 +49,7 @@
 }
 
 // slotsFor returns the slots whose owners may coordinate a group, best first.
-func (s *KeeperResolver) slotsFor(group Group) []int {
+func (s *CoordinatorResolver) slotsFor(group Group) []int {
 	if cached, ok := s.ranked.Load(group); ok {
 		return cached.([]int)
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -60,7 +60,7 @@
 // Answer is the owner's reply to a Request.
 type Answer struct {
 	Owner   bool // whether the receiver owns the slot; if false, the other fields are empty
-	Located budget.LocateResult
+	Located budget.Located
 	RanBy   budget.Holder // process that ran the turn Request.After; empty Process if unknown
 }
 
@@ -74,18 +74,18 @@
 	Store store.Store
 	Self  budget.Holder
 	Peers Peers
-	// Patience estimates the response times of other processes; nil if they are not measured.
-	Patience timing.TimeoutFunc
-	// Vantage is the location of this node, which owns slots of its own region only.
-	Vantage locality.Location
+	// ResponseTimes estimates the response times of other processes; nil if they are not measured.
+	ResponseTimes timing.TimeoutFunc
+	// Location is the location of this node, which owns slots of its own region only.
+	Location locality.Location
 	// PermitDuration is how long a permit stays in effect. Once a process has owned a slot for longer,
 	// permits issued by its predecessors have expired.
 	PermitDuration time.Duration
-	// Grants sends grant requests to other nodes. CountGrant, if not nil, is called with the
-	// outcome of each grant request that this node answers.
-	Grants     GrantPeers
-	CountGrant func(GrantOutcome)
-	Logger     log.Interface
+	// Grants sends grant requests to other nodes. OnGrantOutcome, if not nil, is called with
+	// the outcome of each grant request that this node answers.
+	Grants         GrantPeers
+	OnGrantOutcome func(GrantOutcome)
+	Logger         log.Interface
 }
 
 // Directory holds this process's view of slot ownership, and the entries of the slots it owns.
@@ -131,7 +131,7 @@
 }
 
 // located returns the entry as a hint for requester, without requester itself.
-func (e *entry) located(requester budget.Holder, now time.Time) (located budget.LocateResult) {
+func (e *entry) located(requester budget.Holder, now time.Time) (located budget.Located) {
 	for _, holder := range slices.Backward(e.holders) {
 		if holder != requester {
 			located.Holders = append(located.Holders, holder)
@@ -166,11 +166,11 @@
 
 // New returns a directory whose slots have not been read yet; Run reads them.
 func New(options Options) *Directory {
-	layout := NewLayout(options.Vantage.Zones)
+	layout := NewLayout(options.Location.Zones)
 	return &Directory{
 		options:     options,
 		layout:      layout,
-		region:      layout.index(options.Vantage.OwnRegion()),
+		region:      layout.index(options.Location.OwnRegion()),
 		owners:      make([]owner, layout.SlotCount()),
 		refreshNow:  make(chan struct{}, 1),
 		suspicions:  map[int]suspicion{},
@@ -185,7 +185,7 @@
 
 // Locate implements budget.Locator. It returns nothing if the owner of the program's slot is
 // unknown or does not answer.
-func (d *Directory) Locate(ctx context.Context, program string) budget.LocateResult {
+func (d *Directory) Locate(ctx context.Context, program string) budget.Located {
 	return d.ask(ctx, Request{Program: program, From: d.options.Self}).Located
 }
 
@@ -211,7 +211,7 @@
 	if asked.Process == d.options.Self.Process {
 		return d.HandleRequest(request)
 	}
-	limited, cancel := context.WithTimeout(ctx, d.options.Patience.For(asked.Process, minLocateTimeout, maxLocateTimeout))
+	limited, cancel := context.WithTimeout(ctx, d.options.ResponseTimes.For(asked.Process, minLocateTimeout, maxLocateTimeout))
 	defer cancel()
 	answer, err := d.options.Peers.Locate(limited, asked.Address, request)
 	if ctx.Err() != nil {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -30,7 +30,7 @@
 	cancels           map[string]context.CancelFunc
 	isolated          map[string]bool // nodes whose messages are dropped
 	slow              map[string]bool // nodes whose messages are delayed by slowMessage
-	places            *locality.ZoneMap
+	zoneMap           *locality.ZoneMap
 	zones             map[string]string // by node address
 	partitionedRegion string            // region that is partitioned from the others; empty if none
 	starts            int
@@ -54,12 +54,12 @@
 	defer c.mutex.Unlock()
 	c.starts++
 	d := New(Options{
-		Store:   c.table,
-		Self:    budget.Holder{Process: fmt.Sprintf("p%d", c.starts), Address: address},
-		Peers:   clusterPeers{c, address},
-		Grants:  clusterPeers{c, address},
-		Vantage: locality.Location{Zones: c.places, Zone: c.zones[address]},
-		Logger:  &log.Logger{Handler: discard.New()},
+		Store:    c.table,
+		Self:     budget.Holder{Process: fmt.Sprintf("p%d", c.starts), Address: address},
+		Peers:    clusterPeers{c, address},
+		Grants:   clusterPeers{c, address},
+		Location: locality.Location{Zones: c.zoneMap, Zone: c.zones[address]},
+		Logger:   &log.Logger{Handler: discard.New()},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	c.nodes[address], c.cancels[address] = d, cancel
--- a/internal/directory/grant.go
+++ b/internal/directory/grant.go
@@ -167,8 +167,8 @@
 		return GrantAnswer{}
 	}
 	d.record(Request{Program: request.Program, From: request.From})
-	if d.options.CountGrant != nil {
-		d.options.CountGrant(outcome)
+	if d.options.OnGrantOutcome != nil {
+		d.options.OnGrantOutcome(outcome)
 	}
 	d.options.Logger.WithField("program", request.Program).WithField("outcome", string(outcome)).
 		WithField("tokens", grant.Tokens).WithField("asker", request.From.Process).Info("handled grant request")
--- a/internal/directory/grant_simulation_test.go
+++ b/internal/directory/grant_simulation_test.go
@@ -65,7 +65,7 @@
 	peers := simulationPeers{w, node}
 	node.directory = New(Options{
 		Store: table, Self: self, Peers: peers, Grants: peers, Logger: &log.Logger{Handler: discard.New()},
-		CountGrant: func(outcome GrantOutcome) {
+		OnGrantOutcome: func(outcome GrantOutcome) {
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
 			if outcome == GrantMade {
--- a/internal/directory/grant_test.go
+++ b/internal/directory/grant_test.go
@@ -220,19 +220,19 @@
 
 // A program must have a single granting slot, whichever region it enters through.
 func TestGrantSlotIsTheSameInAllRegions(t *testing.T) {
-	places := locality.NewMap(map[string]string{"a1": "a", "b1": "b", "c1": "c"})
+	zoneMap := locality.NewMap(map[string]string{"a1": "a", "b1": "b", "c1": "c"})
 	used := map[string]bool{}
 	for index := range 100 {
 		program := programOf(index)
 		var slot int
 		for _, zone := range []string{"a1", "b1", "c1"} {
-			d := New(Options{Vantage: locality.Location{Zones: places, Zone: zone}})
+			d := New(Options{Location: locality.Location{Zones: zoneMap, Zone: zone}})
 			if zone != "a1" {
 				require.Equal(t, slot, d.grantSlotOf(program))
 			}
 			slot = d.grantSlotOf(program)
 		}
-		used[NewLayout(places).RegionOf(slot)] = true
+		used[NewLayout(zoneMap).RegionOf(slot)] = true
 	}
 	require.Len(t, used, 3, "grants are spread over all regions")
 }
--- a/internal/directory/layout.go
+++ b/internal/directory/layout.go
@@ -15,8 +15,8 @@
 	regions []string
 }
 
-// NewLayout returns the layout of the regions in places; a nil map is a single region.
-func NewLayout(places *locality.ZoneMap) Layout { return Layout{regions: places.Regions()} }
+// NewLayout returns the layout of the regions in zoneMap; a nil map is a single region.
+func NewLayout(zoneMap *locality.ZoneMap) Layout { return Layout{regions: zoneMap.Regions()} }
 
 // SlotCount returns the number of slots of all regions.
 func (l Layout) SlotCount() int { return l.count() * slotsPerRegion }
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -22,7 +22,7 @@
 // a region alternate between its zones.
 func newRegionalCluster(nodes int) *cluster {
 	c := newCluster(0)
-	c.places, c.zones = locality.NewMap(regionZones), map[string]string{}
+	c.zoneMap, c.zones = locality.NewMap(regionZones), map[string]string{}
 	for index := range nodes {
 		c.zones[address(index)] = fmt.Sprintf("%c%d", "abc"[index%3], 1+index/3%2)
 		c.start(address(index))
@@ -35,14 +35,14 @@
 	if c.partitionedRegion == "" {
 		return false
 	}
-	return (c.places.Region(c.zones[one]) == c.partitionedRegion) != (c.places.Region(c.zones[other]) == c.partitionedRegion)
+	return (c.zoneMap.Region(c.zones[one]) == c.partitionedRegion) != (c.zoneMap.Region(c.zones[other]) == c.partitionedRegion)
 }
 
 // misplacedSlots counts the slots owned by nodes of other regions, according to all nodes' views.
 func (c *cluster) misplacedSlots() (count int) {
 	for address, d := range c.nodes {
 		for slot := range d.layout.SlotCount() {
-			if d.owns(slot) && d.layout.RegionOf(slot) != c.places.Region(c.zones[address]) {
+			if d.owns(slot) && d.layout.RegionOf(slot) != c.zoneMap.Region(c.zones[address]) {
 				count++
 			}
 		}
@@ -90,7 +90,7 @@
 			require.Equal(t, []budget.Holder{requester.options.Self}, other.Locate(t.Context(), programOf(program)).Holders)
 			owner, ok := other.Owner(other.slotOf(programOf(program)))
 			require.True(t, ok)
-			require.Equal(t, "a", c.places.Region(c.zones[owner.Address]), "the owner is in the same region")
+			require.Equal(t, "a", c.zoneMap.Region(c.zones[owner.Address]), "the owner is in the same region")
 		}
 	})
 }
--- a/internal/eligibility/eligibility.go
+++ b/internal/eligibility/eligibility.go
@@ -5,16 +5,16 @@
 
 import "github.com/cloverwheel/cloverwheel/internal/locality"
 
-// Verdict is the result of a check. Verdicts after NeedsWarmupPlace forbid sending.
+// Verdict is the result of a check. Verdicts after NeedsWarmupPermit forbid sending.
 type Verdict int
 
 // Results of Check.
 const (
 	// Allowed: the request may be sent.
 	Allowed Verdict = iota
-	// NeedsWarmupPlace: the worker is cold; the request may be sent only with a permit from the worker's
+	// NeedsWarmupPermit: the worker is cold; the request may be sent only with a permit from the worker's
 	// warm-up limit.
-	NeedsWarmupPlace
+	NeedsWarmupPermit
 	// Draining: the worker is draining and must get no new work.
 	Draining
 	// Evacuated: the worker's zone is being evacuated and must get no new work.
@@ -28,7 +28,7 @@
 	switch v {
 	case Allowed:
 		return "allowed"
-	case NeedsWarmupPlace:
+	case NeedsWarmupPermit:
 		return "metered"
 	case Draining:
 		return "leaving"
@@ -40,7 +40,7 @@
 }
 
 // Refused reports whether the request must not be sent at all.
-func (v Verdict) Refused() bool { return v > NeedsWarmupPlace }
+func (v Verdict) Refused() bool { return v > NeedsWarmupPermit }
 
 // Request holds the properties of a request that are checked.
 type Request struct {
@@ -66,7 +66,7 @@
 	case worker.Draining:
 		return Draining
 	case worker.Cold:
-		return NeedsWarmupPlace
+		return NeedsWarmupPermit
 	default:
 		return Allowed
 	}
--- a/internal/eligibility/eligibility_test.go
+++ b/internal/eligibility/eligibility_test.go
@@ -22,11 +22,11 @@
 		{"empty region list", Request{Regions: locality.Regions{}}, Worker{Region: "a"}, OutsideRegions},
 		{"evacuated zone, cold", Request{}, Worker{Evacuated: true, Cold: true}, Evacuated},
 		{"draining, cold", Request{}, Worker{Draining: true, Cold: true}, Draining},
-		{"cold", Request{}, Worker{Cold: true}, NeedsWarmupPlace},
+		{"cold", Request{}, Worker{Cold: true}, NeedsWarmupPermit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			require.Equal(t, c.verdict, Check(c.request, c.worker))
-			require.Equal(t, c.verdict != Allowed && c.verdict != NeedsWarmupPlace, c.verdict.Refused())
+			require.Equal(t, c.verdict != Allowed && c.verdict != NeedsWarmupPermit, c.verdict.Refused())
 		})
 	}
 }
--- a/internal/evacuation/tracker.go
+++ b/internal/evacuation/tracker.go
@@ -22,24 +22,25 @@
 	FromNode  Source = "node"  // another node
 )
 
-// ZoneState is the state of a zone as of a revision of its row.
-type ZoneState struct {
+// Word is the state of a zone as of a revision of its row. It is sent between nodes with gob: its
+// name and those of its fields are part of the encoding.
+type Word struct {
 	Zone      string
 	Evacuated bool // false: the evacuation was ended
 	Revision  store.Version
 }
 
 // Snapshot is the state that a node has cached. It is complete up to Revision: a zone without a
-// ZoneState was not evacuated then. Words newer than Revision are states after later changes. The zero value is
-// empty.
+// Word was not evacuated then. Words newer than Revision are states after later changes. The zero
+// value is empty.
 type Snapshot struct {
 	Revision store.Version
-	Words    []ZoneState // sorted by zone
+	Words    []Word // sorted by zone
 }
 
 // Change is the start or the end of the evacuation of a zone.
 type Change struct {
-	ZoneState
+	Word
 	Source Source
 }
 
@@ -47,7 +48,7 @@
 type state struct {
 	known    bool          // a full read of the rows was applied
 	revision store.Version // of the last full read, which covers all states up to it
-	zones    map[string]ZoneState
+	zones    map[string]Word
 }
 
 // Tracker holds the latest state of each zone. It is safe for concurrent use. The zero value
@@ -79,14 +80,14 @@
 
 // Apply applies the state of one zone. It is ignored unless it is newer than the cached one and
 // the last full read, so that a stale row cannot restart an evacuation that was ended.
-func (t *Tracker) Apply(zoneState ZoneState, source Source) {
+func (t *Tracker) Apply(zoneState Word, source Source) {
 	t.update(source, func(next *state) { next.apply(zoneState) })
 }
 
 // ApplyFullRead applies a full read of the rows at a revision. It ends the evacuation of each zone
 // without a row, unless a newer state of the zone is cached. A read older than the last one
 // changes no zone.
-func (t *Tracker) ApplyFullRead(revision store.Version, rows []ZoneState) {
+func (t *Tracker) ApplyFullRead(revision store.Version, rows []Word) {
 	t.update(FromStore, func(next *state) {
 		next.known = true
 		next.merge(Snapshot{Revision: revision, Words: rows})
@@ -101,7 +102,7 @@
 // Snapshot returns the state of the tracker, to be sent to other nodes.
 func (t *Tracker) Snapshot() Snapshot {
 	current := t.load()
-	zones := slices.SortedFunc(maps.Values(current.zones), func(one, other ZoneState) int {
+	zones := slices.SortedFunc(maps.Values(current.zones), func(one, other Word) int {
 		return cmp.Compare(one.Zone, other.Zone)
 	})
 	return Snapshot{Revision: current.revision, Words: zones}
@@ -113,7 +114,7 @@
 	before := t.load()
 	next := &state{known: before.known, revision: before.revision, zones: maps.Clone(before.zones)}
 	if next.zones == nil {
-		next.zones = map[string]ZoneState{}
+		next.zones = map[string]Word{}
 	}
 	change(next)
 	t.notify(before, next, source) // before publishing: a zone reopens only after its workers are marked cold
@@ -127,18 +128,18 @@
 	}
 	for zone, zoneState := range next.zones {
 		if zoneState.Evacuated != before.zones[zone].Evacuated {
-			t.changed(Change{ZoneState: zoneState, Source: source})
+			t.changed(Change{Word: zoneState, Source: source})
 		}
 	}
 	for zone, zoneState := range before.zones {
 		if _, exists := next.zones[zone]; !exists && zoneState.Evacuated {
-			t.changed(Change{ZoneState: ZoneState{Zone: zone, Revision: next.revision}, Source: source})
+			t.changed(Change{Word: Word{Zone: zone, Revision: next.revision}, Source: source})
 		}
 	}
 }
 
 // apply stores the state of a zone if it is newer than the cached one and the last full read.
-func (s *state) apply(zoneState ZoneState) {
+func (s *state) apply(zoneState Word) {
 	if zoneState.Revision > s.revision && zoneState.Revision > s.zones[zoneState.Zone].Revision {
 		s.zones[zoneState.Zone] = zoneState
 	}
@@ -156,7 +157,7 @@
 	}
 	cached := s.zones
 	s.known = true
-	s.revision, s.zones = snapshot.Revision, make(map[string]ZoneState, len(snapshot.Words))
+	s.revision, s.zones = snapshot.Revision, make(map[string]Word, len(snapshot.Words))
 	for _, zoneState := range snapshot.Words {
 		if zoneState.Evacuated || zoneState.Revision > s.revision {
 			s.zones[zoneState.Zone] = zoneState
--- a/internal/evacuation/tracker_test.go
+++ b/internal/evacuation/tracker_test.go
@@ -9,12 +9,12 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-func evacuated(zone string, revision store.Version) ZoneState {
-	return ZoneState{Zone: zone, Evacuated: true, Revision: revision}
+func evacuated(zone string, revision store.Version) Word {
+	return Word{Zone: zone, Evacuated: true, Revision: revision}
 }
 
-func ended(zone string, revision store.Version) ZoneState {
-	return ZoneState{Zone: zone, Revision: revision}
+func ended(zone string, revision store.Version) Word {
+	return Word{Zone: zone, Revision: revision}
 }
 
 func TestOlderStateIsIgnored(t *testing.T) {
@@ -32,7 +32,7 @@
 	tracker := New(nil)
 	tracker.Apply(evacuated("a", 5), FromStore)
 	tracker.Apply(evacuated("b", 12), FromNode)
-	tracker.ApplyFullRead(10, []ZoneState{evacuated("c", 8)})
+	tracker.ApplyFullRead(10, []Word{evacuated("c", 8)})
 	require.False(t, tracker.Evacuated("a"), "its row is missing from a newer full read")
 	require.True(t, tracker.Evacuated("b"), "a newer state must be kept")
 	require.True(t, tracker.Evacuated("c"))
@@ -43,14 +43,14 @@
 
 func TestOlderFullReadIsIgnored(t *testing.T) {
 	tracker := New(nil)
-	tracker.ApplyFullRead(10, []ZoneState{evacuated("a", 8)})
+	tracker.ApplyFullRead(10, []Word{evacuated("a", 8)})
 	tracker.ApplyFullRead(6, nil)
 	require.True(t, tracker.Evacuated("a"))
 }
 
 func TestZonesAreIndependent(t *testing.T) {
 	tracker := New(nil)
-	tracker.ApplyFullRead(10, []ZoneState{evacuated("a", 8), evacuated("b", 9)})
+	tracker.ApplyFullRead(10, []Word{evacuated("a", 8), evacuated("b", 9)})
 	tracker.Apply(ended("a", 11), FromStore)
 	require.False(t, tracker.Evacuated("a"))
 	require.True(t, tracker.Evacuated("b"))
@@ -93,7 +93,7 @@
 }
 
 // operatorTable is the reference model: the operator's change at each revision, from 1.
-type operatorTable []ZoneState
+type operatorTable []Word
 
 // at reports whether a zone is evacuated at a revision.
 func (t operatorTable) at(zone string, revision store.Version) bool {
@@ -109,10 +109,10 @@
 var zones = []string{"a", "b", "c"}
 
 // rows returns the rows of a full read at a revision.
-func (t operatorTable) rows(revision store.Version) (rows []ZoneState) {
+func (t operatorTable) rows(revision store.Version) (rows []Word) {
 	for _, zone := range zones {
 		if t.at(zone, revision) {
-			last := ZoneState{}
+			last := Word{}
 			for _, change := range t[:revision] {
 				if change.Zone == zone {
 					last = change
@@ -143,7 +143,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				zone := rapid.SampledFrom(zones).Draw(t, "zone")
-				table = append(table, ZoneState{Zone: zone, Evacuated: !table.at(zone, store.Version(len(table))), Revision: store.Version(len(table) + 1)})
+				table = append(table, Word{Zone: zone, Evacuated: !table.at(zone, store.Version(len(table))), Revision: store.Version(len(table) + 1)})
 			case 1:
 				if revision > 0 {
 					trackers[tracker].Apply(table[revision-1], FromStore)
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -33,7 +33,7 @@
 // that the request may not use. It returns nil if one is not, or if there are no workers. Unlike
 // a lack of capacity, closed zones do not open while the request waits.
 func (x *exchange) checkServiceOpen(service string, only []string) *fault.Error {
-	reason, evacuated := x.options.Workers.WhyClosed(service, x.allowedRegions(), only)
+	reason, evacuated := x.options.Workers.ClosedReason(service, x.allowedRegions(), only)
 	var refusal *fault.Error
 	switch reason {
 	case eligibility.Evacuated:
--- a/internal/forward/availability_test.go
+++ b/internal/forward/availability_test.go
@@ -21,7 +21,7 @@
 
 func (f *fixture) evacuate(revision store.Version, zones ...string) {
 	for _, zone := range zones {
-		f.tracker.Apply(evacuation.ZoneState{Zone: zone, Evacuated: true, Revision: revision}, evacuation.FromStore)
+		f.tracker.Apply(evacuation.Word{Zone: zone, Evacuated: true, Revision: revision}, evacuation.FromStore)
 	}
 }
 
@@ -33,7 +33,7 @@
 		f.workerAt("away", "y", answers(http.StatusOK, "away"))
 		f.evacuate(1, "z")
 		require.Equal(t, "away", f.serve(t.Context(), nil).body.String())
-		f.tracker.Apply(evacuation.ZoneState{Zone: "z", Revision: 2}, evacuation.FromStore)
+		f.tracker.Apply(evacuation.Word{Zone: "z", Revision: 2}, evacuation.FromStore)
 		require.Equal(t, "near", f.serve(t.Context(), nil).body.String(), "the evacuation has ended")
 	})
 }
--- a/internal/forward/capacity.go
+++ b/internal/forward/capacity.go
@@ -44,7 +44,7 @@
 	if reservation == nil {
 		return nil
 	}
-	worker, ok := x.options.Workers.WorkerByKey(reservation.Worker())
+	worker, ok := x.options.Workers.WorkerByKey(reservation.WorkerKey())
 	if !ok || x.options.Workers.Check(worker, x.allowedRegions()).Refused() {
 		reservation.Release()
 		return nil
@@ -120,12 +120,12 @@
 	}
 	fields["room"] = string(found.Source)
 	fields["room_group"] = found.Group.String()
-	fields["room_busy"] = float64(int(100*found.Busy)) / 100
+	fields["room_busy"] = float64(int(100*found.Utilization)) / 100
 	if found.Source == capacity.SourceLocal {
 		fields["room_age_ms"] = found.Age.Milliseconds()
 		return
 	}
 	fields["room_ms"] = x.capacityWait.Milliseconds()
-	fields["room_keeper"] = found.Keeper
+	fields["room_keeper"] = found.Coordinator
 	fields["room_reason"] = string(found.Reason)
 }
--- a/internal/forward/capacity_test.go
+++ b/internal/forward/capacity_test.go
@@ -32,10 +32,10 @@
 func withCapacity(f *fixture) *localCapacity {
 	o := &localCapacity{f: f}
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
-	slots := &capacity.KeeperResolver{Owners: o}
-	coordinator := capacity.NewCoordinator(capacity.CoordinatorOptions{Process: "z/n/1", Slots: slots, Members: o.members, OnAnswer: func(capacity.Outcome, capacity.Reason) {}, Logger: logger})
+	slots := &capacity.CoordinatorResolver{Owners: o}
+	coordinator := capacity.NewCoordinator(capacity.CoordinatorOptions{Process: "z/n/1", Resolver: slots, Members: o.members, OnAnswer: func(capacity.Outcome, capacity.Reason) {}, Logger: logger})
 	o.client = capacity.NewClient(capacity.ClientOptions{
-		Self: budget.Holder{Process: "z/n/1"}, Zone: "z", Slots: slots, Workers: o, Keeper: coordinator,
+		Self: budget.Holder{Process: "z/n/1"}, Zone: "z", Resolver: slots, Workers: o, Coordinator: coordinator,
 		OnFind: func(capacity.Placement) {}, OnReport: func(bool) {}, Logger: logger,
 	})
 	f.forwarder.options.Capacity = o.client
@@ -161,7 +161,7 @@
 		f.worker("a", streams(1, 0))
 		f.workerAt("y", "y", streams(1, 0))
 		capacity.fill(t, map[string]int{"a": 1})
-		f.tracker.Apply(evacuation.ZoneState{Zone: "z", Evacuated: true, Revision: 2}, evacuation.FromStore)
+		f.tracker.Apply(evacuation.Word{Zone: "z", Evacuated: true, Revision: 2}, evacuation.FromStore)
 		got := f.serve(t.Context(), nil)
 		require.True(t, got.ended)
 		require.Equal(t, []string{"y"}, workersOf(f.sent()))
--- a/internal/forward/finder.go
+++ b/internal/forward/finder.go
@@ -10,8 +10,8 @@
 	// workers into the node's registry. All nodes return the same IDs. It returns none where
 	// nodes hold the whole list: there, every worker soon has the prefix cached.
 	PrefixWorkers(ctx context.Context, sharedPart string) []string
-	// NoteNoCapacity records that no worker known to this node could take a request.
-	NoteNoCapacity()
+	// RecordNoCapacity records that no worker known to this node could take a request.
+	RecordNoCapacity()
 }
 
 // lookUpWorkers loads the worker that holds the program's context or, if it is not found, those
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -64,7 +64,7 @@
 
 func newFixture(t *testing.T, routes ...route.Route) *fixture {
 	f := &fixture{t: t, table: storetest.New(), scripts: map[string]script{}, tracker: evacuation.New(nil)}
-	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Dial: f.dial, Places: testPlaces, Evacuated: f.tracker.Evacuated})
+	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Dial: f.dial, Zones: testPlaces, Evacuated: f.tracker.Evacuated})
 	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
 	table := store.Store(f.table)
 	f.forwarder = New(Options{
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -267,7 +267,7 @@
 
 func (x *exchange) noWorkerError(err error) *fault.Error {
 	if x.options.Finder != nil {
-		x.options.Finder.NoteNoCapacity()
+		x.options.Finder.RecordNoCapacity()
 	}
 	refusal := fault.From(err)
 	if x.declines > 0 {
--- a/internal/forward/history_test.go
+++ b/internal/forward/history_test.go
@@ -82,7 +82,7 @@
 type spreadLocator struct{ count int }
 
 // Locate implements budget.Locator.
-func (l spreadLocator) Locate(context.Context, string) (located budget.LocateResult) {
+func (l spreadLocator) Locate(context.Context, string) (located budget.Located) {
 	for index := range l.count {
 		located.Holders = append(located.Holders, budget.Holder{Process: fmt.Sprint("h", index)})
 	}
--- a/internal/forward/presend.go
+++ b/internal/forward/presend.go
@@ -62,7 +62,7 @@
 // is final.
 func (x *exchange) clear(ctx context.Context, worker *backend.Worker) (cleared bool, refusal *fault.Error) {
 	var permit WarmupPermit
-	if x.options.Workers.Check(worker, x.allowedRegions()) == eligibility.NeedsWarmupPlace {
+	if x.options.Workers.Check(worker, x.allowedRegions()) == eligibility.NeedsWarmupPermit {
 		permit = x.acquireWarmupPermit(ctx, worker)
 	}
 	if x.clientCtx.Err() != nil {
@@ -72,7 +72,7 @@
 		return false, refusal
 	}
 	verdict := x.options.Workers.Check(worker, x.allowedRegions())
-	if verdict.Refused() || verdict == eligibility.NeedsWarmupPlace && !permit.valid() {
+	if verdict.Refused() || verdict == eligibility.NeedsWarmupPermit && !permit.valid() {
 		x.options.Metrics.BlockedSends.WithLabelValues(verdict.String()).Inc()
 		x.recordSendFailure(worker, x.blockReason(worker, verdict))
 		x.exclude(worker.Key())
@@ -84,7 +84,7 @@
 // blockReason returns why a request may not be sent to a worker. For a cold worker it includes
 // the source and the age of that information.
 func (x *exchange) blockReason(worker *backend.Worker, verdict eligibility.Verdict) string {
-	if verdict != eligibility.NeedsWarmupPlace {
+	if verdict != eligibility.NeedsWarmupPermit {
 		return verdict.String()
 	}
 	warmth := x.options.Workers.Warmth(worker)
--- a/internal/forward/presend_test.go
+++ b/internal/forward/presend_test.go
@@ -46,7 +46,7 @@
 		Host: "h", PathPrefix: "/p/", Kind: route.Safe, Timeout: time.Second, Objective: 100 * time.Millisecond, MaxAttempts: 2,
 		Targets: []route.Target{{Service: "s", Weight: 1}},
 	})
-	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Places: testPlaces, Dial: f.dial, Cold: func(string) (bool, time.Duration) { return true, time.Second }})
+	f.workers = backend.NewRegistry(backend.Options{Zone: "z", Zones: testPlaces, Dial: f.dial, Cold: func(string) (bool, time.Duration) { return true, time.Second }})
 	limiter := &fakeLimiter{acquire: acquire}
 	f.forwarder.options.Workers, f.forwarder.options.WarmupLimiter = f.workers, limiter
 	for _, name := range cold {
--- a/internal/forward/program.go
+++ b/internal/forward/program.go
@@ -63,7 +63,7 @@
 		Route:        x.route.Name,
 		Program:      x.tenant.Scope(x.request.Program),
 		Urgency:      x.route.Priority,
-		Line:         x.request.Branch,
+		Branch:       x.request.Branch,
 		Begins:       x.home == "" && x.request.PreviousTurn == "",
 		Number:       turnNumber,
 		HasFinish:    true,
--- a/internal/forward/program_test.go
+++ b/internal/forward/program_test.go
@@ -106,7 +106,7 @@
 		turn := turnRoute(retained)
 		f := newFixture(t, turn)
 		f.setRoutes(turn)
-		f.forwarder.options.Admission = admission.NewGate(nil)
+		f.forwarder.options.Admission = admission.NewController(nil)
 		f.worker("w", streams(2, 0))
 		begin := func(r *Request) {
 			r.Program, r.Branch, r.HasFinish, r.TimeToFinish, r.TokenBudget, r.MaxOutputTokens = "p", "main", true, time.Second, 1000, 100
@@ -131,7 +131,7 @@
 		turn := turnRoute(retained)
 		f := newFixture(t, turn)
 		f.setRoutes(turn, 2)
-		f.forwarder.options.Admission = admission.NewGate(nil)
+		f.forwarder.options.Admission = admission.NewController(nil)
 		f.worker("w", streams(2, 0))
 		timed := func(program string) func(*Request) {
 			return func(r *Request) { r.ID, r.Program, r.HasFinish, r.TimeToFinish = program, program, true, time.Second }
@@ -151,7 +151,7 @@
 		turn := turnRoute(retained)
 		f := newFixture(t, turn)
 		f.setRoutes(turn)
-		f.forwarder.options.Admission = admission.NewGate(nil)
+		f.forwarder.options.Admission = admission.NewController(nil)
 		timed := func(id, from string) func(*Request) {
 			return func(r *Request) { r.ID, r.PreviousTurn, r.HasFinish, r.TimeToFinish = id, from, true, 0 }
 		}
--- a/internal/forward/region_test.go
+++ b/internal/forward/region_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t, plainRoute(route.Safe, 2))
 		places := locality.NewMap(map[string]string{"z": "a", "b1": "b"})
-		f.workers = backend.NewRegistry(backend.Options{Zone: "z", Places: places, Dial: f.dial})
+		f.workers = backend.NewRegistry(backend.Options{Zone: "z", Zones: places, Dial: f.dial})
 		lines := memory.New()
 		f.forwarder.options.Workers, f.forwarder.options.Logger = f.workers, &log.Logger{Handler: lines, Level: log.InfoLevel}
 		f.worker("near", declines)
--- a/internal/forward/watchdog.go
+++ b/internal/forward/watchdog.go
@@ -86,7 +86,7 @@
 	now := time.Now()
 	w := &watchdog{
 		logger: x.options.Logger.WithFields(log.Fields{"request": x.request.ID, "worker": worker.Key()}),
-		conn:   conn, worker: worker, estimates: x.options.Workers.Silences(x.service), minIdleTimeout: minIdleTimeout, waitForDeadline: waitForDeadline, repeatable: x.route.Repeatable(), movable: x.mayMove(worker.Key()),
+		conn:   conn, worker: worker, estimates: x.options.Workers.LatencyEstimates(x.service), minIdleTimeout: minIdleTimeout, waitForDeadline: waitForDeadline, repeatable: x.route.Repeatable(), movable: x.mayMove(worker.Key()),
 		sentAt: now, lastReceived: now, priority: x.priority(), cancel: cancel,
 	}
 	w.timer = time.AfterFunc(w.idleTimeout(), func() { w.check(ctx) })
--- a/internal/groupcommit/cluster_test.go
+++ b/internal/groupcommit/cluster_test.go
@@ -162,15 +162,15 @@
 			return slices.Contains(c.claims[group], index)
 		},
 		Store: node.gate, TableUnreachable: node.gate.Suspect, Limit: CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.crossPartition},
-		MaxPendingBytes: 8 << 20, Meter: c, Logger: logger,
+		MaxPendingBytes: 8 << 20, Metrics: c, Logger: logger,
 	})
 	writer := NewWriter(WriterOptions{
 		Process: processOf(index), Slots: slots, Owners: node, Peers: c, Committer: node.committer,
 		ThrottledSince: node.gate.ThrottledSince,
 		Limit:          CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.crossPartition}, Nodes: func() int { return slotOwners },
-		Meter: c, Logger: logger,
+		Metrics: c, Logger: logger,
 	})
-	node.turnStore = history.New(history.Options{Store: node.gate, CacheBytes: 1, Together: writer})
+	node.turnStore = history.New(history.Options{Store: node.gate, CacheBytes: 1, BatchWriter: writer})
 	return node
 }
 
@@ -198,8 +198,8 @@
 	n.noAnswerAt[slot] = time.Now()
 }
 
-// Gather implements Peers.
-func (c *testCluster) Gather(ctx context.Context, owner budget.Holder, request Request) (Answer, error) {
+// ForwardRows implements Peers.
+func (c *testCluster) ForwardRows(ctx context.Context, owner budget.Holder, request Request) (Answer, error) {
 	c.requests.Add(1)
 	var index int
 	_, err := fmt.Sscan(owner.Address, &index)
--- a/internal/groupcommit/committer.go
+++ b/internal/groupcommit/committer.go
@@ -38,7 +38,7 @@
 	Limit  CommitLimit
 	// MaxPendingBytes bounds the pending rows of all groups together.
 	MaxPendingBytes int
-	Meter           Metrics
+	Metrics         Metrics
 	Logger          log.Interface
 }
 
@@ -110,7 +110,7 @@
 	}
 	answer := c.buildAnswer(request.Group, queue, outcome)
 	answer.Took = time.Since(pending.arrived)
-	c.options.Meter.RecordWait(answer.Took)
+	c.options.Metrics.RecordWait(answer.Took)
 	return answer
 }
 
--- a/internal/groupcommit/queue.go
+++ b/internal/groupcommit/queue.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// A commit times out after commitTimeoutFactor times store.PatienceAtLeast, the usual timeout of a
+	// A commit times out after commitTimeoutFactor times store.HedgeDelayAtLeast, the usual timeout of a
 	// call, limited to minCommitTime and maxCommitTime. Its rows are then reported as failed to
 	// their senders.
 	commitTimeoutFactor = 4
@@ -143,7 +143,7 @@
 // commit writes the rows of requests in one transaction, with a timeout.
 func (c *Committer) commit(requests []*pendingRequest) error {
 	transaction := buildTransaction(requests)
-	limit := min(max(commitTimeoutFactor*store.PatienceAtLeast(c.options.Store, 0), minCommitTime), maxCommitTime)
+	limit := min(max(commitTimeoutFactor*store.HedgeDelayAtLeast(c.options.Store, 0), minCommitTime), maxCommitTime)
 	bound := locality.WithContentRegions(context.Background(), locality.Regions{c.options.Region})
 	ctx, cancel := context.WithTimeout(bound, limit)
 	defer cancel()
@@ -152,7 +152,7 @@
 	if err == nil {
 		c.callTime.Observe(time.Since(start))
 	}
-	c.options.Meter.RecordCommit(len(transaction.Put), err == nil)
+	c.options.Metrics.RecordCommit(len(transaction.Put), err == nil)
 	return err
 }
 
--- a/internal/groupcommit/relay_test.go
+++ b/internal/groupcommit/relay_test.go
@@ -47,7 +47,7 @@
 			table := store.NewRelayed(store.NewGate(unreachable, logger), relays, logger)
 			committer := NewCommitter(CommitterOptions{
 				Process: "p", Owns: func(int) bool { return true }, Store: table, TableUnreachable: table.Unreachable, Region: "here",
-				Limit: CommitLimit{PerSecond: 1500, Groups: Groups}, MaxPendingBytes: 1 << 20, Meter: &testCluster{}, Logger: logger,
+				Limit: CommitLimit{PerSecond: 1500, Groups: Groups}, MaxPendingBytes: 1 << 20, Metrics: &testCluster{}, Logger: logger,
 			})
 			for turn := range 20 {
 				name := fmt.Sprint("turn", turn)
--- a/internal/groupcommit/writer.go
+++ b/internal/groupcommit/writer.go
@@ -60,9 +60,9 @@
 
 // Peers sends requests to other nodes.
 type Peers interface {
-	// Gather sends a request to the owner of a group. It returns ErrRegionNotAllowed if the rows may
+	// ForwardRows sends a request to the owner of a group. It returns ErrRegionNotAllowed if the rows may
 	// not pass to the owner's region.
-	Gather(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
+	ForwardRows(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
 // ErrRegionNotAllowed means that the rows are restricted to regions other than the owner's.
@@ -74,18 +74,18 @@
 	Slots   Slots
 	Owners  Owners
 	Peers   Peers
-	// Patience estimates the response times of other nodes; nil means unknown.
-	Patience  timing.TimeoutFunc
-	Committer *Committer // this process's own
+	// ResponseTimes estimates the response times of other nodes; nil means unknown.
+	ResponseTimes timing.TimeoutFunc
+	Committer     *Committer // this process's own
 	// ThrottledSince reports whether the table has throttled a commit of this node since the given
 	// time.
 	ThrottledSince func(moment time.Time) bool
 	// Limit covers all groups. Nodes returns the number of nodes that write about as much as this
 	// one, from which the rate of all nodes is estimated.
-	Limit  CommitLimit
-	Nodes  func() int
-	Meter  Metrics
-	Logger log.Interface
+	Limit   CommitLimit
+	Nodes   func() int
+	Metrics Metrics
+	Logger  log.Interface
 }
 
 // Slots maps groups to the directory slots of the local region.
@@ -146,7 +146,7 @@
 		request.Again = attempt > 1
 		outcome, retry := w.sendToOwner(ctx, request)
 		if outcome != "" {
-			w.options.Meter.RecordForward(outcome)
+			w.options.Metrics.RecordForward(outcome)
 		}
 		if outcome == OutcomeStored {
 			return true
@@ -218,9 +218,9 @@
 	if owner.Process == w.options.Process {
 		return w.recordAnswer(request.Group, w.options.Committer.Answer(ctx, request))
 	}
-	limited, cancel := context.WithTimeout(ctx, request.Within+w.options.Patience.For(owner.Process, minRoundTrip, maxRoundTrip))
+	limited, cancel := context.WithTimeout(ctx, request.Within+w.options.ResponseTimes.For(owner.Process, minRoundTrip, maxRoundTrip))
 	defer cancel()
-	answer, err := w.options.Peers.Gather(limited, owner, request)
+	answer, err := w.options.Peers.ForwardRows(limited, owner, request)
 	switch {
 	case err == nil && answer.Owner:
 		w.options.Owners.RecordAnswer(slot)
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -65,9 +65,9 @@
 	// Region is the region of this node. Turns that are restricted to other regions are
 	// not cached.
 	Region string
-	// Together batches the first write of a turn with those of other nodes. Nil: no
+	// BatchWriter batches the first write of a turn with those of other nodes. Nil: no
 	// batching.
-	Together BatchWriter
+	BatchWriter BatchWriter
 }
 
 // BatchWriter writes turns in batches with those of other nodes.
@@ -165,7 +165,7 @@
 // that they do not have it.
 func (s *TurnStore) read(ctx context.Context, id string) (*Turn, error) {
 	var missing [placeCount]bool
-	found, err := firstAccepted(ctx, store.PatienceAtLeast(s.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
+	found, err := firstAccepted(ctx, store.HedgeDelayAtLeast(s.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
 		turn, err := s.readPlace(ctx, id, place)
 		return placeResult{place: place, turn: turn}, err
 	}, func(found placeResult) bool {
@@ -271,9 +271,9 @@
 		return err
 	}
 	writeBatched := func() bool {
-		return s.options.Together != nil && s.options.Together.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
+		return s.options.BatchWriter != nil && s.options.BatchWriter.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
 	}
-	_, err := firstAcceptedUnless(ctx, store.PatienceAtLeast(s.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
+	_, err := firstAcceptedUnless(ctx, store.HedgeDelayAtLeast(s.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
 		return store.CommitUnlessThrottled(ctx, s.options.Store, turn.putTransaction(encoded.Bytes(), place))
 	}, func(store.Version) bool { return true })
 	return err
--- a/internal/locality/locality.go
+++ b/internal/locality/locality.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// RoundTrip returns the distance between two zones. A map without zones puts all zones into one
+// Distance returns the distance between two zones. A map without zones puts all zones into one
 // region.
-func (m *ZoneMap) RoundTrip(a, b string) Distance {
+func (m *ZoneMap) Distance(a, b string) Distance {
 	switch {
 	case a == b:
 		return SameZone
@@ -110,7 +110,7 @@
 }
 
 // DistanceTo returns the distance to a zone.
-func (l Location) DistanceTo(zone string) Distance { return l.Zones.RoundTrip(l.Zone, zone) }
+func (l Location) DistanceTo(zone string) Distance { return l.Zones.Distance(l.Zone, zone) }
 
 // OwnRegion returns the region of the location's own zone.
 func (l Location) OwnRegion() string { return l.Zones.Region(l.Zone) }
--- a/internal/locality/locality_test.go
+++ b/internal/locality/locality_test.go
@@ -9,11 +9,11 @@
 // Guards against wrong distances for unknown zones and for maps without regions.
 func TestDistances(t *testing.T) {
 	places := NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
-	require.Equal(t, SameZone, places.RoundTrip("a1", "a1"))
-	require.Equal(t, SameRegion, places.RoundTrip("a1", "a2"))
-	require.Equal(t, OtherRegion, places.RoundTrip("a1", "b1"))
-	require.Equal(t, OtherRegion, places.RoundTrip("a1", "unknown"))
-	require.Equal(t, SameRegion, NewMap(nil).RoundTrip("a1", "b1"))
+	require.Equal(t, SameZone, places.Distance("a1", "a1"))
+	require.Equal(t, SameRegion, places.Distance("a1", "a2"))
+	require.Equal(t, OtherRegion, places.Distance("a1", "b1"))
+	require.Equal(t, OtherRegion, places.Distance("a1", "unknown"))
+	require.Equal(t, SameRegion, NewMap(nil).Distance("a1", "b1"))
 	require.Equal(t, []string{"a", "b"}, places.Regions())
 }
 
--- a/internal/placement/feasible.go
+++ b/internal/placement/feasible.go
@@ -32,7 +32,7 @@
 }
 
 func fits(query Query, candidate Candidate) bool {
-	if candidate.Leaving || slices.Contains(query.Exclude, candidate.Worker) {
+	if candidate.Draining || slices.Contains(query.Exclude, candidate.Worker) {
 		return false
 	}
 	return candidate.Capacity == 0 || query.Tokens <= candidate.Capacity
--- a/internal/placement/place.go
+++ b/internal/placement/place.go
@@ -29,7 +29,7 @@
 	Zone         string
 	RoundTrip    time.Duration // round trip to the worker, rounded so that equally distant workers are equal
 	Healthy      bool
-	Leaving      bool // the worker is draining
+	Draining     bool // the worker is draining
 	ModelLoaded  bool
 	AdapterReady bool
 	Queued       int
--- a/internal/placement/place_test.go
+++ b/internal/placement/place_test.go
@@ -34,7 +34,7 @@
 func TestFeasible(t *testing.T) {
 	healthy := ready("a")
 	unhealthy := with(ready("b"), func(c *Candidate) { c.Healthy = false })
-	leaving := with(ready("c"), func(c *Candidate) { c.Leaving = true })
+	leaving := with(ready("c"), func(c *Candidate) { c.Draining = true })
 	small := with(ready("d"), func(c *Candidate) { c.Capacity = 10 })
 	unmeasured := with(ready("e"), func(c *Candidate) { c.Capacity = 0 })
 	for name, test := range map[string]struct {
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -138,7 +138,7 @@
 	layout := directory.NewLayout(c.places)
 	n.directory = directory.New(directory.Options{
 		Store: faultyStore{c.table, n}, Self: n.self, Peers: peers, PermitDuration: testTolerance.Window, Logger: &log.Logger{Handler: discard.New()},
-		Vantage: location,
+		Location: location,
 	})
 	n.allocator = NewAllocator(AllocatorOptions{
 		Leases: n.directory, Tolerance: testTolerance, Layout: layout,
--- a/internal/scheduling/estimator.go
+++ b/internal/scheduling/estimator.go
@@ -19,7 +19,7 @@
 	Program string // key of the program, the same on all nodes
 	Tenant  string
 	Urgency int    // priority of the route; 0 is the most urgent
-	Line    string // sequence of turns within the program, such as a sub-agent's; empty if unknown
+	Branch  string // sequence of turns within the program, such as a sub-agent's; empty if unknown
 	// Begins means that the turn does not continue an earlier one.
 	Begins bool
 	// Number is the number of the turn within its line, from 1; 0 if unknown.
@@ -131,7 +131,7 @@
 // addProgram adds a program at its first turn.
 func (e *Estimator) addProgram(turn Turn) *programState {
 	state := e.programs.add(xxhash.Sum64String(turn.Program))
-	state.line = xxhash.Sum64String(turn.Line)
+	state.line = xxhash.Sum64String(turn.Branch)
 	state.budget = turn.TimeToFinish
 	return state
 }
@@ -157,7 +157,7 @@
 	if turn.Begins && s.endedAt.IsZero() {
 		s.waited = max(0, s.budget-turn.TimeToFinish) // no turn has completed: all time since the first try was spent waiting
 	}
-	if s.line != xxhash.Sum64String(turn.Line) || turn.Number > 0 && turn.Number <= s.number {
+	if s.line != xxhash.Sum64String(turn.Branch) || turn.Number > 0 && turn.Number <= s.number {
 		return // a sub-agent's turn or a retry
 	}
 	if turn.Begins && s.number >= 1 {
@@ -172,7 +172,7 @@
 // endTurn updates the program at the end of a turn.
 func (s *programState) endTurn(turn Turn, stats *routeStats, took Outcome, now time.Time) {
 	s.running = max(0, s.running-1)
-	mainLine := s.line == xxhash.Sum64String(turn.Line)
+	mainLine := s.line == xxhash.Sum64String(turn.Branch)
 	if took.Failed {
 		if mainLine {
 			s.waited += took.Total
--- a/internal/scheduling/estimator_test.go
+++ b/internal/scheduling/estimator_test.go
@@ -43,7 +43,7 @@
 }
 
 func newTurn(name string, number int, finish time.Duration) Turn {
-	return Turn{Route: "r", Program: name, Line: "main", Begins: number == 1, Number: number, HasFinish: true, TimeToFinish: finish}
+	return Turn{Route: "r", Program: name, Branch: "main", Begins: number == 1, Number: number, HasFinish: true, TimeToFinish: finish}
 }
 
 // Without observations the need must be derived from the caller's budget.
@@ -129,7 +129,7 @@
 			p.estimator.End(turn, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
 			for agent := range 5 {
 				helper := newTurn(name, number+1, budgetFor(3))
-				helper.Line = fmt.Sprint("agent", agent)
+				helper.Branch = fmt.Sprint("agent", agent)
 				p.estimator.Begin(helper, p.now)
 				p.estimator.End(helper, Outcome{Total: testTurn, FirstEvent: testTurn / 4}, p.now.Add(testTurn))
 			}
--- a/internal/server/capacity.go
+++ b/internal/server/capacity.go
@@ -35,7 +35,7 @@
 // nodes.
 func newCapacityTracker(options Options, peers *peers, verifier *verifier, dir *directory.Directory) *capacityTracker {
 	location := options.Settings.location()
-	slots := &capacity.KeeperResolver{Layout: directory.NewLayout(location.Zones), Localities: location.Zones, Owners: dir}
+	slots := &capacity.CoordinatorResolver{Layout: directory.NewLayout(location.Zones), Localities: location.Zones, Owners: dir}
 	t := &capacityTracker{location: location, service: verifier.service}
 	detectors := outlier.NewDetectors(outlier.Options[capacity.Group]{
 		Members: t.memberKeys, Utilization: func(group capacity.Group) float64 { return t.coordinator.Utilization(group) },
@@ -44,12 +44,12 @@
 		},
 	})
 	t.coordinator = capacity.NewCoordinator(capacity.CoordinatorOptions{
-		Process: options.Process, Slots: slots, Members: t.members, Experience: detectors,
+		Process: options.Process, Resolver: slots, Members: t.members, OutlierDetector: detectors,
 		OnAnswer: options.Metrics.Capacity.RecordAnswer, Logger: options.Logger,
 	})
 	t.client = capacity.NewClient(capacity.ClientOptions{
-		Self: options.self(), Zone: location.Zone, Slots: slots, Peers: peers.client, Workers: t,
-		Patience: peers.client.timeout, Keeper: t.coordinator, Learner: t,
+		Self: options.self(), Zone: location.Zone, Resolver: slots, Peers: peers.client, Workers: t,
+		ResponseTimes: peers.client.timeout, Coordinator: t.coordinator, SampleExchange: t,
 		OnFind: options.Metrics.Capacity.RecordPlacement, OnReport: options.Metrics.Capacity.RecordReport, Logger: options.Logger,
 	})
 	options.Metrics.Capacity.RegisterGauges(t.coordinator.Stats)
@@ -59,12 +59,12 @@
 	return t
 }
 
-// TakeSamples implements capacity.Learner.
+// TakeSamples implements capacity.SampleExchange.
 func (t *capacityTracker) TakeSamples(service string) []outlier.Sample {
 	return t.workers.TakeSamples(service)
 }
 
-// NoteVerdicts implements capacity.Learner.
+// NoteVerdicts implements capacity.SampleExchange.
 func (t *capacityTracker) NoteVerdicts(verdicts []outlier.Verdict) { t.workers.ApplyVerdicts(verdicts) }
 
 // memberKeys returns the sorted keys of the workers of a group that may get requests.
--- a/internal/server/capacity_test.go
+++ b/internal/server/capacity_test.go
@@ -19,7 +19,7 @@
 	zones := locality.NewMap(map[string]string{"a": "one", "b": "one", "c": "other"})
 	tracker := &capacityTracker{
 		location: locality.Location{Zones: zones, Zone: "a"},
-		workers:  backend.NewRegistry(backend.Options{Zone: "a", Places: zones}),
+		workers:  backend.NewRegistry(backend.Options{Zone: "a", Zones: zones}),
 		service: func(name string) route.Service {
 			if name == "plain" {
 				return route.Service{Name: name}
--- a/internal/server/content_test.go
+++ b/internal/server/content_test.go
@@ -46,7 +46,7 @@
 		},
 		"rows of a turn": func(ctx context.Context) {
 			for _, holder := range []budget.Holder{inside, outside, unknown} {
-				_, err := client.Gather(ctx, holder, groupcommit.Request{})
+				_, err := client.ForwardRows(ctx, holder, groupcommit.Request{})
 				require.Error(t, err, "no handler is registered")
 			}
 		},
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -33,21 +33,21 @@
 		return newStandaloneComponents(options, gate)
 	}
 	self, location, client := options.self(), options.Settings.location(), peers.client
-	relay := &relayClient{transport: peers.transport, location: location, timeout: gate.Patience, countCall: options.Metrics.RelayedCalls.Inc}
+	relay := &relayClient{transport: peers.transport, location: location, timeout: gate.HedgeDelay, countCall: options.Metrics.RelayedCalls.Inc}
 	relayed := store.NewRelayed(gate, relay, options.Logger)
 	dir := directory.New(directory.Options{
-		Store: gate, Self: self, Peers: client, Patience: client.timeout, Vantage: location, Logger: options.Logger,
+		Store: gate, Self: self, Peers: client, ResponseTimes: client.timeout, Location: location, Logger: options.Logger,
 		PermitDuration: max(options.Settings.LimitTolerance.Window, warmup.UnsettledPeriod),
-		Grants:         client, CountGrant: options.Metrics.Grant,
+		Grants:         client, OnGrantOutcome: options.Metrics.Grant,
 	})
 	options.Metrics.RegisterGrantGauges(dir.CountGrantableSlots)
 	peers.transport.owners = dir.Owners
 	budgets := budget.NewAccounts(budget.Options{
-		Store: relayed, Self: self, Peers: client, Patience: client.timeout, Locator: dir, Granter: dir, Vantage: location,
+		Store: relayed, Self: self, Peers: client, ResponseTimes: client.timeout, Locator: dir, Granter: dir, Location: location,
 	})
 	relay.candidates = func() []budget.Holder { return withRemoteOwners(location, budgets.RecentPeers(), dir.Owners()) }
 	historyOptions := options.historyOptions(relayed)
-	historyOptions.Together = newGroupCommitWriter(options, relayed, peers, dir)
+	historyOptions.BatchWriter = newGroupCommitWriter(options, relayed, peers, dir)
 	turns := history.New(historyOptions)
 	peers.handleProgramCalls(options.Process, budgets, turns, dir)
 	handleRelayCalls(peers.mux, options.Process, gate)
@@ -89,7 +89,7 @@
 // as an allocator of such permits.
 func newColdAllowance(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.WarmupLimiter {
 	zones := options.Settings.Regions
-	slots := warmup.Slots{Layout: directory.NewLayout(zones), Places: zones}
+	slots := warmup.Slots{Layout: directory.NewLayout(zones), Zones: zones}
 	allocator := warmup.NewAllocator(dir, slots, verifier.coldLimit)
 	peers.handleColdPermits(allocator)
 	return warmup.NewClient(warmup.ClientOptions{
--- a/internal/server/evacuations.go
+++ b/internal/server/evacuations.go
@@ -50,13 +50,13 @@
 }
 
 // evacuationOrders returns the evacuation orders that the rows contain.
-func (s *Server) evacuationOrders(rows []store.Row) (orders []evacuation.ZoneState) {
-	if s.options.Records.Evacuation == nil {
+func (s *Server) evacuationOrders(rows []store.Row) (orders []evacuation.Word) {
+	if s.options.RowDecoders.Evacuation == nil {
 		return nil
 	}
 	for _, row := range rows {
-		if zone, ok := s.options.Records.Evacuation(row); ok {
-			orders = append(orders, evacuation.ZoneState{Zone: zone, Evacuated: !row.Gone, Revision: row.Version})
+		if zone, ok := s.options.RowDecoders.Evacuation(row); ok {
+			orders = append(orders, evacuation.Word{Zone: zone, Evacuated: !row.Gone, Revision: row.Version})
 		}
 	}
 	return orders
--- a/internal/server/evacuations_test.go
+++ b/internal/server/evacuations_test.go
@@ -19,7 +19,7 @@
 	configuration, evacuated := row("configuration", 3), row("evacuated", 4)
 	s := New(Options{
 		Store: storetest.New(),
-		Records: RowDecoders{
+		RowDecoders: RowDecoders{
 			Configuration: func(row store.Row) (*route.Configuration, bool, error) {
 				return route.New(1, nil, nil, route.Limits{}), row.Name == configuration.Name, nil
 			},
--- a/internal/server/finder.go
+++ b/internal/server/finder.go
@@ -73,8 +73,8 @@
 	return true
 }
 
-// NoteNoCapacity implements forward.WorkerFinder. It makes the kept part of the worker list grow.
-func (f *workerFinder) NoteNoCapacity() { f.workerMissing.Store(true) }
+// RecordNoCapacity implements forward.WorkerFinder. It makes the kept part of the worker list grow.
+func (f *workerFinder) RecordNoCapacity() { f.workerMissing.Store(true) }
 
 // LoadWorker implements forward.WorkerFinder. It reads the record of a worker that this node does
 // not have from the store.
--- a/internal/server/groupcommit.go
+++ b/internal/server/groupcommit.go
@@ -23,15 +23,15 @@
 		Region:           location.OwnRegion(),
 		Limit:            pace,
 		MaxPendingBytes:  int(options.Settings.MemoryBytes / groupCommitMemoryDivisor),
-		Meter:            options.Metrics,
+		Metrics:          options.Metrics,
 		Logger:           options.Logger,
 	})
 	peers.handleGroupCommit(committer)
 	return groupcommit.NewWriter(groupcommit.WriterOptions{
 		Process: options.Process, Slots: slots, Owners: dir,
-		Peers: peers.client, Patience: peers.client.timeout, Committer: committer,
+		Peers: peers.client, ResponseTimes: peers.client.timeout, Committer: committer,
 		ThrottledSince: relayed.ThrottledSince, Limit: pace, Nodes: func() int { return 1 + len(dir.Owners()) },
-		Meter: options.Metrics, Logger: options.Logger,
+		Metrics: options.Metrics, Logger: options.Logger,
 	})
 }
 
--- a/internal/server/messages_test.go
+++ b/internal/server/messages_test.go
@@ -27,9 +27,9 @@
 	row := store.Row{Key: store.Key{Table: "op", Part: "", Name: "config"}, Value: []byte("{}"), Version: 7}
 	return map[string]any{
 		methodLocate + "-request-1":      directory.Request{Process: "p2", Program: "a", From: holder, Spent: 3, Returned: true, Slot: 4},
-		methodLocate + "-answer-1":       directory.Answer{Owner: true, Located: budget.LocateResult{Holders: []budget.Holder{holder}, Spent: 3, SpentAgo: time.Second}},
+		methodLocate + "-answer-1":       directory.Answer{Owner: true, Located: budget.Located{Holders: []budget.Holder{holder}, Spent: 3, SpentAgo: time.Second}},
 		methodLocate + "-request-2":      directory.Request{Process: "p2", Program: "a", From: holder, Ran: "t2", After: "t1"},
-		methodLocate + "-answer-2":       directory.Answer{Owner: true, Located: budget.LocateResult{Holders: []budget.Holder{holder}}, RanBy: holder},
+		methodLocate + "-answer-2":       directory.Answer{Owner: true, Located: budget.Located{Holders: []budget.Holder{holder}}, RanBy: holder},
 		methodGrant + "-request-1":       directory.GrantRequest{Process: "p2", Program: "a", Tokens: 100, From: holder, Number: 9},
 		methodProof + "-request-1":       proofRequest{Revision: 7},
 		methodProof + "-answer-1":        proofAnswer{Proof: staleness.Proof{Revision: 7, Age: time.Second}, Row: row, Evacuations: evacuation.Snapshot{}},
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -281,8 +281,8 @@
 	return callPeer[warmup.Answer](ctx, c, owner, methodColdPermit, request)
 }
 
-// Room implements capacity.Peers.
-func (c *peerClient) Room(ctx context.Context, coordinator budget.Holder, request capacity.Request) (capacity.Answer, error) {
+// Report implements capacity.Peers.
+func (c *peerClient) Report(ctx context.Context, coordinator budget.Holder, request capacity.Request) (capacity.Answer, error) {
 	networkTime := func(answer capacity.Answer, elapsed time.Duration) time.Duration { return elapsed - answer.HeldFor }
 	return callPeerTimed(ctx, c, coordinator, methodCapacity, request, networkTime)
 }
@@ -296,8 +296,8 @@
 	return answer.Turns, err
 }
 
-// Gather implements groupcommit.Peers.
-func (c *peerClient) Gather(ctx context.Context, owner budget.Holder, request groupcommit.Request) (groupcommit.Answer, error) {
+// ForwardRows implements groupcommit.Peers.
+func (c *peerClient) ForwardRows(ctx context.Context, owner budget.Holder, request groupcommit.Request) (groupcommit.Answer, error) {
 	if !mayPassThrough(ctx, c.transport.location.Zones, owner) {
 		return groupcommit.Answer{}, groupcommit.ErrRegionNotAllowed
 	}
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -13,7 +13,7 @@
 
 func (s *Server) applyConfigurations(rows []store.Row) {
 	for _, row := range rows {
-		configuration, ok, err := s.options.Records.Configuration(row)
+		configuration, ok, err := s.options.RowDecoders.Configuration(row)
 		if !ok {
 			continue
 		}
@@ -107,7 +107,7 @@
 	if row.Version != 0 && s.workers.Revision(row.Name) == uint64(row.Version) {
 		return backend.Update{}, false
 	}
-	record, err := s.options.Records.Worker(row)
+	record, err := s.options.RowDecoders.Worker(row)
 	if err != nil {
 		if s.invalidEntries.add(row) {
 			s.options.Metrics.InvalidEntries.Inc()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -86,12 +86,12 @@
 
 // Options are the options of a Server.
 type Options struct {
-	Settings  Settings
-	Process   string // unique to this process
-	Store     store.Store
-	Transport forward.Transport
-	Prober    forward.Prober // may be nil
-	Records   RowDecoders
+	Settings    Settings
+	Process     string // unique to this process
+	Store       store.Store
+	Transport   forward.Transport
+	Prober      forward.Prober // may be nil
+	RowDecoders RowDecoders
 	// Listen opens a listener and Dial a connection; nil: TCP.
 	Listen func(address string) (net.Listener, error)
 	Dial   func(ctx context.Context, address string) (net.Conn, error)
@@ -197,7 +197,7 @@
 			Prober:          options.Prober,
 			Capacity:        parts.capacity.forwarderCapacity(),
 			Estimator:       scheduling.NewEstimator(),
-			Admission:       admission.NewGate(parts.capacity.utilizationSource()),
+			Admission:       admission.NewController(parts.capacity.utilizationSource()),
 			Metrics:         options.Metrics.Requests,
 			Logger:          options.Logger,
 		}),
@@ -222,7 +222,7 @@
 func newWorkers(options Options, verifier *verifier) *backend.Registry {
 	return backend.NewRegistry(backend.Options{
 		Zone:        options.Settings.Zone,
-		Places:      options.Settings.Regions,
+		Zones:       options.Settings.Regions,
 		Evacuated:   verifier.evacuations.Evacuated,
 		Cold:        verifier.coldPolicy,
 		Node:        options.Settings.Node,
@@ -362,7 +362,7 @@
 	return []*tablesync.Follower{
 		tablesync.New(tablesync.Options{
 			Store:        s.options.Store,
-			Table:        s.options.Records.ConfigurationTable,
+			Table:        s.options.RowDecoders.ConfigurationTable,
 			Replace:      s.replaceOperatorRows,
 			Change:       s.applyOperatorRows,
 			OnLost:       s.verifier.operatorFeedLost.Store,
@@ -377,7 +377,7 @@
 func (s *Server) newWorkerFollower() *tablesync.Follower {
 	return tablesync.New(tablesync.Options{
 		Store:        s.options.Store,
-		Table:        s.options.Records.WorkersTable,
+		Table:        s.options.RowDecoders.WorkersTable,
 		Replace:      s.replaceWorkers,
 		Change:       s.applyWorkerRows,
 		MaxStaleness: s.options.Settings.MaxStaleness,
--- a/internal/store/gate.go
+++ b/internal/store/gate.go
@@ -68,8 +68,8 @@
 	hedgeDelayFactor = 2
 )
 
-// Patience implements LatencyTracker. The hedge delay follows the observed latency of the table.
-func (g *Gate) Patience() time.Duration {
+// HedgeDelay implements LatencyTracker. The hedge delay follows the observed latency of the table.
+func (g *Gate) HedgeDelay() time.Duration {
 	return min(max(hedgeDelayFactor*g.latency.Timeout(0, maxHedgeDelay), minHedgeDelay), maxHedgeDelay)
 }
 
@@ -198,7 +198,7 @@
 	g.closedAt = time.Now()
 	g.probes.next, g.probes.sent = g.closedAt.Add(probeInterval), 0
 	g.logger.WithError(err).WithField("failures", g.failures).
-		WithField("patience_ms", g.Patience().Milliseconds()).
+		WithField("patience_ms", g.HedgeDelay().Milliseconds()).
 		Warn("table does not respond; holding calls back and probing it")
 }
 
@@ -215,7 +215,7 @@
 	g.opened = nil
 	g.logger.WithField("after_ms", time.Since(g.closedAt).Milliseconds()).
 		WithField("by", by).WithField("probes", g.probes.sent).
-		WithField("patience_ms", g.Patience().Milliseconds()).Info("table responds again; letting calls through")
+		WithField("patience_ms", g.HedgeDelay().Milliseconds()).Info("table responds again; letting calls through")
 }
 
 // closePart pauses calls to a part. It reports whether this is the part's first failure since it
--- a/internal/store/hedge.go
+++ b/internal/store/hedge.go
@@ -9,26 +9,26 @@
 
 // LatencyTracker is a Store that tracks its usual latency.
 type LatencyTracker interface {
-	// Patience returns how long to wait for a response before sending another attempt.
-	Patience() time.Duration
+	// HedgeDelay returns how long to wait for a response before sending another attempt.
+	HedgeDelay() time.Duration
 }
 
 // defaultHedgeDelay applies to stores that do not implement LatencyTracker.
 const defaultHedgeDelay = 60 * time.Millisecond
 
 // hedgeDelays are the delays before the additional attempts of a hedged commit, each counted
-// from the attempt before, as multiples of the store's hedge delay (LatencyTracker.Patience).
+// from the attempt before, as multiples of the store's hedge delay (LatencyTracker.HedgeDelay).
 var hedgeDelays = []time.Duration{1, 4, 8}
 
-// PatienceAtLeast returns how long to wait for a response from table before another attempt. The
+// HedgeDelayAtLeast returns how long to wait for a response from table before another attempt. The
 // result is never less than least.
-func PatienceAtLeast(table Store, least time.Duration) time.Duration {
+func HedgeDelayAtLeast(table Store, least time.Duration) time.Duration {
 	return max(least, hedgeDelayOf(table))
 }
 
 func hedgeDelayOf(table Store) time.Duration {
 	if paced, ok := table.(LatencyTracker); ok {
-		return paced.Patience()
+		return paced.HedgeDelay()
 	}
 	return defaultHedgeDelay
 }
--- a/internal/store/probe.go
+++ b/internal/store/probe.go
@@ -85,6 +85,6 @@
 		return
 	}
 	g.logger.WithField("closed_ms", now.Sub(g.closedAt).Milliseconds()).WithField("probes", g.probes.sent).
-		WithField("unanswered", g.probes.inFlight-1).WithField("patience_ms", g.Patience().Milliseconds()).
+		WithField("unanswered", g.probes.inFlight-1).WithField("patience_ms", g.HedgeDelay().Milliseconds()).
 		Info("table does not respond; probing it")
 }
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -168,7 +168,7 @@
 			_, err := gate.Commit(t.Context(), store.Transaction{Put: []store.Row{{Key: key}}})
 			require.NoError(t, err)
 		}
-		require.Equal(t, 25*time.Millisecond, gate.Patience())
+		require.Equal(t, 25*time.Millisecond, gate.HedgeDelay())
 	})
 }
 
--- a/internal/store/relay.go
+++ b/internal/store/relay.go
@@ -123,7 +123,7 @@
 	if r.Suspect() {
 		startRelay()
 	}
-	timer := time.NewTimer(relayDelayFactor * r.Patience())
+	timer := time.NewTimer(relayDelayFactor * r.HedgeDelay())
 	defer timer.Stop()
 	var failure error
 	for {
--- a/internal/warmup/allocator.go
+++ b/internal/warmup/allocator.go
@@ -65,12 +65,12 @@
 // nodes that send to the worker. All nodes compute the same slot.
 type Slots struct {
 	Layout directory.Layout
-	Places *locality.ZoneMap
+	Zones  *locality.ZoneMap
 }
 
 // slotOf returns the slot of a worker in a zone.
 func (s Slots) slotOf(worker, zone string) int {
-	return s.Layout.SlotIn(s.Places.Region(zone), xxhash.Sum64String(worker))
+	return s.Layout.SlotIn(s.Zones.Region(zone), xxhash.Sum64String(worker))
 }
 
 // Answer issues a permit, or returns when to retry.
--- a/internal/worker/policy.go
+++ b/internal/worker/policy.go
@@ -87,7 +87,7 @@
 		Zone:         estimate.Zone,
 		RoundTrip:    time.Duration(distance) * zoneStep,
 		Healthy:      estimate.Healthy,
-		Leaving:      estimate.Leaving,
+		Draining:     estimate.Leaving,
 		ModelLoaded:  estimate.ModelLoaded,
 		AdapterReady: estimate.AdapterReady,
 		Queued:       estimate.Queued,
