--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/cloverwheel/cloverwheel/internal/standing"
+	"github.com/cloverwheel/cloverwheel/internal/scheduling"
 )
 
 // overloaded returns a load at which each turn queues for wait.
@@ -17,40 +17,40 @@
 	return Load{Others: waits, New: waits}
 }
 
-func newProgram(key string) standing.Program {
-	return standing.Program{Key: key, Begins: true, Timed: true, Finish: 1500 * time.Millisecond, Needs: time.Second, Turns: 4}
+func newProgram(key string) scheduling.Program {
+	return scheduling.Program{Key: key, Begins: true, Timed: true, Finish: 1500 * time.Millisecond, Needs: time.Second, Turns: 4}
 }
 
-func ask(program standing.Program) Ask {
-	return Ask{Program: program, TimeLeft: 3 * time.Second, Pace: 10, Ahead: 4}
+func request(program scheduling.Program) Request {
+	return Request{Program: program, TimeLeft: 3 * time.Second, AdmitRate: 10, PendingRetries: 4}
 }
 
 // A program in progress must not be refused, however overloaded the workers are.
 func TestProgramInProgressIsNeverRefused(t *testing.T) {
 	program := newProgram("p")
 	program.Begins, program.Finish = false, 0
-	require.Equal(t, Verdict{In: true, Reason: UnderWay}, Decide(ask(program), overloaded(time.Second)))
+	require.Equal(t, Verdict{Admitted: true, Reason: ReasonInProgress}, Decide(request(program), overloaded(time.Second)))
 }
 
 // A program without a deadline cannot miss it, so it must not be refused.
 func TestProgramWithoutDeadlineIsAdmitted(t *testing.T) {
-	require.Equal(t, ReasonNoDeadline, Decide(ask(standing.Program{Key: "p", Begins: true}), overloaded(time.Second)).Reason)
+	require.Equal(t, ReasonNoDeadline, Decide(request(scheduling.Program{Key: "p", Begins: true}), overloaded(time.Second)).Reason)
 }
 
 // A program that will be late in any case must not take capacity from others, but may use spare capacity.
 func TestLateProgramIsRefusedOnlyUnderOverload(t *testing.T) {
 	program := newProgram("p")
 	program.Finish = 0
-	require.True(t, Decide(ask(program), Load{}).In)
-	verdict := Decide(ask(program), overloaded(time.Second))
+	require.True(t, Decide(request(program), Load{}).Admitted)
+	verdict := Decide(request(program), overloaded(time.Second))
 	require.Equal(t, ReasonTooLate, verdict.Reason)
-	require.False(t, verdict.In)
+	require.False(t, verdict.Admitted)
 }
 
 // Only programs that would miss their deadline by queueing must be refused.
 func TestProgramIsAdmittedIfItsSlackCoversTheWait(t *testing.T) {
-	require.Equal(t, ReasonInTime, Decide(ask(newProgram("p")), overloaded(10*time.Millisecond)).Reason)
-	require.Equal(t, ReasonOverloaded, Decide(ask(newProgram("p")), overloaded(time.Second)).Reason)
+	require.Equal(t, ReasonInTime, Decide(request(newProgram("p")), overloaded(10*time.Millisecond)).Reason)
+	require.Equal(t, ReasonOverloaded, Decide(request(newProgram("p")), overloaded(time.Second)).Reason)
 }
 
 // Ranks must be uniform, or nodes admit another share of programs than intended.
@@ -70,140 +70,140 @@
 		"newest sample did not queue": {New: WaitStats{Events: 10, Waited: 9, Excess: time.Minute}, WorkerFree: true},
 		"no samples":                  {},
 		"samples are stale":           {New: overloaded(time.Second).New, Age: time.Second},
-		"utilization report below 1":  {New: overloaded(time.Second).New, Utilization: &Keeper{Busy: 0.9}},
+		"utilization report below 1":  {New: overloaded(time.Second).New, Utilization: &UtilizationReport{Share: 0.9}},
 	} {
-		require.Equal(t, ReasonNotOverloaded, Decide(ask(newProgram("p")), load).Reason, name)
+		require.Equal(t, ReasonNotOverloaded, Decide(request(newProgram("p")), load).Reason, name)
 	}
 }
 
-// A report older than KeeperAge must not cause refusals.
+// A report older than MaxUtilizationAge must not cause refusals.
 func TestStaleUtilizationReportIsIgnored(t *testing.T) {
-	load := Load{Utilization: &Keeper{Busy: 1.5}}
+	load := Load{Utilization: &UtilizationReport{Share: 1.5}}
 	require.True(t, load.Overloaded())
 	load.Utilization.Age = time.Minute
 	require.False(t, load.Overloaded())
 }
 
-// A program that retries when it was told to must be admitted, even if it will be late.
+// A program that retries at the time that it was given must be admitted, even if it will be late.
 func TestReturningProgramIsAdmitted(t *testing.T) {
 	program := newProgram("p")
 	program.Returns, program.Finish = true, 0
-	require.Equal(t, ReasonReturning, Decide(ask(program), overloaded(time.Second)).Reason)
+	require.Equal(t, ReasonReturning, Decide(request(program), overloaded(time.Second)).Reason)
 }
 
 // A retry delay must be neither negative nor longer than a third of the client's remaining time.
 func TestRetryDelayIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		program := newProgram(rapid.String().Draw(t, "key"))
-		a := Ask{
-			Program:  program,
-			TimeLeft: time.Duration(rapid.IntRange(0, 10_000).Draw(t, "left")) * time.Millisecond,
-			Ahead:    rapid.IntRange(0, 100).Draw(t, "ahead"),
-			Pace:     rapid.Float64Range(0, 100).Draw(t, "pace"),
+		a := Request{
+			Program:        program,
+			TimeLeft:       time.Duration(rapid.IntRange(0, 10_000).Draw(t, "left")) * time.Millisecond,
+			PendingRetries: rapid.IntRange(0, 100).Draw(t, "ahead"),
+			AdmitRate:      rapid.Float64Range(0, 100).Draw(t, "pace"),
 		}
 		verdict := Decide(a, overloaded(time.Second))
-		if verdict.In {
+		if verdict.Admitted {
 			return
 		}
-		require.GreaterOrEqual(t, verdict.After, time.Duration(0))
-		require.LessOrEqual(t, verdict.After, a.TimeLeft/3+time.Millisecond, "retry delay exceeds a third of the time left")
+		require.GreaterOrEqual(t, verdict.RetryAfter, time.Duration(0))
+		require.LessOrEqual(t, verdict.RetryAfter, a.TimeLeft/3+time.Millisecond, "retry delay exceeds a third of the time left")
 	})
 }
 
 // Refused programs must not all retry at once.
 func TestRetryDelayGrowsWithProgramsAhead(t *testing.T) {
-	few, many := ask(newProgram("p")), ask(newProgram("p"))
-	few.Ahead, many.Ahead = 1, 5
-	require.Less(t, Decide(few, overloaded(time.Second)).After, Decide(many, overloaded(time.Second)).After)
+	few, many := request(newProgram("p")), request(newProgram("p"))
+	few.PendingRetries, many.PendingRetries = 1, 5
+	require.Less(t, Decide(few, overloaded(time.Second)).RetryAfter, Decide(many, overloaded(time.Second)).RetryAfter)
 }
 
-// observeWaits makes a gate observe ten first turns that queued for wait each.
-func observeWaits(gate *Gate, wait time.Duration, now time.Time) {
-	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
+// observeWaits makes a controller observe ten first turns that queued for wait each.
+func observeWaits(controller *Controller, wait time.Duration, now time.Time) {
+	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	for range 10 {
-		gate.First(gate.Sent("s", newProgram("x"), idle, now.Add(-wait-idle.First)), now)
+		controller.FirstEvent(controller.Sent("s", newProgram("x"), idle, now.Add(-wait-idle.FirstEvent)), now)
 	}
 }
 
 // A refused program that retries too early must be refused again; on time it must be admitted.
-func TestGateAdmitsRefusedProgramAtItsRetryTime(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
-	observeWaits(gate, 2*time.Second, now)
-	first, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
-	require.False(t, first.In)
-	observeWaits(gate, 2*time.Second, now.Add(first.After/2))
-	early, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(first.After/2))
-	require.False(t, early.In, "admitted before its retry time")
-	now = now.Add(first.After + early.After)
-	observeWaits(gate, 2*time.Second, now)
-	returned, _, _ := gate.Decide("s", newProgram("p"), 3*time.Second, now)
+func TestControllerAdmitsRefusedProgramAtItsRetryTime(t *testing.T) {
+	controller, now := NewController(nil), time.Unix(1000, 0)
+	observeWaits(controller, 2*time.Second, now)
+	first, _, _ := controller.Decide("s", newProgram("p"), 3*time.Second, now)
+	require.False(t, first.Admitted)
+	observeWaits(controller, 2*time.Second, now.Add(first.RetryAfter/2))
+	early, _, _ := controller.Decide("s", newProgram("p"), 3*time.Second, now.Add(first.RetryAfter/2))
+	require.False(t, early.Admitted, "admitted before its retry time")
+	now = now.Add(first.RetryAfter + early.RetryAfter)
+	observeWaits(controller, 2*time.Second, now)
+	returned, _, _ := controller.Decide("s", newProgram("p"), 3*time.Second, now)
 	require.Equal(t, ReasonReturning, returned.Reason)
-	other, _, _ := gate.Decide("s", newProgram("q"), 3*time.Second, now)
-	require.False(t, other.In)
+	other, _, _ := controller.Decide("s", newProgram("q"), 3*time.Second, now)
+	require.False(t, other.Admitted)
 }
 
 // Turns that are still queueing must count as load, although their first event has not arrived.
-func TestGateCountsPendingTurns(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
-	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
-	var sendings []*Sending
+func TestControllerCountsPendingTurns(t *testing.T) {
+	controller, now := NewController(nil), time.Unix(1000, 0)
+	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
+	var sendings []*PendingTurn
 	for range 5 {
-		sendings = append(sendings, gate.Sent("s", newProgram("x"), idle, now))
+		sendings = append(sendings, controller.Sent("s", newProgram("x"), idle, now))
 	}
-	_, _, load := gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(50*time.Millisecond))
+	_, _, load := controller.Decide("s", newProgram("p"), 3*time.Second, now.Add(50*time.Millisecond))
 	require.False(t, load.Overloaded())
-	_, _, load = gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
+	_, _, load = controller.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
 	require.True(t, load.Overloaded())
 	for _, sending := range sendings {
-		gate.Ended(sending, now.Add(50*time.Millisecond))
+		controller.EndedWithoutEvent(sending, now.Add(50*time.Millisecond))
 	}
-	_, _, load = gate.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
+	_, _, load = controller.Decide("s", newProgram("p"), 3*time.Second, now.Add(500*time.Millisecond))
 	require.Zero(t, load.New.Events)
 }
 
 // A turn that ends without a first event must count with the time that it queued.
 func TestTurnWithoutFirstEventCounts(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
-	idle := Idle{First: 40 * time.Millisecond, Whole: 160 * time.Millisecond}
+	controller, now := NewController(nil), time.Unix(1000, 0)
+	idle := UnloadedTime{FirstEvent: 40 * time.Millisecond, Total: 160 * time.Millisecond}
 	for range 5 {
-		gate.Ended(gate.Sent("s", newProgram("x"), idle, now.Add(-3*time.Second)), now)
+		controller.EndedWithoutEvent(controller.Sent("s", newProgram("x"), idle, now.Add(-3*time.Second)), now)
 	}
-	_, _, load := gate.Decide("s", newProgram("p"), 3*time.Second, now)
+	_, _, load := controller.Decide("s", newProgram("p"), 3*time.Second, now)
 	require.True(t, load.Overloaded())
-	require.Equal(t, 5*(3*time.Second-idle.First), load.New.Excess)
+	require.Equal(t, 5*(3*time.Second-idle.FirstEvent), load.New.Excess)
 }
 
 // Under overload, a turn whose client would time out first must be refused at once, even on return.
 func TestTurnBeyondClientTimeoutIsRefused(t *testing.T) {
 	program := newProgram("p")
 	program.Returns = true
-	hopeless := ask(program)
+	hopeless := request(program)
 	hopeless.TimeLeft = 500 * time.Millisecond
 	require.Equal(t, ReasonClientTimeout, Decide(hopeless, overloaded(time.Second)).Reason)
-	require.True(t, Decide(hopeless, Load{}).In, "refused without overload")
+	require.True(t, Decide(hopeless, Load{}).Admitted, "refused without overload")
 }
 
 // Queueing of urgent turns must not count as load of less urgent ones.
 func TestLoadIsTrackedPerUrgency(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
-	observeWaits(gate, 2*time.Second, now)
+	controller, now := NewController(nil), time.Unix(1000, 0)
+	observeWaits(controller, 2*time.Second, now)
 	lessUrgent := newProgram("p")
 	lessUrgent.Urgency = 2
-	_, _, load := gate.Decide("s", lessUrgent, 3*time.Second, now)
+	_, _, load := controller.Decide("s", lessUrgent, 3*time.Second, now)
 	require.Zero(t, load.New.Events, "each urgency has its own queue")
 }
 
-// Many programs and services must not make a Gate grow without limit.
-func TestGateMemoryIsBounded(t *testing.T) {
-	gate, now := NewGate(nil), time.Unix(1000, 0)
+// Many programs and services must not make a Controller grow without limit.
+func TestControllerMemoryIsBounded(t *testing.T) {
+	controller, now := NewController(nil), time.Unix(1000, 0)
 	for index := range 3 * maxRefused {
-		observeWaits(gate, 2*time.Second, now)
+		observeWaits(controller, 2*time.Second, now)
 		program := newProgram(fmt.Sprint("p", index))
 		program.Finish = 0
-		gate.Decide("s", program, 3*time.Second, now)
-		gate.Decide(fmt.Sprint("s", index), program, 3*time.Second, now)
+		controller.Decide("s", program, 3*time.Second, now)
+		controller.Decide(fmt.Sprint("s", index), program, 3*time.Second, now)
 	}
-	require.LessOrEqual(t, len(gate.refused.returnAt), maxRefused)
-	require.LessOrEqual(t, len(gate.refused.order), maxRefused)
-	require.LessOrEqual(t, len(gate.windows), maxQueues)
+	require.LessOrEqual(t, len(controller.refused.returnAt), maxRefused)
+	require.LessOrEqual(t, len(controller.refused.order), maxRefused)
+	require.LessOrEqual(t, len(controller.windows), maxQueues)
 }
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -6,10 +6,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/id"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
-	"github.com/cloverwheel/cloverwheel/internal/place"
+	"github.com/cloverwheel/cloverwheel/internal/placement"
 )
 
 // Query describes the request to place.
@@ -17,24 +17,24 @@
 	Service string
 	Home    string // key of the worker that has the request's context cached; empty: unknown
 	Key     string // requests with the same key prefer the same worker
-	// SameObject says that Key names an object that a worker may have cached.
+	// SameObject means that Key names an object that a worker may have cached.
 	SameObject bool
 	Prompt     int // prompt tokens of a model call; 0: not a model call
 	Shared     int // prompt tokens that are shared with other programs
 	Output     int // limit on generated tokens
-	// Keepers are the IDs of the workers assigned to cache the shared part of the prompt, the same
+	// PrefixWorkers are the IDs of the workers assigned to cache the shared part of the prompt, the same
 	// on all nodes. Usable ones are preferred while they have capacity. Empty: none are assigned.
-	Keepers []string
+	PrefixWorkers []string
 	// Regions are the regions in which the request may be served.
 	Regions locality.Regions
-	// Spare says that the request can be retried at another worker if it fails.
-	Spare bool
-	// Begins says that the request is a program's first turn.
-	Begins bool
-	// Warm says that only warm workers may be chosen.
-	Warm    bool
-	Exclude []string // keys of workers that may not be chosen
-	Only    []string // keys of workers; if not empty, no others may be chosen
+	// Retryable means that the request can be retried at another worker if it fails.
+	Retryable bool
+	// FirstTurn means that the request is a program's first turn.
+	FirstTurn bool
+	// WarmOnly means that only warm workers may be chosen.
+	WarmOnly bool
+	Exclude  []string // keys of workers that may not be chosen
+	Only     []string // keys of workers; if not empty, no others may be chosen
 }
 
 const (
@@ -68,21 +68,21 @@
 
 // Choose picks the worker for a request. It fails with fault.Unavailable if there is none.
 func (r *Registry) Choose(query Query) (*Worker, error) {
-	if worker, ok := r.Trial(query); ok {
+	if worker, ok := r.TakeTrial(query); ok {
 		return worker, nil
 	}
 	workers := r.shortlist(query)
 	now := r.options.Now()
-	candidates := make([]place.Candidate, 0, len(workers))
+	candidates := make([]placement.Candidate, 0, len(workers))
 	slowness := make([]float64, 0, len(workers))
 	for _, worker := range workers {
 		verdict := r.Check(worker, query.Regions)
-		if verdict.Refused() || verdict == permit.Metered && query.Warm {
+		if verdict.Refused() || verdict == eligibility.NeedsWarmupPermit && query.WarmOnly {
 			continue
 		}
 		candidate := worker.candidate(query, now)
-		candidate.Distance = r.RoundTrip(worker)
-		if verdict == permit.Metered {
+		candidate.RoundTrip = r.RoundTrip(worker)
+		if verdict == eligibility.NeedsWarmupPermit {
 			candidate.Wait += coldPenalty
 		}
 		candidates = append(candidates, candidate)
@@ -93,12 +93,12 @@
 	for index, worker := range query.Exclude {
 		exclude[index] = id.Worker(worker)
 	}
-	decision, err := place.Choose(place.Query{
+	decision, err := placement.Choose(placement.Query{
 		Tokens:  query.Prompt + query.Output,
 		Home:    id.Worker(r.homeInRegion(query)),
 		Exclude: exclude,
 		Key:     query.Key,
-	}, candidates, place.Policy{Name: place.ExpectedCompletion}, nil)
+	}, candidates, placement.Policy{Name: placement.ExpectedCompletion}, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -111,18 +111,18 @@
 }
 
 // Check decides whether a request that may be served in the given regions may be sent to a worker now.
-func (r *Registry) Check(worker *Worker, regions locality.Regions) permit.Verdict {
-	return permit.Check(permit.Request{Regions: regions}, r.permitFacts(worker))
+func (r *Registry) Check(worker *Worker, regions locality.Regions) eligibility.Verdict {
+	return eligibility.Check(eligibility.Request{Regions: regions}, r.eligibilityOf(worker))
 }
 
-// permitFacts returns the facts about a worker that decide whether requests may be sent to it.
-func (r *Registry) permitFacts(worker *Worker) permit.Worker {
+// eligibilityOf returns the properties of a worker that decide whether requests may be sent to it.
+func (r *Registry) eligibilityOf(worker *Worker) eligibility.Worker {
 	// Must be read before cold: a zone's workers are marked cold before its evacuation ends, so a zone
 	// that has just reopened is not seen with warm workers.
 	evacuated := r.options.Evacuated(worker.zone)
-	return permit.Worker{
-		Region:    r.options.Places.Region(worker.zone),
-		Leaving:   worker.Record().Draining,
+	return eligibility.Worker{
+		Region:    r.options.Zones.Region(worker.zone),
+		Draining:  worker.Record().Draining,
 		Evacuated: evacuated,
 		Cold:      r.cold(worker),
 	}
@@ -135,7 +135,7 @@
 		return r.allowed(known, query)
 	}
 	known = r.withOpenZones(query.Regions, known)
-	if query.Warm {
+	if query.WarmOnly {
 		known = known.filter(func(worker *Worker) bool { return !r.cold(worker) })
 	}
 	spread := r.spreadKey(query)
@@ -150,7 +150,7 @@
 // part of the prompt. Those of the node's zone rank first because of their shorter round trip. Those of
 // other zones rank before a worker without the prefix, whose prefill would take longer.
 func (r *Registry) appendPrefixWorkers(short []*Worker, query Query) []*Worker {
-	for _, id := range query.Keepers {
+	for _, id := range query.PrefixWorkers {
 		worker, ok := r.worker(id)
 		usable := ok && worker.service == query.Service && worker.distance != locality.OtherRegion && !worker.Leaving()
 		if usable && !slices.Contains(short, worker) && !slices.Contains(query.Exclude, worker.key) {
@@ -172,13 +172,13 @@
 
 // allowed returns the workers that query.Only names.
 func (r *Registry) allowed(known roster, query Query) []*Worker {
-	kept := make([]*Worker, 0, len(query.Only))
+	allowed := make([]*Worker, 0, len(query.Only))
 	for _, key := range query.Only {
 		if worker, ok := r.member(known, query.Service, key); ok {
-			kept = append(kept, worker)
+			allowed = append(allowed, worker)
 		}
 	}
-	return kept
+	return allowed
 }
 
 // shortlistRegion selects a few workers of the node's region by the hash of spread, so that the cost
@@ -236,19 +236,19 @@
 }
 
 // candidate returns the worker's estimates for a request, without those that need the registry.
-func (w *Worker) candidate(query Query, now time.Time) place.Candidate {
+func (w *Worker) candidate(query Query, now time.Time) placement.Candidate {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	unshared := query.Prompt - query.Shared
-	candidate := place.Candidate{
+	candidate := placement.Candidate{
 		Worker:       id.Worker(w.key),
 		Zone:         w.record.Zone,
 		Healthy:      !now.Before(w.avoidUntil) && !w.ejected(now),
-		Leaving:      w.record.Draining,
+		Draining:     w.record.Draining,
 		ModelLoaded:  true,
 		AdapterReady: true,
 		Running:      w.running,
-		Step:         w.tokenTime,
+		TokenTime:    w.tokenTime,
 		Wait:         time.Duration(w.running)*runningPenalty + time.Duration(w.currentFailureRate(now)*float64(failurePenalty)),
 	}
 	if query.Prompt == 0 {
@@ -263,19 +263,19 @@
 	if query.Home != "" && w.key != query.Home {
 		uncached += unshared
 	}
-	if len(query.Keepers) > 0 && w.key != query.Home && !slices.Contains(query.Keepers, w.id) {
+	if len(query.PrefixWorkers) > 0 && w.key != query.Home && !slices.Contains(query.PrefixWorkers, w.id) {
 		uncached += query.Shared
 	}
 	candidate.Prefill = time.Duration(uncached) * time.Millisecond / prefillTokensPerMillisecond
-	candidate.Compute = candidate.Prefill
+	candidate.OwnPrefill = candidate.Prefill
 	return candidate
 }
 
 // preferConnected makes a plain request prefer workers with an open, idle connection. Model calls are
 // spread over all workers instead: if they stayed on the few connected workers, long prompts would
 // evict each other from the cache.
-func (w *Worker) preferConnected(candidate *place.Candidate) {
-	candidate.Connected = w.pool != nil && w.pool.Ready()
+func (w *Worker) preferConnected(candidate *placement.Candidate) {
+	candidate.Connected = w.pool != nil && w.pool.HasIdle()
 	if !candidate.Connected {
 		candidate.Wait += newConnectionPenalty
 	}
@@ -284,11 +284,11 @@
 // normalizeTokenTimes sets the candidates' times to decode. Token times within slowTokenTimeRatio of
 // the median count as equal, so that noise does not draw all requests to one worker. Where slowness is
 // not 0, all nodes together have measured it, and it replaces this node's own token time.
-func normalizeTokenTimes(candidates []place.Candidate, slowness []float64, output int) {
+func normalizeTokenTimes(candidates []placement.Candidate, slowness []float64, output int) {
 	steps := make([]time.Duration, 0, len(candidates))
 	for index, candidate := range candidates {
-		if candidate.Step > 0 && slowness[index] == 0 {
-			steps = append(steps, candidate.Step)
+		if candidate.TokenTime > 0 && slowness[index] == 0 {
+			steps = append(steps, candidate.TokenTime)
 		}
 	}
 	median := defaultTokenTime
@@ -297,14 +297,14 @@
 		median = steps[len(steps)/2]
 	}
 	for index := range candidates {
-		step := candidates[index].Step
+		step := candidates[index].TokenTime
 		if float64(step) < slowTokenTimeRatio*float64(median) {
 			step = median
 		}
 		if slowness[index] > 0 {
 			step = time.Duration(slowness[index] * float64(median))
 		}
-		candidates[index].Step = step
+		candidates[index].TokenTime = step
 		candidates[index].Decode = time.Duration(output) * step
 	}
 }
--- a/internal/backend/reconnect.go
+++ b/internal/backend/reconnect.go
@@ -6,12 +6,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
-	// unreachableBacklog bounds the queue of workers to reconnect to. A worker that finds
-	// it full is only avoided for a limited period.
+	// unreachableBacklog bounds the queue of workers to reconnect to. If it is full, a further
+	// worker is only avoided for a limited period.
 	unreachableBacklog = 64
 	// reconnectInterval is the time between two attempts to connect to an unreachable worker.
 	reconnectInterval = 300 * time.Millisecond
@@ -32,23 +32,23 @@
 func (r *Registry) Run(ctx context.Context) {
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
-	watched := map[*Worker]bool{}
-	back := make(chan *Worker)
+	reconnecting := map[*Worker]bool{}
+	reconnected := make(chan *Worker)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case worker := <-back:
-			delete(watched, worker)
+		case worker := <-reconnected:
+			delete(reconnecting, worker)
 		case worker := <-r.unreachable:
-			if watched[worker] {
+			if reconnecting[worker] {
 				continue
 			}
-			watched[worker] = true
+			reconnecting[worker] = true
 			group.Go(func() error {
 				r.reconnect(ctx, worker)
 				select {
-				case back <- worker:
+				case reconnected <- worker:
 				case <-ctx.Done():
 				}
 				return nil
@@ -60,9 +60,9 @@
 // reconnect attempts to open a connection until it succeeds, the worker is draining or removed, or
 // ctx ends. The worker is avoided meanwhile.
 func (r *Registry) reconnect(ctx context.Context, worker *Worker) {
-	for wait.For(ctx, reconnectInterval) == nil && !worker.Leaving() {
+	for timing.Sleep(ctx, reconnectInterval) == nil && !worker.Leaving() {
 		limited, cancel := context.WithTimeout(ctx, reconnectTimeout)
-		err := worker.Pool().Reach(limited)
+		err := worker.Pool().Probe(limited)
 		cancel()
 		if err == nil {
 			worker.markReachable()
--- a/internal/backend/registry.go
+++ b/internal/backend/registry.go
@@ -10,15 +10,15 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/cloverwheel/cloverwheel/internal/deadconn"
 	"github.com/cloverwheel/cloverwheel/internal/httpconn"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/silence"
 )
 
 // Options configures a Registry.
 type Options struct {
-	Zone   string // zone of this node
-	Places *locality.Map
+	Zone  string            // zone of this node
+	Zones *locality.ZoneMap // region of each zone
 	// Evacuated reports whether a zone's workers must get no new work; nil: no zone is evacuated.
 	Evacuated func(zone string) bool
 	// Cold returns whether cold workers of a service get less work than warm ones, and how long
@@ -26,11 +26,11 @@
 	Cold        func(service string) (less bool, start time.Duration)
 	Node        string // name of this node; it decides which workers the node prefers
 	DialTimeout time.Duration
-	Guard       silence.Guard // detects unresponsive connections to workers
-	OnDial      func()        // counts new connections to workers
-	// OnWay is called when the estimated round trip to a zone changes; may be nil.
-	OnWay  func(zone string, roundTrip time.Duration)
-	OnLook func() // counts the attempts to connect to an unreachable worker; may be nil
+	Guard       deadconn.Guard // detects unresponsive connections to workers
+	OnDial      func()         // counts new connections to workers
+	// OnRoundTrip is called when the estimated round trip to a zone changes; may be nil.
+	OnRoundTrip func(zone string, roundTrip time.Duration)
+	OnReconnect func() // counts the attempts to connect to an unreachable worker; may be nil
 	// Dial opens a connection to an address; nil: plain TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Now returns the current time; nil: time.Now.
@@ -49,7 +49,7 @@
 // Registry is the set of workers that this node lists. It is safe for concurrent use.
 type Registry struct {
 	options       Options
-	vantage       locality.Vantage
+	location      locality.Location
 	roundTrips    *RoundTripEstimator
 	warmthTTL     time.Duration // how long information that a worker is warm stays valid at this node
 	mutex         sync.Mutex
@@ -57,7 +57,7 @@
 	keys          map[string]string  // key by ID, for workers whose key differs from their ID
 	services      map[string]roster
 	lingering     map[string][]lingeringWorker
-	silences      map[string]*Silences
+	latencies     map[string]*LatencyEstimates
 	unreported    unreportedWorkers
 	trials        trials
 	unreachable   chan *Worker              // workers that accepted no connection
@@ -78,20 +78,20 @@
 	if options.Evacuated == nil {
 		options.Evacuated = func(string) bool { return false }
 	}
-	vantage := locality.Vantage{Places: options.Places, Zone: options.Zone}
+	location := locality.Location{Zones: options.Zones, Zone: options.Zone}
 	if options.Cold == nil {
 		options.Cold = func(string) (bool, time.Duration) { return false, 0 }
 	}
 	return &Registry{
 		options:     options,
-		vantage:     vantage,
-		roundTrips:  NewRoundTripEstimator(vantage, options.Now),
+		location:    location,
+		roundTrips:  NewRoundTripEstimator(location, options.Now),
 		warmthTTL:   minWarmthTTL + time.Duration(xxhash.Sum64String(options.Node)%uint64(warmthTTLJitter)),
 		workers:     map[string]*Worker{},
 		keys:        map[string]string{},
 		services:    map[string]roster{},
 		lingering:   map[string][]lingeringWorker{},
-		silences:    map[string]*Silences{},
+		latencies:   map[string]*LatencyEstimates{},
 		unreported:  unreportedWorkers{services: map[string]map[*Worker]struct{}{}},
 		unreachable: make(chan *Worker, unreachableBacklog),
 	}
@@ -101,7 +101,7 @@
 func (r *Registry) newWorker(record Record, now time.Time) *Worker {
 	worker := &Worker{
 		registry: r, id: record.ID, key: record.Key(), service: record.Service, zone: record.Zone,
-		distance: r.vantage.To(record.Zone), record: record,
+		distance: r.location.DistanceTo(record.Zone), record: record,
 	}
 	worker.warmth.updateFromEntry(record, now)
 	return worker
@@ -124,26 +124,26 @@
 	return r.byID(id)
 }
 
-// Knows reports whether the part of the worker list that this node keeps has an entry with an ID.
-func (r *Registry) Knows(id string) bool {
+// HasID reports whether the part of the worker list that this node holds has an entry with an ID.
+func (r *Registry) HasID(id string) bool {
 	_, ok := r.worker(id)
 	return ok
 }
 
-// KnowsKey reports whether the part of the worker list that this node keeps has a worker with a key.
-func (r *Registry) KnowsKey(key string) bool {
+// HasKey reports whether the part of the worker list that this node holds has a worker with a key.
+func (r *Registry) HasKey(key string) bool {
 	_, ok := r.byKey(key)
 	return ok
 }
 
-// Len returns the number of workers in the part of the worker list that this node keeps.
+// Len returns the number of workers in the part of the worker list that this node holds.
 func (r *Registry) Len() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return len(r.workers)
 }
 
-// Count returns the number of a service's workers in the part of the worker list that this node keeps.
+// Count returns the number of a service's workers in the part of the worker list that this node holds.
 func (r *Registry) Count(service string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -163,14 +163,14 @@
 	address := record.Address
 	options := httpconn.Options{
 		Address:     address,
-		OnConnected: func(took time.Duration) { r.noteConnected(record.Zone, took) },
+		OnConnected: func(took time.Duration) { r.recordConnected(record.Zone, took) },
 		DialTimeout: r.options.DialTimeout,
 		MaxIdle:     maxIdlePerWorker,
 		IdleTimeout: defaultIdleTimeout,
 		Guard:       r.options.Guard,
-		LongestIdle: maxIdleTimeout,
+		MaxIdleTime: maxIdleTimeout,
 		OnDial:      r.options.OnDial,
-		OnLook:      r.options.OnLook,
+		OnProbe:     r.options.OnReconnect,
 	}
 	if r.options.Dial != nil {
 		options.Dial = func(ctx context.Context) (net.Conn, error) { return r.options.Dial(ctx, address) }
@@ -178,10 +178,10 @@
 	return httpconn.NewPool(options)
 }
 
-// noteConnected records how long opening a connection to a zone took.
-func (r *Registry) noteConnected(zone string, took time.Duration) {
-	if roundTrip, changed := r.roundTrips.Observe(zone, took); changed && r.options.OnWay != nil {
-		r.options.OnWay(zone, roundTrip)
+// recordConnected records how long opening a connection to a zone took.
+func (r *Registry) recordConnected(zone string, took time.Duration) {
+	if roundTrip, changed := r.roundTrips.Observe(zone, took); changed && r.options.OnRoundTrip != nil {
+		r.options.OnRoundTrip(zone, roundTrip)
 	}
 }
 
@@ -213,13 +213,13 @@
 	return ids
 }
 
-// Of returns the workers of a service. If it has none, it returns those that were removed
+// Workers returns the workers of a service. If it has none, it returns those that were removed
 // within lingerPeriod. The slice must not be changed.
-func (r *Registry) Of(service string) []*Worker {
+func (r *Registry) Workers(service string) []*Worker {
 	return r.rosterOf(service).workers
 }
 
-// rosterOf returns the workers that Of returns, as a roster.
+// rosterOf returns the workers that Workers returns, as a roster.
 func (r *Registry) rosterOf(service string) roster {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -249,8 +249,8 @@
 	return worker, ok && worker.service == service
 }
 
-// Has reports whether the worker with a key belongs to the service and accepts new work.
-func (r *Registry) Has(service, key string) bool {
+// Usable reports whether the worker with a key belongs to the service and accepts new work.
+func (r *Registry) Usable(service, key string) bool {
 	worker, ok := r.byKey(key)
 	return ok && worker.service == service && !worker.Leaving()
 }
--- a/internal/backend/experience.go
+++ b/internal/backend/verdicts.go
@@ -6,9 +6,9 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cloverwheel/cloverwheel/internal/experience"
+	"github.com/cloverwheel/cloverwheel/internal/eligibility"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
-	"github.com/cloverwheel/cloverwheel/internal/permit"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
 )
 
 const (
@@ -21,9 +21,9 @@
 	// verdictPrecedence is the age up to which a verdict overrides newer observations of this node.
 	verdictPrecedence = 500 * time.Millisecond
 	// trialTTL is how long a trial may wait for a suitable request. During the first
-	// spareOnlyPeriod it is reserved for requests that can be retried at another worker.
-	trialTTL        = 800 * time.Millisecond
-	spareOnlyPeriod = 200 * time.Millisecond
+	// retryableOnlyPeriod it is reserved for requests that can be retried at another worker.
+	trialTTL            = 800 * time.Millisecond
+	retryableOnlyPeriod = 200 * time.Millisecond
 	// maxCost and maxSlowness bound the values of a verdict.
 	maxCost     = time.Second
 	maxSlowness = 100
@@ -34,7 +34,7 @@
 	since          time.Time // time of the first one; zero: none
 	requests       int
 	failures       int
-	silences       int // requests whose first event was overdue
+	timeouts       int // requests whose first event was overdue
 	tokenSamples   int
 	tokenTimeTotal time.Duration // sum over tokenSamples
 }
@@ -105,7 +105,7 @@
 func (t *trials) add(worker *Worker, until time.Time) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.all = slices.DeleteFunc(t.all, func(known trial) bool { return known.worker == worker })
+	t.all = slices.DeleteFunc(t.all, func(existing trial) bool { return existing.worker == worker })
 	t.all = append(t.all, trial{worker: worker, until: until})
 	t.count.Store(int32(len(t.all)))
 }
@@ -114,7 +114,7 @@
 func (t *trials) take(now time.Time, suitable func(trial) bool) (*Worker, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.all = slices.DeleteFunc(t.all, func(known trial) bool { return !now.Before(known.until) })
+	t.all = slices.DeleteFunc(t.all, func(existing trial) bool { return !now.Before(existing.until) })
 	var worker *Worker
 	if index := slices.IndexFunc(t.all, suitable); index >= 0 {
 		worker = t.all[index].worker
@@ -143,37 +143,37 @@
 	observed.failures += failures
 }
 
-// FellSilent records a request whose first event is overdue.
-func (w *Worker) FellSilent(now time.Time) {
+// RecordTimeout records a request whose first event is overdue.
+func (w *Worker) RecordTimeout(now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.observe(now).silences++
+	w.observe(now).timeouts++
 }
 
 // takeSample returns and resets the unreported observations; ok is false if there are none.
-func (w *Worker) takeSample(now time.Time) (sample experience.Sample, ok bool) {
+func (w *Worker) takeSample(now time.Time) (sample outlier.Sample, ok bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known := w.unreported
+	observed := w.unreported
 	w.unreported = observations{}
-	if known.since.IsZero() || now.Sub(known.since) > sampleTTL {
+	if observed.since.IsZero() || now.Sub(observed.since) > sampleTTL {
 		return sample, false
 	}
-	sample = experience.Sample{
-		Worker: w.key, Requests: known.requests, Failures: known.failures,
-		Silences: known.silences, Paced: known.tokenSamples,
+	sample = outlier.Sample{
+		Worker: w.key, Requests: observed.requests, Failures: observed.failures,
+		Silences: observed.timeouts, Paced: observed.tokenSamples,
 	}
-	if known.tokenSamples > 0 {
-		sample.Pace = known.tokenTimeTotal / time.Duration(known.tokenSamples)
+	if observed.tokenSamples > 0 {
+		sample.Pace = observed.tokenTimeTotal / time.Duration(observed.tokenSamples)
 	}
 	return sample, true
 }
 
 // TakeSamples returns the observations of a service's workers since the last call. Observations older
 // than sampleTTL are dropped.
-func (r *Registry) TakeSamples(service string) []experience.Sample {
+func (r *Registry) TakeSamples(service string) []outlier.Sample {
 	now := r.options.Now()
-	var samples []experience.Sample
+	var samples []outlier.Sample
 	for worker := range r.unreported.take(service) {
 		if sample, ok := worker.takeSample(now); ok {
 			samples = append(samples, sample)
@@ -182,23 +182,23 @@
 	return samples
 }
 
-// NoteVerdicts applies verdicts that combine the observations of all nodes.
-func (r *Registry) NoteVerdicts(verdicts []experience.Verdict) {
+// ApplyVerdicts applies verdicts that combine the observations of all nodes.
+func (r *Registry) ApplyVerdicts(verdicts []outlier.Verdict) {
 	now := r.options.Now()
 	for _, received := range verdicts {
 		worker, ok := r.byKey(received.Worker)
 		if !ok {
 			continue
 		}
-		worker.noteVerdict(received, now)
+		worker.setVerdict(received, now)
 		if received.Trial {
 			r.trials.add(worker, now.Add(trialTTL))
 		}
 	}
 }
 
-// noteVerdict replaces the worker's verdict. Out-of-range values are limited.
-func (w *Worker) noteVerdict(received experience.Verdict, now time.Time) {
+// setVerdict replaces the worker's verdict. Out-of-range values are limited.
+func (w *Worker) setVerdict(received outlier.Verdict, now time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if received.Clear() && !w.verdict.receivedAt.IsZero() {
@@ -252,20 +252,20 @@
 	return w.ejected(now)
 }
 
-// Trial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
-// cached context at another worker and can be retried elsewhere. If none comes within spareOnlyPeriod,
-// a program's first turn is used, which has least to lose. Each trial is handed out once.
-func (r *Registry) Trial(query Query) (*Worker, bool) {
-	if r.trials.count.Load() == 0 || !query.Spare && !query.Begins || len(query.Only) > 0 {
+// TakeTrial returns a worker that the request should try on behalf of all nodes. Suitable requests have no
+// cached context at another worker and can be retried elsewhere. If none arrives within
+// retryableOnlyPeriod, a program's first turn is used, since it has no cached context. Each trial is used once.
+func (r *Registry) TakeTrial(query Query) (*Worker, bool) {
+	if r.trials.count.Load() == 0 || !query.Retryable && !query.FirstTurn || len(query.Only) > 0 {
 		return nil, false
 	}
 	now := r.options.Now()
 	return r.trials.take(now, func(trial trial) bool {
 		worker := trial.worker
-		return (query.Spare || trial.until.Sub(now) <= trialTTL-spareOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
+		return (query.Retryable || trial.until.Sub(now) <= trialTTL-retryableOnlyPeriod) && worker.service == query.Service && worker.distance != locality.OtherRegion &&
 			(query.Home == "" || query.Home == worker.key) &&
 			!slices.Contains(query.Exclude, worker.key) &&
-			r.Check(worker, query.Regions) == permit.Allowed && worker.triable(now)
+			r.Check(worker, query.Regions) == eligibility.Allowed && worker.triable(now)
 	})
 }
 
--- a/internal/budget/regions_test.go
+++ b/internal/budget/regions_test.go
@@ -12,15 +12,15 @@
 // TestPeersInTheSameRegionAreAskedFirst guards against requests to other regions while
 // near processes may have tokens, for both direct and broadcast requests.
 func TestPeersInTheSameRegionAreAskedFirst(t *testing.T) {
-	places := locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
-	book := NewBook(Options{
+	zoneMap := locality.NewMap(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
+	accounts := NewAccounts(Options{
 		Store: storetest.New(), Self: Holder{Process: locality.ProcessName("a1", "self", "0")},
-		Vantage: locality.Vantage{Places: places, Zone: "a1"},
+		Location: locality.Location{Zones: zoneMap, Zone: "a1"},
 	})
 	near, nearer, far := Holder{Process: locality.ProcessName("a2", "n", "0")}, Holder{Process: locality.ProcessName("a1", "m", "0")}, Holder{Process: locality.ProcessName("b1", "f", "0")}
-	book.addPeers(near, nearer, far)
-	require.Equal(t, []Holder{nearer, near, far}, book.Met())
-	account := book.accountOf("p")
+	accounts.addPeers(near, nearer, far)
+	require.Equal(t, []Holder{nearer, near, far}, accounts.RecentPeers())
+	account := accounts.accountOf("p")
 	account.addHolders(near, nearer, far)
-	require.Equal(t, []Holder{nearer, near, far}, book.responsiveHolders(account))
+	require.Equal(t, []Holder{nearer, near, far}, accounts.responsiveHolders(account))
 }
--- /dev/null
+++ b/internal/capacity/cluster_test.go
@@ -0,0 +1,461 @@
+package capacity
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/apex/log"
+	"github.com/apex/log/handlers/discard"
+	"github.com/stretchr/testify/require"
+
+	"github.com/cloverwheel/cloverwheel/internal/budget"
+	"github.com/cloverwheel/cloverwheel/internal/directory"
+	"github.com/cloverwheel/cloverwheel/internal/fault"
+	"github.com/cloverwheel/cloverwheel/internal/locality"
+	"github.com/cloverwheel/cloverwheel/internal/outlier"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
+)
+
+// testCluster is a set of nodes in one zone with workers in the configuration of all of them. Nodes
+// 0 and 1 own the slots.
+type testCluster struct {
+	t       *testing.T
+	owners  []budget.Holder // by slot
+	workers []string
+	nodes   []*testNode
+	hop     time.Duration  // one-way latency between nodes
+	merged  sampleRecorder // samples of all nodes, merged by coordinators
+
+	mutex        sync.Mutex
+	unresponsive map[string]bool    // processes that do not answer
+	cut          map[[2]string]bool // by sender and receiver: links that lose all messages
+	outdated     map[string]bool    // processes of an older version, which reject the method
+	refreshes    int                // calls of RequestRefresh
+}
+
+type testNode struct {
+	cluster     *testCluster
+	self        budget.Holder
+	coordinator *Coordinator
+	client      *Client
+	placements  []Placement
+	samples     sampleRecorder
+}
+
+const testConcurrency = 4
+
+func newTestCluster(t *testing.T, nodes, workers int) *testCluster {
+	c := &testCluster{t: t, hop: time.Millisecond, unresponsive: map[string]bool{}, cut: map[[2]string]bool{}, outdated: map[string]bool{}}
+	for index := range workers {
+		c.workers = append(c.workers, fmt.Sprint("w", index))
+	}
+	for index := range nodes {
+		process := locality.ProcessName("z", fmt.Sprint("n", index), "1")
+		c.nodes = append(c.nodes, &testNode{cluster: c, self: budget.Holder{Process: process, Address: process}})
+	}
+	c.owners = make([]budget.Holder, directory.Layout{}.SlotCount())
+	for slot := range c.owners {
+		c.owners[slot] = c.nodes[slot%2].self
+	}
+	logger := &log.Logger{Handler: discard.New(), Level: log.InfoLevel}
+	for _, node := range c.nodes {
+		slots := &CoordinatorResolver{Owners: node}
+		node.coordinator = NewCoordinator(CoordinatorOptions{Process: node.self.Process, Resolver: slots, Members: node.members, OutlierDetector: &c.merged, OnAnswer: func(Outcome, Reason) {}, Logger: logger})
+		node.client = NewClient(ClientOptions{
+			Self: node.self, Zone: "z", Resolver: slots, Peers: node, Workers: node, Coordinator: node.coordinator, SampleExchange: &node.samples,
+			OnFind: func(placement Placement) { node.placements = append(node.placements, placement) }, OnReport: func(bool) {}, Logger: logger,
+		})
+		go node.client.Run(t.Context())
+	}
+	return c
+}
+
+// coordinatorIndex returns the index of the node that coordinates the group.
+func (c *testCluster) coordinatorIndex() int {
+	coordinator, _, _ := c.nodes[0].client.options.Resolver.coordinator(testGroup, func(string) bool { return false })
+	return slices.IndexFunc(c.nodes, func(node *testNode) bool { return node.self == coordinator })
+}
+
+var testGroup = Group{Service: "s", Zone: "z"}
+
+func (n *testNode) Owner(slot int) (budget.Holder, bool) { return n.cluster.owners[slot], true }
+
+func (n *testNode) RequestRefresh() {
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
+	n.cluster.refreshes++
+}
+
+func (n *testNode) members(Group) (members []Member, ok bool) {
+	n.cluster.mutex.Lock()
+	defer n.cluster.mutex.Unlock()
+	for _, worker := range n.cluster.workers {
+		members = append(members, Member{Worker: worker, Concurrency: testConcurrency})
+	}
+	return members, true
+}
+
+func (n *testNode) GroupOf(_, worker string) (Group, bool) { return testGroup, worker != "" }
+func (n *testNode) GroupIn(_, _, _ string) (Group, bool)   { return testGroup, true }
+func (n *testNode) OtherZones(_, _ string) []RemoteZone    { return nil }
+func (n *testNode) InRegion(string) bool                   { return true }
+func (n *testNode) Excluded(Group) []string                { return nil }
+func (c *testCluster) setState(states map[string]bool, of int, to bool) {
+	c.withLock(func() { states[c.process(of)] = to })
+}
+func (c *testCluster) process(index int) string { return c.nodes[index].self.Process }
+func (c *testCluster) withLock(do func())       { c.mutex.Lock(); defer c.mutex.Unlock(); do() }
+func (c *testCluster) cutLink(from, to int) {
+	c.withLock(func() { c.cut[[2]string{c.process(from), c.process(to)}] = true })
+}
+
+// linkState reports whether messages to a process are lost, and whether it rejects the method as
+// unknown.
+func (n *testNode) linkState(to string) (lost, unknown bool) {
+	c := n.cluster
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.unresponsive[to] || c.unresponsive[n.self.Process] || c.cut[[2]string{n.self.Process, to}], c.outdated[to]
+}
+
+// Report implements Peers.
+func (n *testNode) Report(ctx context.Context, coordinator budget.Holder, request Request) (Answer, error) {
+	lost, unknown := n.linkState(coordinator.Process)
+	if lost {
+		<-ctx.Done()
+		return Answer{}, ctx.Err()
+	}
+	if unknown {
+		return Answer{}, fault.New(fault.Invalid, "unknown peer method", "run the same version on all nodes")
+	}
+	if err := timing.Sleep(ctx, n.cluster.hop); err != nil {
+		return Answer{}, err
+	}
+	index := slices.IndexFunc(n.cluster.nodes, func(other *testNode) bool { return other.self == coordinator })
+	if index < 0 {
+		return Answer{}, errors.New("no such node")
+	}
+	answer := n.cluster.nodes[index].coordinator.Answer(ctx, request)
+	if err := timing.Sleep(ctx, n.cluster.hop); err != nil {
+		return Answer{}, err
+	}
+	return answer, nil
+}
+
+// find reserves a worker and falls back to the first one if none is assigned.
+func (n *testNode) find(wanted PlacementRequest) (Placement, *Reservation) {
+	wanted.Service = "s"
+	wanted.Allows = func(string) bool { return true }
+	placement := n.client.Reserve(n.cluster.t.Context(), wanted)
+	if placement.Reservation != nil {
+		return placement, placement.Reservation
+	}
+	return placement, n.client.Begin("s", n.cluster.workers[0], 0)
+}
+
+// beginRequests starts requests on a node, spread over the workers.
+func (n *testNode) beginRequests(requests int) (reservations []*Reservation) {
+	for index := range requests {
+		reservations = append(reservations, n.client.Begin("s", n.cluster.workers[index%len(n.cluster.workers)], 0))
+	}
+	return reservations
+}
+
+// settle waits until the coordinator has received reports of all nodes.
+func settle() { time.Sleep(2*settleTime + 100*time.Millisecond) }
+
+// runCluster runs a test in virtual time.
+func runCluster(t *testing.T, nodes, workers int, test func(t *testing.T, c *testCluster)) {
+	synctest.Test(t, func(t *testing.T) { test(t, newTestCluster(t, nodes, workers)) })
+}
+
+// TestNoQueryAtLowLoad guards against queries to the coordinator while most workers have capacity.
+func TestNoQueryAtLowLoad(t *testing.T) {
+	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(4)
+		settle()
+		placement, reservation := c.nodes[2].find(PlacementRequest{})
+		require.Equal(t, SourceLocal, placement.Source)
+		require.Zero(t, placement.Took)
+		require.InDelta(t, 0.25, placement.Utilization, 0)
+		reservation.Release()
+	})
+}
+
+// TestCoordinatorAssignsFreeWorker guards against a request sent to a full worker while another one
+// has capacity.
+func TestCoordinatorAssignsFreeWorker(t *testing.T) {
+	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(15) // of 16; the last worker has 3 requests
+		settle()
+		c.nodes[3].beginRequests(0)
+		placement, reservation := c.nodes[3].find(PlacementRequest{})
+		require.Equal(t, SourceLocal, placement.Source, "no status received yet")
+		reservation.Release()
+		settle()
+		placement, reservation = c.nodes[3].find(PlacementRequest{})
+		require.Equal(t, SourceCoordinator, placement.Source)
+		require.Equal(t, "w3", reservation.WorkerKey())
+		require.LessOrEqual(t, placement.Took, 2*c.hop)
+	})
+}
+
+// TestFreedCapacityGoesToQueuedRequest guards against freed capacity that stays idle while a query
+// waits. Canceled and failed requests release capacity in the same way.
+func TestFreedCapacityGoesToQueuedRequest(t *testing.T) {
+	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
+		reservations := c.nodes[2].beginRequests(testConcurrency + overcommit)
+		c.nodes[3].beginRequests(1)
+		settle()
+		begun := time.Now()
+		time.AfterFunc(50*time.Millisecond, func() { reservations[0].Release(); reservations[1].Release() })
+		placement, _ := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
+		require.Equal(t, SourceCoordinator, placement.Source)
+		require.Equal(t, "w0", placement.Reservation.WorkerKey())
+		require.LessOrEqual(t, time.Since(begun), 50*time.Millisecond+reportDelayBusy+2*reportTick+4*c.hop)
+	})
+}
+
+// TestMaximumWaitIsKept guards against waiting longer for capacity than the request allows.
+func TestMaximumWaitIsKept(t *testing.T) {
+	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(20)
+		c.nodes[3].beginRequests(1)
+		settle()
+		for _, longest := range []time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond} {
+			placement, reservation := c.nodes[3].find(PlacementRequest{MaxWait: longest})
+			require.Equal(t, SourceFull, placement.Source)
+			require.LessOrEqual(t, placement.Took, longest+10*c.hop)
+			reservation.Release()
+		}
+	})
+}
+
+// TestCanceledRequestTakesNoCapacity guards against capacity lost to a request canceled while it
+// waited.
+func TestCanceledRequestTakesNoCapacity(t *testing.T) {
+	runCluster(t, 4, 1, func(t *testing.T, c *testCluster) {
+		reservations := c.nodes[2].beginRequests(testConcurrency + overcommit)
+		others := c.nodes[3].beginRequests(1)
+		settle()
+		ctx, cancel := context.WithCancel(t.Context())
+		time.AfterFunc(20*time.Millisecond, cancel)
+		placement := c.nodes[3].client.Reserve(ctx, PlacementRequest{Service: "s", MaxWait: 400 * time.Millisecond, Allows: func(string) bool { return true }})
+		require.Nil(t, placement.Reservation)
+		require.LessOrEqual(t, placement.Took, 21*time.Millisecond)
+		for _, reservation := range append(reservations, others...) {
+			reservation.Release()
+		}
+		time.Sleep(grantTTL + 100*time.Millisecond)
+		require.Zero(t, c.nodes[c.coordinatorIndex()].coordinator.Utilization(testGroup))
+	})
+}
+
+// coordinatorFailure is a failure of the coordinator.
+type coordinatorFailure struct {
+	start      func(c *testCluster, coordinator int)
+	stop       func(c *testCluster, coordinator int)
+	senderOnly bool // only the sender cannot reach the coordinator; the replacement has no other node's reports
+}
+
+// TestCoordinatorFailover guards against long waits when a coordinator is killed, paused for 4 s,
+// unreachable one way or replaced by an older version. Within a second another coordinator assigns
+// workers. A node that alone cannot reach the coordinator chooses from local state.
+func TestCoordinatorFailover(t *testing.T) {
+	for name, failure := range map[string]coordinatorFailure{
+		"killed":      {start: func(c *testCluster, coordinator int) { c.setState(c.unresponsive, coordinator, true) }},
+		"cut one way": {start: func(c *testCluster, coordinator int) { c.cutLink(3, coordinator) }, senderOnly: true},
+		"old build":   {start: func(c *testCluster, coordinator int) { c.setState(c.outdated, coordinator, true) }},
+		"paused": {
+			start: func(c *testCluster, coordinator int) { c.setState(c.unresponsive, coordinator, true) },
+			stop:  func(c *testCluster, coordinator int) { c.setState(c.unresponsive, coordinator, false) },
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
+				c.nodes[2].beginRequests(15) // only w3 has capacity
+				c.nodes[3].beginRequests(1)
+				settle()
+				settle()
+				coordinator := c.coordinatorIndex()
+				failure.start(c, coordinator)
+				reserve := func() Placement {
+					placement, reservation := c.nodes[3].find(PlacementRequest{MaxWait: 400 * time.Millisecond})
+					reservation.Release()
+					time.Sleep(30 * time.Millisecond)
+					return placement
+				}
+				var waited time.Duration
+				for begun := time.Now(); time.Since(begun) < time.Second; {
+					placement := reserve()
+					waited += placement.Took
+					require.Contains(t, []Source{SourceCoordinator, SourceNoAnswer, SourceUnsettled, SourceLocal}, placement.Source)
+				}
+				require.LessOrEqual(t, waited, missesToSuspect*queryTimeout+time.Second/10)
+				for begun := time.Now(); time.Since(begun) < 3*time.Second; {
+					placement := reserve()
+					require.LessOrEqual(t, placement.Took, 10*c.hop)
+					if failure.senderOnly {
+						continue
+					}
+					require.Equal(t, SourceCoordinator, placement.Source, "after %v", time.Since(begun))
+					require.NotEqual(t, c.process(coordinator), placement.Coordinator)
+					require.Equal(t, "w3", placement.Reservation.WorkerKey())
+				}
+				if failure.stop == nil {
+					return
+				}
+				failure.stop(c, coordinator)
+				for begun := time.Now(); time.Since(begun) < 2*maxBackoff; {
+					reserve()
+				}
+				placement := reserve()
+				require.Equal(t, SourceCoordinator, placement.Source)
+				require.Equal(t, c.process(coordinator), placement.Coordinator, "the recovered process must be coordinator again")
+				require.Equal(t, "w3", placement.Reservation.WorkerKey())
+			})
+		})
+	}
+}
+
+// TestTwoCoordinatorsAtOnce guards against excessive waits while some nodes cannot reach the
+// coordinator and use another one, and against a process that acts as coordinator when it is not.
+func TestTwoCoordinatorsAtOnce(t *testing.T) {
+	runCluster(t, 6, 4, func(t *testing.T, c *testCluster) {
+		first := c.coordinatorIndex()
+		second := 1 - first
+		for _, index := range []int{3, 5} {
+			c.cutLink(index, first)
+		}
+		for index := 2; index < 6; index++ {
+			c.nodes[index].beginRequests(4) // all 16 in use
+		}
+		settle()
+		settle()
+		for range 20 {
+			for index := 2; index < 6; index++ {
+				placement, reservation := c.nodes[index].find(PlacementRequest{MaxWait: 100 * time.Millisecond})
+				require.LessOrEqual(t, placement.Took, 100*time.Millisecond+10*c.hop)
+				reservation.Release()
+			}
+			time.Sleep(30 * time.Millisecond)
+		}
+		last := func(index int) Placement { return c.nodes[index].placements[len(c.nodes[index].placements)-1] }
+		require.Equal(t, c.process(first), last(2).Coordinator)
+		require.Equal(t, c.process(second), last(3).Coordinator)
+
+		answer := c.nodes[second].coordinator.Answer(t.Context(), Request{Process: c.process(second), Report: Report{From: "x", Group: testGroup}})
+		require.False(t, answer.Keeper, "not the coordinator, and no other process was passed over")
+		answer = c.nodes[first].coordinator.Answer(t.Context(), Request{Process: "of an earlier process", Report: Report{From: "x", Group: testGroup}})
+		require.False(t, answer.Keeper)
+	})
+}
+
+// TestFailedNodeFreesItsCapacity guards against capacity that stays occupied for more than a second
+// after a node fails.
+func TestFailedNodeFreesItsCapacity(t *testing.T) {
+	runCluster(t, 4, 13, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(50) // of 52
+		c.nodes[3].beginRequests(1)
+		settle()
+		settle()
+		utilization := func() float64 {
+			placement, reservation := c.nodes[3].find(PlacementRequest{})
+			reservation.Release()
+			return placement.Utilization
+		}
+		require.Greater(t, utilization(), 0.9)
+		c.setState(c.unresponsive, 2, true)
+		time.Sleep(time.Second)
+		require.Less(t, utilization(), 0.1)
+	})
+}
+
+// TestRestartedWorkerIsNewWorker guards against counting the requests of a worker's previous
+// incarnation. The worker key names the incarnation.
+func TestRestartedWorkerIsNewWorker(t *testing.T) {
+	runCluster(t, 4, 3, func(t *testing.T, c *testCluster) {
+		c.nodes[2].beginRequests(11) // w2 has 3, the others 4
+		c.nodes[3].beginRequests(1)  // w0 has one more
+		settle()
+		settle()
+		placement, reservation := c.nodes[3].find(PlacementRequest{})
+		require.Equal(t, "w2", placement.Reservation.WorkerKey())
+		reservation.Release()
+		c.withLock(func() { c.workers[0] = "w0@2" })
+		time.Sleep(100 * time.Millisecond)
+		placement, reservation = c.nodes[3].find(PlacementRequest{Home: "w0"})
+		require.Equal(t, "w0@2", placement.Reservation.WorkerKey())
+		reservation.Release()
+	})
+}
+
+// sampleRecorder implements OutlierDetector and SampleExchange. It returns verdicts once it has received a sample.
+type sampleRecorder struct {
+	mutex    sync.Mutex
+	pending  []outlier.Sample  // returned by TakeSamples
+	received []outlier.Sample  // received by Add
+	verdicts []outlier.Verdict // received by NoteVerdicts
+	avoid    []outlier.Verdict // returned by Verdicts
+}
+
+func (s *sampleRecorder) withLock(what func()) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	what()
+}
+
+func (s *sampleRecorder) Add(_ Group, _ string, samples []outlier.Sample, _ time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.received = append(s.received, samples...)
+}
+
+func (s *sampleRecorder) Verdicts(Group, time.Time) []outlier.Verdict {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(s.received) == 0 {
+		return nil
+	}
+	return s.avoid
+}
+
+func (s *sampleRecorder) TakeSamples(string) []outlier.Sample {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	taken := s.pending
+	s.pending = nil
+	return taken
+}
+
+func (s *sampleRecorder) NoteVerdicts(verdicts []outlier.Verdict) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.verdicts = verdicts
+}
+
+// TestSamplesAndVerdictsTravelWithReports guards against samples that do not reach the coordinator,
+// verdicts that do not reach the nodes, and assigning requests to a worker to be avoided.
+func TestSamplesAndVerdictsTravelWithReports(t *testing.T) {
+	runCluster(t, 4, 4, func(t *testing.T, c *testCluster) {
+		c.merged.withLock(func() { c.merged.avoid = []outlier.Verdict{{Worker: "w3", Until: time.Minute}} })
+		node := &c.nodes[2].samples
+		node.withLock(func() { node.pending = []outlier.Sample{{Worker: "w3", Requests: 9, Failures: 9}} })
+		c.nodes[2].beginRequests(14) // w2 and w3 have capacity
+		c.nodes[3].beginRequests(1)
+		settle()
+		settle()
+		c.merged.withLock(func() { require.Len(t, c.merged.received, 1) })
+		node.withLock(func() { require.Equal(t, c.merged.avoid, node.verdicts) })
+		for range 4 {
+			placement, _ := c.nodes[3].find(PlacementRequest{Exclude: []string{"w0"}})
+			require.NotEqual(t, "w3", placement.Reservation.WorkerKey())
+		}
+	})
+}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -5,8 +5,8 @@
 // the slots of the region through which its turns enter.
 //
 // Lookups return hints. A wrong or missing hint costs an extra call to the store and breaks no
-// guarantee, so entries are not persisted. Lending out of tenants' limits needs exclusive
-// ownership; for that, owners hold leases (see Lease).
+// guarantee, so entries are not persisted. Issuing permits against tenants' limits needs
+// exclusive ownership; for that, owners hold leases (see Lease).
 package directory
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/budget"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/store"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -74,18 +74,18 @@
 	Store store.Store
 	Self  budget.Holder
 	Peers Peers
-	// Patience gives the response times observed per process; nil if not measured.
-	Patience wait.Patience
-	// Vantage is the location of this node, which owns slots of its own region only.
-	Vantage locality.Vantage
-	// LentFor is how long a loan stays in effect. Once a process has owned a slot for longer,
-	// loans made by its predecessors have expired.
-	LentFor time.Duration
-	// Grants sends grant requests to other nodes. CountGrant, if not nil, is called with the
-	// outcome of each grant request that this node answers.
-	Grants     GrantPeers
-	CountGrant func(GrantOutcome)
-	Logger     log.Interface
+	// ResponseTimes estimates the response times of other processes; nil if they are not measured.
+	ResponseTimes timing.TimeoutFunc
+	// Location is the location of this node, which owns slots of its own region only.
+	Location locality.Location
+	// PermitDuration is how long a permit stays in effect. Once a process has owned a slot for longer,
+	// permits issued by its predecessors have expired.
+	PermitDuration time.Duration
+	// Grants sends grant requests to other nodes. OnGrantOutcome, if not nil, is called with
+	// the outcome of each grant request that this node answers.
+	Grants         GrantPeers
+	OnGrantOutcome func(GrantOutcome)
+	Logger         log.Interface
 }
 
 // Directory holds this process's view of slot ownership, and the entries of the slots it owns.
@@ -116,9 +116,9 @@
 // owner is a slot's state as last read from the store. The zero value is a vacant slot.
 type owner struct {
 	budget.Holder
-	revision store.Version
-	lending  Bequest
-	grants   grants
+	revision     store.Version
+	priorPermits PriorPermits
+	grants       grants
 }
 
 // entry is what the owner of a slot records about a program.
@@ -130,10 +130,10 @@
 	turns   []turnRecord // newest last
 }
 
-// located returns the entry as a hint for asker, leaving out asker itself.
-func (e *entry) located(asker budget.Holder, now time.Time) (located budget.Located) {
+// located returns the entry as a hint for requester, without requester itself.
+func (e *entry) located(requester budget.Holder, now time.Time) (located budget.Located) {
 	for _, holder := range slices.Backward(e.holders) {
-		if holder != asker {
+		if holder != requester {
 			located.Holders = append(located.Holders, holder)
 		}
 	}
@@ -145,33 +145,33 @@
 
 // update records the turn that request reports.
 func (e *entry) update(request Request, now time.Time) {
-	asker := request.From
+	requester := request.From
 	e.used = now
 	if request.Spent > 0 {
 		e.spent, e.spentAt = request.Spent, now
 	}
 	if request.Ran != "" {
-		e.recordTurn(request.Ran, asker)
+		e.recordTurn(request.Ran, requester)
 	}
 	if request.Returned {
 		e.spent = 0
 		return // the sender holds no tokens any more
 	}
-	e.holders = slices.DeleteFunc(e.holders, func(holder budget.Holder) bool { return holder == asker })
+	e.holders = slices.DeleteFunc(e.holders, func(holder budget.Holder) bool { return holder == requester })
 	if len(e.holders) == maxHolders {
 		e.holders = slices.Delete(e.holders, 0, 1)
 	}
-	e.holders = append(e.holders, asker)
+	e.holders = append(e.holders, requester)
 }
 
 // New returns a directory whose slots have not been read yet; Run reads them.
 func New(options Options) *Directory {
-	layout := NewLayout(options.Vantage.Places)
+	layout := NewLayout(options.Location.Zones)
 	return &Directory{
 		options:     options,
 		layout:      layout,
-		region:      layout.index(options.Vantage.Region()),
-		owners:      make([]owner, layout.Count()),
+		region:      layout.index(options.Location.OwnRegion()),
+		owners:      make([]owner, layout.SlotCount()),
 		refreshNow:  make(chan struct{}, 1),
 		suspicions:  map[int]suspicion{},
 		entries:     map[string]*entry{},
@@ -189,13 +189,13 @@
 	return d.ask(ctx, Request{Program: program, From: d.options.Self}).Located
 }
 
-// NoteSpent implements budget.Locator. It does not wait for the owner's answer.
-func (d *Directory) NoteSpent(program string, tokens int) {
+// RecordRefusal implements budget.Locator. It does not wait for the owner's answer.
+func (d *Directory) RecordRefusal(program string, tokens int) {
 	go d.ask(context.Background(), Request{Program: program, From: d.options.Self, Spent: tokens})
 }
 
-// NoteReturned implements budget.Locator.
-func (d *Directory) NoteReturned(ctx context.Context, program string) {
+// RecordReturned implements budget.Locator.
+func (d *Directory) RecordReturned(ctx context.Context, program string) {
 	d.ask(ctx, Request{Program: program, From: d.options.Self, Returned: true})
 }
 
@@ -209,24 +209,24 @@
 	}
 	request.Process = asked.Process
 	if asked.Process == d.options.Self.Process {
-		return d.Answer(request)
+		return d.HandleRequest(request)
 	}
-	limited, cancel := context.WithTimeout(ctx, d.options.Patience.Of(asked.Process, minLocateTimeout, maxLocateTimeout))
+	limited, cancel := context.WithTimeout(ctx, d.options.ResponseTimes.For(asked.Process, minLocateTimeout, maxLocateTimeout))
 	defer cancel()
 	answer, err := d.options.Peers.Locate(limited, asked.Address, request)
 	if ctx.Err() != nil {
 		return Answer{}
 	}
 	if err != nil || !answer.Owner {
-		d.Missed(slot, asked)
+		d.RecordNoAnswer(slot, asked)
 		return Answer{}
 	}
-	d.Heard(slot)
+	d.RecordAnswer(slot)
 	return answer
 }
 
-// Answer handles a request from another node.
-func (d *Directory) Answer(request Request) Answer {
+// HandleRequest handles a request from another node.
+func (d *Directory) HandleRequest(request Request) Answer {
 	slot := request.Slot
 	if !request.Probe {
 		slot = d.slotOf(request.Program)
--- a/internal/directory/grant_simulation_test.go
+++ b/internal/directory/grant_simulation_test.go
@@ -22,7 +22,7 @@
 // A fixed seed makes the test reproducible; -rapid.seed overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// grantSimulation is a set of nodes with directories and budget books that share one store.
+// grantSimulation is a set of nodes with directories and budget accounts that share one store.
 type grantSimulation struct {
 	t     *testing.T
 	table *storetest.Table
@@ -39,7 +39,7 @@
 // grantNode is a process of a node.
 type grantNode struct {
 	directory *Directory
-	book      *budget.Book
+	accounts  *budget.Accounts
 	cancel    context.CancelFunc
 	denied    bool // the store refuses this node's calls
 	isolated  bool // partitioned from the other nodes
@@ -65,7 +65,7 @@
 	peers := simulationPeers{w, node}
 	node.directory = New(Options{
 		Store: table, Self: self, Peers: peers, Grants: peers, Logger: &log.Logger{Handler: discard.New()},
-		CountGrant: func(outcome GrantOutcome) {
+		OnGrantOutcome: func(outcome GrantOutcome) {
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
 			if outcome == GrantMade {
@@ -73,7 +73,7 @@
 			}
 		},
 	})
-	node.book = budget.NewBook(budget.Options{Store: table, Self: self, Peers: peers, Locator: node.directory, Granter: node.directory})
+	node.accounts = budget.NewAccounts(budget.Options{Store: table, Self: self, Peers: peers, Locator: node.directory, Granter: node.directory})
 	ctx, cancel := context.WithCancel(context.Background())
 	node.cancel = cancel
 	w.nodes[index] = node
@@ -96,7 +96,7 @@
 // Commit implements store.Store.
 func (s nodeStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	if s.refused() {
-		return 0, store.ErrNotDone
+		return 0, store.ErrNotApplied
 	}
 	return s.Table.Commit(ctx, transaction)
 }
@@ -104,7 +104,7 @@
 // Range implements store.Store.
 func (s nodeStore) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	if s.refused() {
-		return store.Page{}, store.ErrNotDone
+		return store.Page{}, store.ErrNotApplied
 	}
 	return s.Table.Range(ctx, table, part, from, to, limit)
 }
@@ -112,7 +112,7 @@
 // Watch implements store.Store.
 func (s nodeStore) Watch(ctx context.Context, table string, after store.Version, wait time.Duration) (store.Page, error) {
 	if s.refused() {
-		return store.Page{}, store.ErrNotDone
+		return store.Page{}, store.ErrNotApplied
 	}
 	return s.Table.Watch(ctx, table, after, wait)
 }
@@ -153,17 +153,17 @@
 
 // Locate implements Peers.
 func (p simulationPeers) Locate(ctx context.Context, address string, request Request) (Answer, error) {
-	return send(ctx, p, address, func(to *grantNode) Answer { return to.directory.Answer(request) })
+	return send(ctx, p, address, func(to *grantNode) Answer { return to.directory.HandleRequest(request) })
 }
 
 // Grant implements GrantPeers.
 func (p simulationPeers) Grant(ctx context.Context, address string, request GrantRequest) (GrantAnswer, error) {
-	return send(ctx, p, address, func(to *grantNode) GrantAnswer { return to.directory.AnswerGrant(request) })
+	return send(ctx, p, address, func(to *grantNode) GrantAnswer { return to.directory.HandleGrantRequest(request) })
 }
 
 // HandOver implements budget.Peers.
 func (p simulationPeers) HandOver(ctx context.Context, address string, request budget.HandOverRequest) (budget.HandOverAnswer, error) {
-	return send(ctx, p, address, func(to *grantNode) budget.HandOverAnswer { return to.book.HandOver(ctx, request) })
+	return send(ctx, p, address, func(to *grantNode) budget.HandOverAnswer { return to.accounts.HandOver(ctx, request) })
 }
 
 // program tracks the tokens that turns of a program have generated.
@@ -179,7 +179,7 @@
 	ctx, cancel := context.WithTimeout(w.t.Context(), 900*time.Millisecond)
 	defer cancel()
 	most := 100 + w.draw(of.budget/5)
-	reservation, err := node.book.Reserve(ctx, budget.Claim{Program: name, Budget: of.budget, Tokens: most})
+	reservation, err := node.accounts.Reserve(ctx, budget.Claim{Program: name, Budget: of.budget, Tokens: most})
 	if err != nil {
 		return
 	}
@@ -210,7 +210,7 @@
 		ctx, cancel := context.WithTimeout(w.t.Context(), 300*time.Millisecond)
 		node := w.nodes[index]
 		node.directory.Leave(ctx)
-		node.book.GiveBack(ctx)
+		node.accounts.GiveBack(ctx)
 		cancel()
 		w.start(index)
 	case 3, 4, 5:
@@ -222,7 +222,7 @@
 	case 8:
 		change(func() { w.lossPercent = w.random.IntN(50) })
 	case 9:
-		w.table.Release(w.draw)
+		w.table.ApplyLate(w.draw)
 	default:
 		change(func() { w.lossPercent, w.storeDown = 0, false })
 	}
@@ -257,12 +257,12 @@
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 		if w.storeDown {
-			return storetest.Silent
+			return storetest.RequestLost
 		}
 		if w.random.IntN(100) >= faulty {
 			return storetest.None
 		}
-		return storetest.Fault(w.random.IntN(int(storetest.Applied) + 1))
+		return storetest.Fault(w.random.IntN(int(storetest.AppliedThenReset) + 1))
 	})
 	for index := range w.nodes {
 		w.start(index)
--- a/internal/directory/lease_test.go
+++ b/internal/directory/lease_test.go
@@ -23,15 +23,15 @@
 	var conflict *store.Conflict
 	switch {
 	case err == nil:
-		d.Proven(claims, sent)
+		d.ConfirmClaims(claims, sent)
 	case errors.As(err, &conflict):
-		d.Disproven(claims, conflict, sent)
+		d.HandleConflict(claims, conflict, sent)
 	}
 }
 
 // ownedSlot returns a slot that a node owns.
 func ownedSlot(t *testing.T, d *Directory) int {
-	for slot := range d.layout.Count() {
+	for slot := range d.layout.SlotCount() {
 		if d.owns(slot) {
 			return slot
 		}
@@ -53,6 +53,7 @@
 	return ok && lease.Valid(time.Now())
 }
 
+// A lease must not outlast the last confirmation of its claim.
 func TestLeaseExpiresUnlessRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
@@ -75,12 +76,12 @@
 		defer c.stop()
 		claims, sent := d.Claims(), time.Now()
 		time.Sleep(leaseDuration)
-		d.Proven(claims, sent)
+		d.ConfirmClaims(claims, sent)
 		require.False(t, leaseValid(d, slot))
 	})
 }
 
-// A partitioned owner may still lend. Its successor must not lend before the old lease has
+// A partitioned owner may still issue permits. Its successor must not issue any before the old lease has
 // expired.
 func TestTwoOwnersNeverHoldALeaseAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -143,7 +144,7 @@
 		lease, ok := d.Lease(slot)
 		require.True(t, ok)
 		require.True(t, lease.Valid(time.Now()))
-		require.True(t, lease.Before.All, "the previous process had not settled")
+		require.True(t, lease.Prior.All, "the previous process had not settled")
 	})
 }
 
@@ -155,7 +156,7 @@
 		c.table.SetFault(func(_ string, write bool) storetest.Fault {
 			if write && first {
 				first = false
-				return storetest.Applied
+				return storetest.AppliedThenReset
 			}
 			return storetest.None
 		})
@@ -170,7 +171,7 @@
 	})
 }
 
-// A node that is shutting down must not lend, even if it cannot release its slots in the store.
+// A node that is shutting down must not issue permits, even if it cannot release its slots in the store.
 func TestLeavingNodeLendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
@@ -183,16 +184,17 @@
 	})
 }
 
-func TestSuccessorSeesRaisedTenantsAndUnsettledRow(t *testing.T) {
+// A successor must take into account what its predecessors may have issued.
+func TestSuccessorSeesFullLimitTenantsAndUnsettledRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		require.True(t, d.Raise(t.Context(), slot, "stalls"))
-		require.True(t, d.Raise(t.Context(), slot, "cellars"))
-		d.Lower(t.Context(), slot, "stalls")
+		require.True(t, d.AllowFullLimit(t.Context(), slot, "stalls"))
+		require.True(t, d.AllowFullLimit(t.Context(), slot, "cellars"))
+		d.RevokeFullLimit(t.Context(), slot, "stalls")
 		lease, _ := d.Lease(slot)
-		require.Equal(t, []string{"cellars"}, lease.Raised)
-		for d.Settle(t.Context()) {
+		require.Equal(t, []string{"cellars"}, lease.FullLimitTenants)
+		for d.MarkSettled(t.Context()) {
 			time.Sleep(time.Millisecond)
 		}
 		c.kill(address(0))
@@ -200,25 +202,25 @@
 		time.Sleep(1500 * time.Millisecond)
 		lease, ok := next.Lease(slot)
 		require.True(t, ok)
-		require.False(t, lease.Before.All)
-		require.True(t, lease.Before.Lent("cellars"))
-		require.False(t, lease.Before.Lent("stalls"))
+		require.False(t, lease.Prior.All)
+		require.True(t, lease.Prior.MayHaveIssued("cellars"))
+		require.False(t, lease.Prior.MayHaveIssued("stalls"))
 		c.kill(address(0))
 		last := c.start(address(0))
 		time.Sleep(1500 * time.Millisecond)
 		lease, _ = last.Lease(slot)
-		require.True(t, lease.Before.All, "its predecessor did not own the slot for long enough to settle")
+		require.True(t, lease.Prior.All, "its predecessor did not own the slot for long enough to settle")
 	})
 }
 
-// Raised lending must not be visible before the store has recorded it for the successor.
+// A full limit must not appear as allowed before the store has recorded it for the successor.
 func TestRaiseIsNotVisibleBeforeTheStoreHasIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, d, slot := startWithOwner(t)
 		defer c.stop()
-		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.Broken })
-		require.False(t, d.Raise(t.Context(), slot, "stalls"))
+		c.table.SetFault(func(string, bool) storetest.Fault { return storetest.ConnectionReset })
+		require.False(t, d.AllowFullLimit(t.Context(), slot, "stalls"))
 		lease, _ := d.Lease(slot)
-		require.False(t, slices.Contains(lease.Raised, "stalls"))
+		require.False(t, slices.Contains(lease.FullLimitTenants, "stalls"))
 	})
 }
--- a/internal/directory/regions_test.go
+++ b/internal/directory/regions_test.go
@@ -22,7 +22,7 @@
 // a region alternate between its zones.
 func newRegionalCluster(nodes int) *cluster {
 	c := newCluster(0)
-	c.places, c.zones = locality.NewMap(regionZones), map[string]string{}
+	c.zoneMap, c.zones = locality.NewMap(regionZones), map[string]string{}
 	for index := range nodes {
 		c.zones[address(index)] = fmt.Sprintf("%c%d", "abc"[index%3], 1+index/3%2)
 		c.start(address(index))
@@ -35,14 +35,14 @@
 	if c.partitionedRegion == "" {
 		return false
 	}
-	return (c.places.Region(c.zones[one]) == c.partitionedRegion) != (c.places.Region(c.zones[other]) == c.partitionedRegion)
+	return (c.zoneMap.Region(c.zones[one]) == c.partitionedRegion) != (c.zoneMap.Region(c.zones[other]) == c.partitionedRegion)
 }
 
 // misplacedSlots counts the slots owned by nodes of other regions, according to all nodes' views.
 func (c *cluster) misplacedSlots() (count int) {
 	for address, d := range c.nodes {
-		for slot := range d.layout.Count() {
-			if d.owns(slot) && d.layout.RegionOf(slot) != c.places.Region(c.zones[address]) {
+		for slot := range d.layout.SlotCount() {
+			if d.owns(slot) && d.layout.RegionOf(slot) != c.zoneMap.Region(c.zones[address]) {
 				count++
 			}
 		}
@@ -50,23 +50,25 @@
 	return count
 }
 
+// The layout must map each region to slots of its own, and work without regions.
 func TestLayoutOfRegions(t *testing.T) {
 	layout := NewLayout(locality.NewMap(regionZones))
-	require.Equal(t, 3*slotsPerRegion, layout.Count())
+	require.Equal(t, 3*slotsPerRegion, layout.SlotCount())
 	require.Equal(t, slotsPerRegion+7, layout.SlotIn("b", 7+slotsPerRegion))
 	require.Equal(t, "b", layout.RegionOf(slotsPerRegion+7))
 	unlisted := layout.SlotIn("elsewhere", 7)
 	require.Equal(t, 7, unlisted%slotsPerRegion, "an unlisted region is mapped to a listed one")
-	require.Equal(t, []int{7, slotsPerRegion + 7, 2*slotsPerRegion + 7, 7}, []int{layout.Spread(0, 7), layout.Spread(1, 7), layout.Spread(2, 7), layout.Spread(3, 7)})
+	require.Equal(t, []int{7, slotsPerRegion + 7, 2*slotsPerRegion + 7, 7}, []int{layout.RoundRobinSlot(0, 7), layout.RoundRobinSlot(1, 7), layout.RoundRobinSlot(2, 7), layout.RoundRobinSlot(3, 7)})
 	for _, one := range []Layout{{}, NewLayout(nil), NewLayout(locality.NewMap(map[string]string{"z": "r"}))} {
-		require.Equal(t, slotsPerRegion, one.Count())
+		require.Equal(t, slotsPerRegion, one.SlotCount())
 		require.Equal(t, 7, one.SlotIn("x", 7))
-		require.Equal(t, 7, one.Spread(5, 7))
+		require.Equal(t, 7, one.RoundRobinSlot(5, 7))
 	}
 	require.Equal(t, "07", keyOf(7).Name)
 	require.Equal(t, "107", keyOf(107).Name)
 }
 
+// The slots of a region must be owned by its nodes, and lookups must stay within it.
 func TestRegionsOwnTheirSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionalCluster(12)
@@ -74,7 +76,7 @@
 		time.Sleep(12 * time.Second)
 		owned := 0
 		for _, d := range c.nodes {
-			for slot := range d.layout.Count() {
+			for slot := range d.layout.SlotCount() {
 				if d.owns(slot) {
 					owned++
 				}
@@ -83,12 +85,12 @@
 		require.Equal(t, 3*slotsPerRegion, owned)
 		require.Zero(t, c.misplacedSlots())
 		for program := range 50 {
-			asker, other := c.node(0), c.node(3) // in two zones of one region
-			asker.Locate(t.Context(), programOf(program))
-			require.Equal(t, []budget.Holder{asker.options.Self}, other.Locate(t.Context(), programOf(program)).Holders)
+			requester, other := c.node(0), c.node(3) // in two zones of one region
+			requester.Locate(t.Context(), programOf(program))
+			require.Equal(t, []budget.Holder{requester.options.Self}, other.Locate(t.Context(), programOf(program)).Holders)
 			owner, ok := other.Owner(other.slotOf(programOf(program)))
 			require.True(t, ok)
-			require.Equal(t, "a", c.places.Region(c.zones[owner.Address]), "the owner is in the same region")
+			require.Equal(t, "a", c.zoneMap.Region(c.zones[owner.Address]), "the owner is in the same region")
 		}
 	})
 }
@@ -105,7 +107,7 @@
 		c.partitionedRegion = "b"
 		c.mutex.Unlock()
 		for range 120 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		during, _ := c.allOwners()
@@ -129,13 +131,13 @@
 			c.kill(address(3*index + 1)) // in region b
 		}
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		require.Zero(t, c.misplacedSlots())
 		c.start(address(1))
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -152,7 +154,7 @@
 		time.Sleep(12 * time.Second)
 		c.kill(address(4)) // in region b, as node 1
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -175,7 +177,7 @@
 		}
 		defer c.stop()
 		for range 40 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 		}
 		_, total := c.allOwners()
@@ -184,8 +186,8 @@
 	})
 }
 
-// A region that is partitioned from the store and the other regions must not lend, and no other
-// region may lend in its place.
+// A region that is partitioned from the store and the other regions must not issue permits, and no other
+// region may issue them in its place.
 func TestFullyPartitionedRegionLendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newRegionalCluster(6)
@@ -203,7 +205,7 @@
 		time.Sleep(leaseDuration)
 		c.table.SetFault(nil)
 		for range 60 {
-			c.askAll(t.Context())
+			c.lookUpAll(t.Context())
 			time.Sleep(500 * time.Millisecond)
 			require.False(t, leaseValid(away, slot), "it has not renewed its lease")
 			require.Zero(t, c.misplacedSlots())
@@ -215,7 +217,7 @@
 func (c *cluster) allOwners() (owned map[string]int, total int) {
 	owned = map[string]int{}
 	for _, d := range c.nodes {
-		for slot := range d.layout.Count() {
+		for slot := range d.layout.SlotCount() {
 			if d.owns(slot) {
 				owned[d.options.Self.Process]++
 				total++
--- a/internal/forward/auth.go
+++ b/internal/forward/auth.go
@@ -9,8 +9,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
 )
 
-// Freshness reports how recent this node's configuration is known to be.
-type Freshness interface {
+// ConfigFreshness reports how recent this node's configuration is known to be.
+type ConfigFreshness interface {
 	// Age returns how long ago the current configuration was last confirmed to be the newest.
 	// fresh reports whether that is recent enough to accept keys.
 	Age() (age time.Duration, fresh bool)
@@ -31,16 +31,16 @@
 // lookUpTenant returns the tenant that holds the request's key now; nil if no key is needed.
 func (x *exchange) lookUpTenant() (*tenant.Tenant, *fault.Error) {
 	age, fresh := time.Duration(0), true
-	if x.options.Freshness != nil {
-		age, fresh = x.options.Freshness.Age() // read before the configuration, which can then only be newer
+	if x.options.ConfigFreshness != nil {
+		age, fresh = x.options.ConfigFreshness.Age() // read before the configuration, which can then only be newer
 	}
 	configuration := x.Configuration()
-	if configuration.Tenants == nil || x.route.Open {
+	if configuration.Tenants == nil || x.route.NoAPIKey {
 		return nil, nil
 	}
 	x.configAge = age
 	if !fresh {
-		return nil, fault.Newf(fault.StaleConfiguration, "retry after the given delay",
+		return nil, fault.Newf(fault.StaleConfiguration, "retry after the delay in Retry-After",
 			"this node cannot tell whether the key is still valid: configuration version %d was last confirmed to be the newest %d ms ago",
 			configuration.Version, age.Milliseconds()).WithRetryAfter(staleRetryAfter + rand.N(staleRetryAfter/2))
 	}
@@ -52,7 +52,7 @@
 }
 
 func unknownKeyError(configuration *route.Configuration, key tenant.Key) *fault.Error {
-	if former, ok := configuration.Tenants.Former(key); ok {
+	if former, ok := configuration.Tenants.RemovedKey(key); ok {
 		return fault.Newf(fault.Unauthorized, "ask the operator for a new key",
 			"this key of tenant %q was revoked in configuration version %d", former.Tenant, former.Version)
 	}
@@ -60,7 +60,7 @@
 }
 
 // recheckKey checks the key again before each send: any time may have passed since the last
-// check, and a paused node may have missed updates.
+// check, and a paused node may lack recent updates.
 func (x *exchange) recheckKey() *fault.Error {
 	if x.tenant == nil {
 		return nil
@@ -76,4 +76,4 @@
 }
 
 // previousTurn is the stored ID of the turn that this one continues.
-func (x *exchange) previousTurn() string { return x.tenant.Scope(x.request.Continue) }
+func (x *exchange) previousTurn() string { return x.tenant.Scope(x.request.PreviousTurn) }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -56,7 +56,7 @@
 	for name, test := range map[string]struct {
 		kind     route.Kind
 		attempts int
-		first    script // of the worker that is asked first
+		first    script // of the worker that is tried first
 		second   script
 		want     expectation
 	}{
@@ -135,7 +135,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFixture(t, plainRoute(route.Unsafe, 1))
 				f.worker("w", hangs)
-				got := f.serve(t.Context(), func(r *Request) { r.Deadline = test.deadline })
+				got := f.serve(t.Context(), func(r *Request) { r.Timeout = test.deadline })
 				require.Equal(t, fault.DeadlinePassed, got.refusal.Code)
 				require.Equal(t, fault.RanUnknown, got.refusal.Ran, "the worker may have run it")
 				require.InDelta(t, test.limit, got.took, float64(50*time.Millisecond))
@@ -195,9 +195,9 @@
 	f := newFixture(t, plainRoute(route.Safe, 1))
 	require.False(t, f.forwarder.SetConfiguration(route.New(1, nil, nil, route.Limits{})))
 	require.False(t, f.forwarder.SetConfiguration(route.New(0, nil, nil, route.Limits{})))
-	require.Equal(t, 1, f.forwarder.Configuration().Len())
+	require.Equal(t, 1, f.forwarder.Configuration().RouteCount())
 	require.True(t, f.forwarder.SetConfiguration(route.New(9, nil, nil, route.Limits{})))
-	require.Zero(t, f.forwarder.Configuration().Len())
+	require.Zero(t, f.forwarder.Configuration().RouteCount())
 }
 
 // Guards against opening a test connection for each request to a service that usually answers
@@ -208,13 +208,13 @@
 		usual time.Duration
 		does  func(usual time.Duration) script
 	}{
-		"safe": {plainRoute(route.Safe, 2), 2 * safeSilence, func(usual time.Duration) script {
+		"safe": {plainRoute(route.Safe, 2), 2 * safeIdleTimeout, func(usual time.Duration) script {
 			return func(context.Context, Call) (*Answer, error) {
 				time.Sleep(usual)
 				return answer(http.StatusOK, false, strings.NewReader("ok")), nil
 			}
 		}},
-		"streaming": {turnRoute(nil), 2 * streamSilence, func(usual time.Duration) script {
+		"streaming": {turnRoute(nil), 2 * streamIdleTimeout, func(usual time.Duration) script {
 			return func(ctx context.Context, call Call) (*Answer, error) {
 				time.Sleep(usual)
 				return streams(3, 0)(ctx, call)
--- a/internal/gather/cluster_test.go
+++ b/internal/groupcommit/cluster_test.go
@@ -1,4 +1,4 @@
-package gather
+package groupcommit
 
 import (
 	"context"
@@ -21,7 +21,7 @@
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -33,16 +33,16 @@
 	roundTrip = 2 * time.Millisecond
 	// turnTimeout bounds the time to store a turn.
 	turnTimeout = 5 * time.Second
-	// missedPeriod is how long an owner that did not answer is skipped.
-	missedPeriod = 500 * time.Millisecond
+	// noAnswerPeriod is how long an owner that did not answer is skipped.
+	noAnswerPeriod = 500 * time.Millisecond
 )
 
 // testCluster is a set of nodes that share a table with a limited commit rate.
 type testCluster struct {
-	t      *testing.T
-	across bool // the table accepts transactions across partitions
-	table  *storetest.Counted
-	nodes  []*testNode
+	t              *testing.T
+	crossPartition bool // the table accepts transactions across partitions
+	table          *storetest.LimitedTable
+	nodes          []*testNode
 
 	mutex       sync.Mutex
 	owners      [Groups]int // by group: index of the node that other nodes take for its owner
@@ -53,7 +53,7 @@
 	tableCut    map[int]bool // nodes that get no reply from the table
 	paused      map[int]chan struct{}
 	requests    atomic.Int64
-	calls       atomic.Int64 // commits by gatherers
+	calls       atomic.Int64 // group commits
 	turns       atomic.Int64
 	running     sync.WaitGroup
 
@@ -70,32 +70,32 @@
 
 // testNode is a node of a testCluster.
 type testNode struct {
-	cluster  *testCluster
-	index    int
-	gate     *store.Gate
-	keeper   *history.Keeper
-	gatherer *Gatherer
+	cluster   *testCluster
+	index     int
+	gate      *store.Gate
+	turnStore *history.TurnStore
+	committer *Committer
 
-	mutex  sync.Mutex
-	missed map[int]time.Time // by slot: when the owner last failed to answer
+	mutex      sync.Mutex
+	noAnswerAt map[int]time.Time // by slot: when the owner last failed to answer
 }
 
-// GatherCall implements Meter.
-func (c *testCluster) GatherCall(int, bool) { c.calls.Add(1) }
+// RecordCommit implements Metrics.
+func (c *testCluster) RecordCommit(int, bool) { c.calls.Add(1) }
 
-// GatherWait implements Meter.
-func (c *testCluster) GatherWait(time.Duration) {}
+// RecordWait implements Metrics.
+func (c *testCluster) RecordWait(time.Duration) {}
 
-// GatherAsk implements Meter.
-func (c *testCluster) GatherAsk(Outcome) {}
+// RecordForward implements Metrics.
+func (c *testCluster) RecordForward(Outcome) {}
 
 func processOf(index int) string { return locality.ProcessName("zone", fmt.Sprint("node", index), "1") }
 
 // newTestCluster returns a cluster with a table limited to 1,500 commits per second. Each group is
 // owned by one node.
-func newTestCluster(t *testing.T, across bool) *testCluster {
+func newTestCluster(t *testing.T, crossPartition bool) *testCluster {
 	c := &testCluster{
-		t: t, table: storetest.NewCounted(storetest.CountedOptions{Writes: 1500, Way: 8 * time.Millisecond, Takes: 5 * time.Millisecond, Across: across}), across: across,
+		t: t, table: storetest.NewLimitedTable(storetest.LimitedOptions{CommitsPerSecond: 1500, RoundTrip: 8 * time.Millisecond, CommitTime: 5 * time.Millisecond, CrossPart: crossPartition}), crossPartition: crossPartition,
 		claims: map[int][]int{}, unreachable: map[int]bool{}, replyLost: map[int]bool{}, oldBuild: map[int]bool{}, tableCut: map[int]bool{}, paused: map[int]chan struct{}{},
 	}
 	for group := range Groups {
@@ -109,7 +109,7 @@
 
 // nodeTable is the table as one node accesses it.
 type nodeTable struct {
-	*storetest.Counted
+	*storetest.LimitedTable
 	cluster *testCluster
 	index   int
 }
@@ -130,7 +130,7 @@
 	if err := n.checkReachable(ctx); err != nil {
 		return 0, err
 	}
-	return n.Counted.Commit(ctx, transaction)
+	return n.LimitedTable.Commit(ctx, transaction)
 }
 
 // Range implements store.Store.
@@ -138,7 +138,7 @@
 	if err := n.checkReachable(ctx); err != nil {
 		return store.Page{}, err
 	}
-	return n.Counted.Range(ctx, table, part, from, to, limit)
+	return n.LimitedTable.Range(ctx, table, part, from, to, limit)
 }
 
 // assignOwner makes a node the owner of a group. A previous owner keeps its claim and still
@@ -152,25 +152,25 @@
 
 func (c *testCluster) newNode(index int) *testNode {
 	logger := &log.Logger{Handler: discard.New()}
-	node := &testNode{cluster: c, index: index, gate: store.NewGate(nodeTable{Counted: c.table, cluster: c, index: index}, logger), missed: map[int]time.Time{}}
+	node := &testNode{cluster: c, index: index, gate: store.NewGate(nodeTable{LimitedTable: c.table, cluster: c, index: index}, logger), noAnswerAt: map[int]time.Time{}}
 	slots := Slots{Layout: directory.NewLayout(nil)}
-	node.gatherer = NewGatherer(GathererOptions{
+	node.committer = NewCommitter(CommitterOptions{
 		Process: processOf(index),
 		Owns: func(group int) bool {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			return slices.Contains(c.claims[group], index)
 		},
-		Store: node.gate, Lost: node.gate.Suspect, Pace: Pace{Writes: 1500, Groups: slots.Groups(), Across: c.across},
-		Bytes: 8 << 20, Meter: c, Logger: logger,
+		Store: node.gate, TableUnreachable: node.gate.Suspect, Limit: CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.crossPartition},
+		MaxPendingBytes: 8 << 20, Metrics: c, Logger: logger,
 	})
 	writer := NewWriter(WriterOptions{
-		Process: processOf(index), Slots: slots, Owners: node, Peers: c, Gatherer: node.gatherer,
+		Process: processOf(index), Slots: slots, Owners: node, Peers: c, Committer: node.committer,
 		ThrottledSince: node.gate.ThrottledSince,
-		Pace:           Pace{Writes: 1500, Groups: slots.Groups(), Across: c.across}, Nodes: func() int { return slotOwners },
-		Meter: c, Logger: logger,
+		Limit:          CommitLimit{PerSecond: 1500, Groups: slots.Groups(), CrossPartition: c.crossPartition}, Nodes: func() int { return slotOwners },
+		Metrics: c, Logger: logger,
 	})
-	node.keeper = history.New(history.Options{Store: node.gate, CacheBytes: 1, Together: writer})
+	node.turnStore = history.New(history.Options{Store: node.gate, CacheBytes: 1, BatchWriter: writer})
 	return node
 }
 
@@ -181,30 +181,30 @@
 	n.cluster.mutex.Unlock()
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return budget.Holder{Process: processOf(index), Address: fmt.Sprint(index)}, time.Since(n.missed[slot]) >= missedPeriod
+	return budget.Holder{Process: processOf(index), Address: fmt.Sprint(index)}, time.Since(n.noAnswerAt[slot]) >= noAnswerPeriod
 }
 
-// Heard implements Owners.
-func (n *testNode) Heard(slot int) {
+// RecordAnswer implements Owners.
+func (n *testNode) RecordAnswer(slot int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	delete(n.missed, slot)
+	delete(n.noAnswerAt, slot)
 }
 
-// Missed implements Owners.
-func (n *testNode) Missed(slot int, _ budget.Holder) {
+// RecordNoAnswer implements Owners.
+func (n *testNode) RecordNoAnswer(slot int, _ budget.Holder) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.missed[slot] = time.Now()
+	n.noAnswerAt[slot] = time.Now()
 }
 
-// Gather implements Peers.
-func (c *testCluster) Gather(ctx context.Context, owner budget.Holder, request Request) (Answer, error) {
+// ForwardRows implements Peers.
+func (c *testCluster) ForwardRows(ctx context.Context, owner budget.Holder, request Request) (Answer, error) {
 	c.requests.Add(1)
 	var index int
 	_, err := fmt.Sscan(owner.Address, &index)
 	require.NoError(c.t, err)
-	if err := wait.For(ctx, roundTrip/2); err != nil {
+	if err := timing.Sleep(ctx, roundTrip/2); err != nil {
 		return Answer{}, err
 	}
 	c.mutex.Lock()
@@ -224,13 +224,13 @@
 		}
 	}
 	answers := make(chan Answer, 1)
-	go func() { answers <- c.nodes[index].gatherer.Answer(context.WithoutCancel(ctx), request) }()
+	go func() { answers <- c.nodes[index].committer.Answer(context.WithoutCancel(ctx), request) }()
 	select {
 	case answer := <-answers:
 		if replyLost {
 			<-ctx.Done()
 		}
-		return answer, wait.For(ctx, roundTrip/2)
+		return answer, timing.Sleep(ctx, roundTrip/2)
 	case <-ctx.Done():
 		return Answer{}, ctx.Err()
 	}
@@ -272,7 +272,7 @@
 		ctx, cancel := context.WithTimeout(c.t.Context(), turnTimeout)
 		defer cancel()
 		start := time.Now()
-		err := node.keeper.Keep(ctx, turn, nil, time.Hour)
+		err := node.turnStore.Write(ctx, turn, nil, time.Hour)
 		result := turnResult{start: start, elapsed: time.Since(start), err: err, turn: turn.ID}
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
--- a/internal/gather/doc.go
+++ b/internal/groupcommit/doc.go
@@ -1,4 +1,4 @@
-// Package gather implements group commit: it combines rows from many nodes so that the table
+// Package groupcommit implements group commit: it combines rows from many nodes so that the table
 // receives fewer commits than there are rows. The partitions of a region are divided into groups,
 // and the owner of the group's directory slot commits the group's rows. One commit takes rows of
 // one partition, or of the whole group if the table accepts transactions across partitions. Rows
@@ -9,8 +9,8 @@
 // so writing the same row twice must be harmless. A node sends its rows to an owner only while the
 // table is near its commit limit; otherwise it writes them itself at once.
 //
-// The methods of Pace and selectBatch are pure: they read no clock and make no calls.
-package gather
+// The methods of CommitLimit and selectBatch are pure: they read no clock and make no calls.
+package groupcommit
 
 import (
 	"time"
@@ -58,9 +58,10 @@
 // Outcome is the result of asking an owner to write rows.
 type Outcome string
 
-// The outcomes. After any of them but OutcomeKept the rows may or may not be in the table.
+// The outcomes; an owner's outcome is sent to the requesting node. After any of them but
+// OutcomeStored the rows may or may not be in the table.
 const (
-	OutcomeKept   Outcome = "kept"
+	OutcomeStored Outcome = "kept"
 	OutcomeFull   Outcome = "full"   // the queue or the memory limit is full
 	OutcomeLate   Outcome = "late"   // the sender's timeout passed
 	OutcomeFailed Outcome = "failed" // the table rejected the rows or does not respond to the owner
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -58,27 +58,27 @@
 
 func (t *Turn) size() int { return len(t.Input) + len(t.Output) + 64*(len(t.Ancestors)+2) }
 
-// Options configures a Keeper.
+// Options configures a TurnStore.
 type Options struct {
 	Store      store.Store
 	CacheBytes int // limit for the cached turns; the newest one is cached even if it is larger
 	// Region is the region of this node. Turns that are restricted to other regions are
 	// not cached.
 	Region string
-	// Together batches the first write of a turn with those of other nodes. Nil: no
+	// BatchWriter batches the first write of a turn with those of other nodes. Nil: no
 	// batching.
-	Together Together
+	BatchWriter BatchWriter
 }
 
-// Together writes turns in batches with those of other nodes.
-type Together interface {
+// BatchWriter writes turns in batches with those of other nodes.
+type BatchWriter interface {
 	// Put writes rows to the partition with that number, one of those that hold turns. It
 	// reports whether the rows are certain to be in the store; if not, they may be.
 	Put(ctx context.Context, part int, rows []store.Row) (stored bool)
 }
 
-// Keeper reads and writes turns and caches them.
-type Keeper struct {
+// TurnStore reads and writes turns and caches them.
+type TurnStore struct {
 	options     Options
 	mutex       sync.Mutex
 	cache       map[string]*list.Element
@@ -86,15 +86,15 @@
 	cachedBytes int
 }
 
-// New returns a keeper with an empty cache.
-func New(options Options) *Keeper {
-	return &Keeper{options: options, cache: map[string]*list.Element{}, lru: list.New()}
+// New returns a TurnStore with an empty cache.
+func New(options Options) *TurnStore {
+	return &TurnStore{options: options, cache: map[string]*list.Element{}, lru: list.New()}
 }
 
 // Chain returns the turns up to and including the one with the given ID, oldest first. It
 // fails with ErrNoTurn only if the store confirmed that a turn does not exist.
-func (k *Keeper) Chain(ctx context.Context, id string) ([]*Turn, error) {
-	last, err := k.fetch(ctx, id)
+func (s *TurnStore) Chain(ctx context.Context, id string) ([]*Turn, error) {
+	last, err := s.fetch(ctx, id)
 	if err != nil {
 		return nil, err
 	}
@@ -103,12 +103,12 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxParallelCalls)
 	for index, ancestor := range last.Ancestors {
-		if known := k.cachedTurn(ancestor); known != nil {
+		if known := s.cachedTurn(ancestor); known != nil {
 			chain[index] = known
 			continue
 		}
 		group.Go(func() error {
-			turn, err := k.fetch(ctx, ancestor)
+			turn, err := s.fetch(ctx, ancestor)
 			chain[index] = turn
 			return err
 		})
@@ -119,15 +119,15 @@
 	return chain, nil
 }
 
-// Known returns a chain if all of it is cached, else nil. It makes no store call.
-func (k *Keeper) Known(id string) []*Turn {
-	last := k.cachedTurn(id)
+// CachedChain returns a chain if all of it is cached, else nil. It makes no store call.
+func (s *TurnStore) CachedChain(id string) []*Turn {
+	last := s.cachedTurn(id)
 	if last == nil {
 		return nil
 	}
 	chain := make([]*Turn, 0, len(last.Ancestors)+1)
 	for _, ancestor := range last.Ancestors {
-		known := k.cachedTurn(ancestor)
+		known := s.cachedTurn(ancestor)
 		if known == nil {
 			return nil
 		}
@@ -136,22 +136,22 @@
 	return append(chain, last)
 }
 
-// Learn caches a chain that another node has read or written.
-func (k *Keeper) Learn(ctx context.Context, chain []*Turn) {
+// CacheChain caches a chain that another node has read or written.
+func (s *TurnStore) CacheChain(ctx context.Context, chain []*Turn) {
 	for _, turn := range chain {
-		k.cacheTurn(ctx, turn)
+		s.cacheTurn(ctx, turn)
 	}
 }
 
-func (k *Keeper) fetch(ctx context.Context, id string) (*Turn, error) {
-	if known := k.cachedTurn(id); known != nil {
+func (s *TurnStore) fetch(ctx context.Context, id string) (*Turn, error) {
+	if known := s.cachedTurn(id); known != nil {
 		return known, nil
 	}
-	turn, err := k.read(ctx, id)
+	turn, err := s.read(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	k.cacheTurn(ctx, turn)
+	s.cacheTurn(ctx, turn)
 	return turn, nil
 }
 
@@ -163,10 +163,10 @@
 
 // read reads a turn from its places. It returns ErrNoTurn only if all places answered
 // that they do not have it.
-func (k *Keeper) read(ctx context.Context, id string) (*Turn, error) {
+func (s *TurnStore) read(ctx context.Context, id string) (*Turn, error) {
 	var missing [placeCount]bool
-	found, err := firstAccepted(ctx, store.PatienceWith(k.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
-		turn, err := k.readPlace(ctx, id, place)
+	found, err := firstAccepted(ctx, store.HedgeDelayAtLeast(s.options.Store, readPlaceTimeout), func(ctx context.Context, place int) (placeResult, error) {
+		turn, err := s.readPlace(ctx, id, place)
 		return placeResult{place: place, turn: turn}, err
 	}, func(found placeResult) bool {
 		missing[found.place] = missing[found.place] || found.turn == nil
@@ -178,15 +178,15 @@
 	return found.turn, err
 }
 
-func (k *Keeper) readPlace(ctx context.Context, id string, place int) (*Turn, error) {
+func (s *TurnStore) readPlace(ctx context.Context, id string, place int) (*Turn, error) {
 	name := url.PathEscape(id)
-	page, err := k.options.Store.Range(ctx, Table, partOf(id, place), name, name+rowNameEnd, 0)
+	page, err := s.options.Store.Range(ctx, Table, partOf(id, place), name, name+rowNameEnd, 0)
 	if err != nil || len(page.Rows) == 0 {
 		return nil, err
 	}
 	var joined []byte
 	for _, row := range page.Rows {
-		_, payload, err := store.CutExpiry(row.Value)
+		_, payload, err := store.SplitExpiry(row.Value)
 		if err != nil {
 			return nil, err
 		}
@@ -232,58 +232,58 @@
 	return url.PathEscape(id) + rowSeparator + strconv.Itoa(index)
 }
 
-// Keep sets the expiry of a turn to retention from now, writes the turn and returns once
+// Write sets the expiry of a turn to retention from now, writes the turn and returns once
 // it is stored in one of its places. Turns of its chain that would expire well before it
 // are written again with the new expiry. Repeated writes are harmless because the content
 // of a turn never changes.
-func (k *Keeper) Keep(ctx context.Context, turn *Turn, chain []*Turn, retention time.Duration) error {
+func (s *TurnStore) Write(ctx context.Context, turn *Turn, chain []*Turn, retention time.Duration) error {
 	turn.Expires = time.Now().Add(retention)
 	group, limited := errgroup.WithContext(ctx)
 	group.SetLimit(maxParallelCalls)
 	for _, earlier := range chain {
 		if turn.Expires.Sub(earlier.Expires) > retention/2 {
-			group.Go(func() error { return k.renew(limited, earlier, turn.Expires) })
+			group.Go(func() error { return s.renew(limited, earlier, turn.Expires) })
 		}
 	}
-	group.Go(func() error { return k.write(limited, turn) })
+	group.Go(func() error { return s.write(limited, turn) })
 	if err := group.Wait(); err != nil {
 		return err
 	}
-	k.cacheTurn(ctx, turn)
+	s.cacheTurn(ctx, turn)
 	return nil
 }
 
 // renew extends the expiry of a turn. The caller does so only once much of the retention
 // has passed, so that most turns need not renew their chain.
-func (k *Keeper) renew(ctx context.Context, earlier *Turn, expires time.Time) error {
+func (s *TurnStore) renew(ctx context.Context, earlier *Turn, expires time.Time) error {
 	renewed := *earlier
 	renewed.Expires = expires
-	if err := k.write(ctx, &renewed); err != nil {
+	if err := s.write(ctx, &renewed); err != nil {
 		return err
 	}
-	k.replaceCached(&renewed)
+	s.replaceCached(&renewed)
 	return nil
 }
 
-func (k *Keeper) write(ctx context.Context, turn *Turn) error {
+func (s *TurnStore) write(ctx context.Context, turn *Turn) error {
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(turn); err != nil {
 		return err
 	}
 	writeBatched := func() bool {
-		return k.options.Together != nil && k.options.Together.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
+		return s.options.BatchWriter != nil && s.options.BatchWriter.Put(ctx, int(partNumber(turn.ID, 0)), turn.putTransaction(encoded.Bytes(), 0).Put)
 	}
-	_, err := firstAcceptedUnless(ctx, store.PatienceWith(k.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
-		return store.CommitUnlessThrottled(ctx, k.options.Store, turn.putTransaction(encoded.Bytes(), place))
+	_, err := firstAcceptedUnless(ctx, store.HedgeDelayAtLeast(s.options.Store, writePlaceTimeout), writeBatched, func(ctx context.Context, place int) (store.Version, error) {
+		return store.CommitUnlessThrottled(ctx, s.options.Store, turn.putTransaction(encoded.Bytes(), place))
 	}, func(store.Version) bool { return true })
 	return err
 }
 
 // replaceCached replaces the cached copy of a turn, if there is one.
-func (k *Keeper) replaceCached(turn *Turn) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if element, ok := k.cache[turn.ID]; ok {
+func (s *TurnStore) replaceCached(turn *Turn) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if element, ok := s.cache[turn.ID]; ok {
 		element.Value = turn
 	}
 }
@@ -300,40 +300,40 @@
 	return transaction
 }
 
-func (k *Keeper) cachedTurn(id string) *Turn {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	element, ok := k.cache[id]
+func (s *TurnStore) cachedTurn(id string) *Turn {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	element, ok := s.cache[id]
 	if !ok {
 		return nil
 	}
-	k.lru.MoveToFront(element)
+	s.lru.MoveToFront(element)
 	return element.Value.(*Turn)
 }
 
 // cacheTurn caches a turn if it may be cached in this region, and evicts the least
 // recently used turns beyond CacheBytes.
-func (k *Keeper) cacheTurn(ctx context.Context, turn *Turn) {
-	if !locality.Content(ctx).Allow(k.options.Region) {
+func (s *TurnStore) cacheTurn(ctx context.Context, turn *Turn) {
+	if !locality.ContentRegions(ctx).Allow(s.options.Region) {
 		return
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if _, ok := k.cache[turn.ID]; ok {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if _, ok := s.cache[turn.ID]; ok {
 		return
 	}
-	k.cache[turn.ID] = k.lru.PushFront(turn)
-	k.cachedBytes += turn.size()
-	for k.cachedBytes > k.options.CacheBytes && k.lru.Len() > 1 {
-		oldest := k.lru.Remove(k.lru.Back()).(*Turn)
-		delete(k.cache, oldest.ID)
-		k.cachedBytes -= oldest.size()
+	s.cache[turn.ID] = s.lru.PushFront(turn)
+	s.cachedBytes += turn.size()
+	for s.cachedBytes > s.options.CacheBytes && s.lru.Len() > 1 {
+		oldest := s.lru.Remove(s.lru.Back()).(*Turn)
+		delete(s.cache, oldest.ID)
+		s.cachedBytes -= oldest.size()
 	}
 }
 
-// Join returns a worker's input: the inputs and outputs of the chain, followed by the new
+// JoinInput returns a worker's input: the inputs and outputs of the chain, followed by the new
 // input.
-func Join(chain []*Turn, input []byte) []byte {
+func JoinInput(chain []*Turn, input []byte) []byte {
 	if len(chain) == 0 {
 		return input
 	}
--- a/internal/quota/borrower.go
+++ b/internal/quota/client.go
@@ -13,8 +13,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/forward"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 const (
@@ -23,7 +23,7 @@
 	minOwnerTimeout = 60 * time.Millisecond
 	maxOwnerTimeout = 200 * time.Millisecond
 	// minHedgeDelay is the shortest time without an answer after which the next owner is
-	// asked in parallel. The delay is longer if the node asked last is known to be slower.
+	// asked in parallel. The delay is longer if the node asked last usually takes longer.
 	minHedgeDelay = 20 * time.Millisecond
 	// unusedPermitTTL is how long a returned permit may be used by another request of the
 	// same tenant. It is short because the permit counts from its issue, not from its use.
@@ -41,33 +41,33 @@
 	// Owner returns the owner of a slot. ok is false if the owner is unknown or has just
 	// failed to answer.
 	Owner(slot int) (budget.Holder, bool)
-	// Heard records that the owner of a slot answered, and Missed that the process that was
-	// asked did not answer as the owner.
-	Heard(slot int)
-	Missed(slot int, asked budget.Holder)
+	// RecordAnswer records that the owner of a slot answered, and RecordNoAnswer that the process
+	// that was asked did not answer as the owner.
+	RecordAnswer(slot int)
+	RecordNoAnswer(slot int, asked budget.Holder)
 }
 
 // Peers sends calls to other nodes.
 type Peers interface {
-	// Lend asks the owner of a share for a permit.
-	Lend(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
+	// RequestPermit asks the owner of a share for a permit.
+	RequestPermit(ctx context.Context, owner budget.Holder, request Request) (Answer, error)
 }
 
-// BorrowerOptions configures a Borrower.
-type BorrowerOptions struct {
+// ClientOptions configures a Client.
+type ClientOptions struct {
 	Self   budget.Holder
 	Layout directory.Layout
 	Region string // of this node
 	Owners Owners
 	Peers  Peers
-	// Patience estimates the response times of other nodes. With nil, the shortest timeouts
+	// ResponseTimes estimates the response times of other nodes. With nil, the shortest timeouts
 	// are used.
-	Patience wait.Patience
-	Lender   *Lender // of this process; used for slots that it owns
-	// Learn receives the proof of freshness in an answer and the time when the call was sent.
-	Learn func(proof freshness.Proof, sent time.Time)
-	// Count receives the outcome of each call, for metrics.
-	Count func(Outcome)
+	ResponseTimes timing.TimeoutFunc
+	Allocator     *Allocator // of this process; used for slots that it owns
+	// OnProof receives the proof of freshness in an answer and the time when the call was sent.
+	OnProof func(proof staleness.Proof, sent time.Time)
+	// OnOutcome receives the outcome of each call, for metrics.
+	OnOutcome func(Outcome)
 }
 
 // Outcome is the result of asking the owner of a share for a permit.
@@ -75,26 +75,26 @@
 
 // Outcomes of a call to an owner.
 const (
-	OutcomeLent   Outcome = "lent"   // a permit was issued
-	OutcomeEmpty  Outcome = "empty"  // the owner may issue none now
-	OutcomeSilent Outcome = "silent" // no process answered that may issue permits
+	OutcomeGranted     Outcome = "lent"   // a permit was issued
+	OutcomeExhausted   Outcome = "empty"  // the owner may issue none now
+	OutcomeUnavailable Outcome = "silent" // no process answered that may issue permits
 )
 
 func (a shareAnswer) outcome() Outcome {
 	switch {
 	case a.Lent:
-		return OutcomeLent
+		return OutcomeGranted
 	case a.reached:
-		return OutcomeEmpty
+		return OutcomeExhausted
 	default:
-		return OutcomeSilent
+		return OutcomeUnavailable
 	}
 }
 
-// Borrower obtains permits for requests against their tenants' limits. It implements
-// forward.Limits.
-type Borrower struct {
-	options BorrowerOptions
+// Client obtains permits for requests against their tenants' limits. It implements
+// forward.RateLimiter.
+type Client struct {
+	options ClientOptions
 
 	mutex         sync.Mutex
 	unused        map[string][]time.Time  // expiry times of returned permits, by tenant
@@ -109,25 +109,25 @@
 	lastUsed time.Time
 }
 
-var _ forward.Limits = (*Borrower)(nil)
+var _ forward.RateLimiter = (*Client)(nil)
 
-// NewBorrower returns a borrower without cached permits.
-func NewBorrower(options BorrowerOptions) *Borrower {
-	return &Borrower{options: options, unused: map[string][]time.Time{}, programShares: map[string]programShare{}, lastSweep: time.Now()}
+// NewClient returns a client without cached permits.
+func NewClient(options ClientOptions) *Client {
+	return &Client{options: options, unused: map[string][]time.Time{}, programShares: map[string]programShare{}, lastSweep: time.Now()}
 }
 
-// Admit implements forward.Limits. It first asks the owner of the program's share, then the
+// Admit implements forward.RateLimiter. It first asks the owner of the program's share, then the
 // owners of the other shares if that one refuses or is slow to answer.
-func (b *Borrower) Admit(ctx context.Context, ask forward.LimitRequest) error {
-	if b.takeUnused(ask.Tenant) {
+func (c *Client) Admit(ctx context.Context, request forward.RateLimitRequest) error {
+	if c.takeUnused(request.Tenant) {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	acquisition := &acquisition{borrower: b, ask: ask, answers: make(chan shareAnswer, shares)}
-	acquisition.first = b.firstShare(ask)
+	acquisition := &acquisition{client: c, request: request, answers: make(chan shareAnswer, shares)}
+	acquisition.first = c.firstShare(request)
 	outcome, err := acquisition.run(ctx)
-	if err != nil || outcome.lent {
+	if err != nil || outcome.issued {
 		return err
 	}
 	if wait, booked := acquisition.book(ctx, &outcome); booked {
@@ -144,12 +144,12 @@
 	if outcome.bookableIn == 0 || outcome.bookableIn > hold {
 		return 0, false
 	}
-	answer, reached := a.borrower.askOwner(ctx, Request{
-		Tenant: a.ask.Tenant, Share: outcome.bookableShare, Program: a.ask.Program, UnderWay: true, Patience: hold,
+	answer, reached := a.client.askOwner(ctx, Request{
+		Tenant: a.request.Tenant, Share: outcome.bookableShare, Program: a.request.Program, UnderWay: true, Patience: hold,
 	})
 	switch {
 	case answer.Lent:
-		a.borrower.rememberShare(a.ask, outcome.bookableShare)
+		a.client.rememberShare(a.request, outcome.bookableShare)
 	case reached:
 		outcome.wait = answer.Wait
 	}
@@ -179,74 +179,76 @@
 }
 
 // firstShare returns the share to ask first, one of this node's region. All nodes of a region
-// pick the same share for a program, unless they know that another share admitted it.
-func (b *Borrower) firstShare(ask forward.LimitRequest) int {
-	if ask.Program == "" {
-		local := sharesInRegion(b.options.Layout, b.options.Region, ask.Tenant)
+// pick the same share for a program, unless they have recorded that another share admitted it.
+func (c *Client) firstShare(request forward.RateLimitRequest) int {
+	if request.Program == "" {
+		local := sharesInRegion(c.options.Layout, c.options.Region, request.Tenant)
 		return local[rand.IntN(len(local))]
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if known, ok := b.programShares[programKey(ask)]; ok {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if known, ok := c.programShares[programKey(request)]; ok {
 		return known.share
 	}
-	return b.defaultShare(ask)
+	return c.defaultShare(request)
 }
 
-func (b *Borrower) defaultShare(ask forward.LimitRequest) int {
-	local := sharesInRegion(b.options.Layout, b.options.Region, ask.Tenant)
-	return local[xxhash.Sum64String(ask.Program)%uint64(len(local))]
+func (c *Client) defaultShare(request forward.RateLimitRequest) int {
+	local := sharesInRegion(c.options.Layout, c.options.Region, request.Tenant)
+	return local[xxhash.Sum64String(request.Program)%uint64(len(local))]
 }
 
-func programKey(ask forward.LimitRequest) string { return ask.Tenant + "/" + ask.Program }
+func programKey(request forward.RateLimitRequest) string {
+	return request.Tenant + "/" + request.Program
+}
 
 // rememberShare records the share that admitted a program, if it is not the default one.
-func (b *Borrower) rememberShare(ask forward.LimitRequest, share int) {
-	if ask.Program == "" {
+func (c *Client) rememberShare(request forward.RateLimitRequest, share int) {
+	if request.Program == "" {
 		return
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	now := time.Now()
-	if now.Sub(b.lastSweep) > programTTL {
-		b.lastSweep = now
-		maps.DeleteFunc(b.programShares, func(_ string, known programShare) bool { return now.Sub(known.lastUsed) > programTTL })
+	if now.Sub(c.lastSweep) > programTTL {
+		c.lastSweep = now
+		maps.DeleteFunc(c.programShares, func(_ string, known programShare) bool { return now.Sub(known.lastUsed) > programTTL })
 	}
-	if share == b.defaultShare(ask) {
-		delete(b.programShares, programKey(ask))
+	if share == c.defaultShare(request) {
+		delete(c.programShares, programKey(request))
 		return
 	}
-	b.programShares[programKey(ask)] = programShare{share: share, lastUsed: now}
+	c.programShares[programKey(request)] = programShare{share: share, lastUsed: now}
 }
 
-// Return implements forward.Limits. The permit stays usable for unusedPermitTTL.
-func (b *Borrower) Return(tenant string) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.unused[tenant] = append(b.unused[tenant], time.Now().Add(unusedPermitTTL))
+// Return implements forward.RateLimiter. The permit stays usable for unusedPermitTTL.
+func (c *Client) Return(tenant string) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.unused[tenant] = append(c.unused[tenant], time.Now().Add(unusedPermitTTL))
 }
 
 // takeUnused takes a returned permit of a tenant and reports whether there was one.
-func (b *Borrower) takeUnused(tenant string) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	unused := b.unused[tenant]
+func (c *Client) takeUnused(tenant string) bool {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	unused := c.unused[tenant]
 	now := time.Now()
 	for len(unused) > 0 && !now.Before(unused[0]) {
 		unused = unused[1:]
 	}
 	if len(unused) == 0 {
-		delete(b.unused, tenant)
+		delete(c.unused, tenant)
 		return false
 	}
-	b.unused[tenant] = unused[1:]
+	c.unused[tenant] = unused[1:]
 	return true
 }
 
 // acquisition obtains one permit from the owners of a tenant's shares.
 type acquisition struct {
-	borrower *Borrower
-	ask      forward.LimitRequest
+	client   *Client
+	request  forward.RateLimitRequest
 	first    int // share that is asked first
 	asked    int // number of shares asked so far
 	answers  chan shareAnswer
@@ -285,12 +287,12 @@
 			hedge.Reset(a.hedgeDelay())
 		case answer := <-a.answers:
 			running--
-			a.borrower.options.Count(answer.outcome())
+			a.client.options.OnOutcome(answer.outcome())
 			a.underWay = a.underWay || answer.UnderWay
 			switch {
 			case answer.Lent:
-				a.borrower.rememberShare(a.ask, answer.share)
-				return refusals{lent: true}, nil
+				a.client.rememberShare(a.request, answer.share)
+				return refusals{issued: true}, nil
 			case !answer.reached:
 				outcome.unavailable++
 			default:
@@ -305,13 +307,13 @@
 // hedgeDelay returns how long to wait for the owner asked last before the next one is asked.
 func (a *acquisition) hedgeDelay() time.Duration {
 	share := (a.first + a.asked - 1) % shares
-	owner, _ := a.borrower.options.Owners.Owner(slotOf(a.borrower.options.Layout, a.ask.Tenant, share))
-	return a.borrower.options.Patience.Of(owner.Process, minHedgeDelay, maxOwnerTimeout)
+	owner, _ := a.client.options.Owners.Owner(slotOf(a.client.options.Layout, a.request.Tenant, share))
+	return a.client.options.ResponseTimes.For(owner.Process, minHedgeDelay, maxOwnerTimeout)
 }
 
 // refusals collects the answers of owners that issued no permit.
 type refusals struct {
-	lent           bool          // an owner issued a permit; the other fields are then zero
+	issued         bool          // an owner issued a permit; the other fields are then zero
 	unavailable    int           // shares whose owner did not answer or may not issue permits
 	wait           time.Duration // shortest retry delay
 	used, capacity int           // sums over the answers: permits in the last window, and their maximum
@@ -334,49 +336,49 @@
 func (a *acquisition) refusalError(outcome refusals) error {
 	if outcome.unavailable == shares {
 		return fault.Newf(fault.Unavailable, "retry after the delay in Retry-After",
-			"no node that can currently enforce the rate limit of tenant %q responded", a.ask.Tenant).WithRetryAfter(unavailableRetryAfter + rand.N(unavailableRetryAfter/2))
+			"no node that can currently enforce the rate limit of tenant %q responded", a.request.Tenant).WithRetryAfter(unavailableRetryAfter + rand.N(unavailableRetryAfter/2))
 	}
 	return fault.Newf(fault.RateLimited, "retry after the delay in Retry-After, or ask the operator for a higher limit",
 		"tenant %q has reached its rate limit: %d of %d allowed requests were counted in the last window (%d of %d shares of the limit responded)",
-		a.ask.Tenant, outcome.used, outcome.capacity, shares-outcome.unavailable, shares).WithRetryAfter(outcome.wait)
+		a.request.Tenant, outcome.used, outcome.capacity, shares-outcome.unavailable, shares).WithRetryAfter(outcome.wait)
 }
 
 // askShare asks the owner of a share and sends its answer to the answers channel.
 func (a *acquisition) askShare(ctx context.Context, share int, underWay bool) {
-	answer, reached := a.borrower.askOwner(ctx, Request{
-		Tenant: a.ask.Tenant, Share: share, Program: a.ask.Program, UnderWay: underWay,
+	answer, reached := a.client.askOwner(ctx, Request{
+		Tenant: a.request.Tenant, Share: share, Program: a.request.Program, UnderWay: underWay,
 	})
 	a.answers <- shareAnswer{Answer: answer, share: share, reached: reached}
 }
 
 // askOwner asks the owner of the share that a request names. reached is false if no process
 // answers that owns the share and may issue permits.
-func (b *Borrower) askOwner(ctx context.Context, request Request) (answer Answer, reached bool) {
-	slot := slotOf(b.options.Layout, request.Tenant, request.Share)
-	owner, ok := b.options.Owners.Owner(slot)
+func (c *Client) askOwner(ctx context.Context, request Request) (answer Answer, reached bool) {
+	slot := slotOf(c.options.Layout, request.Tenant, request.Share)
+	owner, ok := c.options.Owners.Owner(slot)
 	if !ok {
 		return Answer{}, false
 	}
-	if owner.Process == b.options.Self.Process {
-		answer := b.options.Lender.Answer(request)
+	if owner.Process == c.options.Self.Process {
+		answer := c.options.Allocator.Answer(request)
 		return answer, answer.Able
 	}
-	limited, cancel := context.WithTimeout(ctx, b.options.Patience.Of(owner.Process, minOwnerTimeout, maxOwnerTimeout))
+	limited, cancel := context.WithTimeout(ctx, c.options.ResponseTimes.For(owner.Process, minOwnerTimeout, maxOwnerTimeout))
 	defer cancel()
 	sent := time.Now()
-	answer, err := b.options.Peers.Lend(limited, owner, request)
+	answer, err := c.options.Peers.RequestPermit(limited, owner, request)
 	if ctx.Err() != nil && err != nil {
 		return Answer{}, false
 	}
 	if err != nil {
-		b.options.Owners.Missed(slot, owner)
+		c.options.Owners.RecordNoAnswer(slot, owner)
 		return Answer{}, false
 	}
-	b.options.Learn(answer.Proof, sent)
+	c.options.OnProof(answer.Proof, sent)
 	if !answer.Owner {
-		b.options.Owners.Missed(slot, owner)
+		c.options.Owners.RecordNoAnswer(slot, owner)
 		return Answer{}, false
 	}
-	b.options.Owners.Heard(slot)
+	c.options.Owners.RecordAnswer(slot)
 	return answer, answer.Able
 }
--- a/internal/quota/cluster_test.go
+++ b/internal/quota/cluster_test.go
@@ -18,8 +18,8 @@
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/fault"
 	"github.com/cloverwheel/cloverwheel/internal/forward"
-	"github.com/cloverwheel/cloverwheel/internal/freshness"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
+	"github.com/cloverwheel/cloverwheel/internal/staleness"
 	"github.com/cloverwheel/cloverwheel/internal/store"
 	"github.com/cloverwheel/cloverwheel/internal/store/storetest"
 	"github.com/cloverwheel/cloverwheel/internal/tenant"
@@ -37,12 +37,12 @@
 	mutex        sync.Mutex
 	nodes        map[string]*node // by address
 	starts       int
-	isolated     map[string]bool // nodes that are partitioned from other nodes
-	storeDown    map[string]bool // nodes whose calls to the store fail
-	limit        tenant.Limit    // of every tenant
-	places       *locality.Map   // nil: no regions
-	regionsSplit bool            // regions are partitioned from each other
-	crossRegion  int             // calls for permits to another region
+	isolated     map[string]bool   // nodes that are partitioned from other nodes
+	storeDown    map[string]bool   // nodes whose calls to the store fail
+	limit        tenant.Limit      // of every tenant
+	places       *locality.ZoneMap // nil: no regions
+	regionsSplit bool              // regions are partitioned from each other
+	crossRegion  int               // calls for permits to another region
 	admitted     map[string][]time.Time
 	refused      map[fault.Code]int
 }
@@ -52,8 +52,8 @@
 	cluster   *cluster
 	self      budget.Holder
 	directory *directory.Directory
-	borrower  *Borrower
-	lender    *Lender
+	client    *Client
+	allocator *Allocator
 	cancel    context.CancelFunc
 	paused    time.Time // end of the pause of the process
 }
@@ -69,14 +69,14 @@
 	return c
 }
 
-// vantageOf returns the location of the node at an address; the address's index selects its region.
-func (c *cluster) vantageOf(address string) locality.Vantage {
+// locationOf returns the location of the node at an address; the address's index selects its region.
+func (c *cluster) locationOf(address string) locality.Location {
 	regions := c.places.Regions()
 	if len(regions) == 0 {
-		return locality.Vantage{}
+		return locality.Location{}
 	}
 	index, _ := strconv.Atoi(strings.TrimSuffix(strings.TrimPrefix(address, "10.0.0."), ":1"))
-	return locality.Vantage{Places: c.places, Zone: regions[index%len(regions)]}
+	return locality.Location{Zones: c.places, Zone: regions[index%len(regions)]}
 }
 
 // newSettledCluster is a cluster whose owners have owned their slots for more than a window.
@@ -98,7 +98,7 @@
 func (t faultyStore) Commit(ctx context.Context, transaction store.Transaction) (store.Version, error) {
 	t.node.waitWhilePaused()
 	if t.node.isStoreDown() {
-		return 0, store.ErrNotDone
+		return 0, store.ErrNotApplied
 	}
 	version, err := t.Store.Commit(ctx, transaction)
 	t.node.waitWhilePaused()
@@ -109,7 +109,7 @@
 func (t faultyStore) Range(ctx context.Context, table, part, from, to string, limit int) (store.Page, error) {
 	t.node.waitWhilePaused()
 	if t.node.isStoreDown() {
-		return store.Page{}, store.ErrNotDone
+		return store.Page{}, store.ErrNotApplied
 	}
 	return t.Store.Range(ctx, table, part, from, to, limit)
 }
@@ -134,23 +134,23 @@
 	c.starts++
 	n := &node{cluster: c, self: budget.Holder{Process: fmt.Sprintf("p%d", c.starts), Address: address}}
 	peers := clusterPeers{c, n}
-	vantage := c.vantageOf(address)
+	location := c.locationOf(address)
 	layout := directory.NewLayout(c.places)
 	n.directory = directory.New(directory.Options{
-		Store: faultyStore{c.table, n}, Self: n.self, Peers: peers, LentFor: testTolerance.Window, Logger: &log.Logger{Handler: discard.New()},
-		Vantage: vantage,
+		Store: faultyStore{c.table, n}, Self: n.self, Peers: peers, PermitDuration: testTolerance.Window, Logger: &log.Logger{Handler: discard.New()},
+		Location: location,
 	})
-	n.lender = NewLender(LenderOptions{
+	n.allocator = NewAllocator(AllocatorOptions{
 		Leases: n.directory, Tolerance: testTolerance, Layout: layout,
 		LimitOf: func(string) (tenant.Limit, bool) {
 			c.mutex.Lock()
 			defer c.mutex.Unlock()
 			return c.limit, true
 		},
-		Proof: func() freshness.Proof { return freshness.Proof{} },
+		Proof: func() staleness.Proof { return staleness.Proof{} },
 	})
-	n.borrower = NewBorrower(BorrowerOptions{
-		Self: n.self, Layout: layout, Region: vantage.Region(), Owners: n.directory, Peers: peers, Lender: n.lender, Learn: func(freshness.Proof, time.Time) {}, Count: func(Outcome) {},
+	n.client = NewClient(ClientOptions{
+		Self: n.self, Layout: layout, Region: location.OwnRegion(), Owners: n.directory, Peers: peers, Allocator: n.allocator, OnProof: func(staleness.Proof, time.Time) {}, OnOutcome: func(Outcome) {},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -168,11 +168,11 @@
 		var conflict *store.Conflict
 		switch {
 		case err == nil:
-			n.directory.Proven(claims, sent)
+			n.directory.ConfirmClaims(claims, sent)
 		case errors.As(err, &conflict):
-			n.directory.Disproven(claims, conflict, sent)
+			n.directory.HandleConflict(claims, conflict, sent)
 		}
-		n.directory.Settle(ctx)
+		n.directory.MarkSettled(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Second):
@@ -209,7 +209,7 @@
 	p.cluster.mutex.Lock()
 	defer p.cluster.mutex.Unlock()
 	n, ok := p.cluster.nodes[address]
-	regionsSplit := p.cluster.regionsSplit && p.cluster.vantageOf(address) != p.cluster.vantageOf(p.from.self.Address)
+	regionsSplit := p.cluster.regionsSplit && p.cluster.locationOf(address) != p.cluster.locationOf(p.from.self.Address)
 	if !ok || regionsSplit || p.cluster.isolated[address] || p.cluster.isolated[p.from.self.Address] {
 		return nil, errUnreachable
 	}
@@ -226,19 +226,19 @@
 	if err != nil {
 		return directory.Answer{}, err
 	}
-	return n.directory.Answer(request), nil
+	return n.directory.HandleRequest(request), nil
 }
 
-// Lend implements Peers.
-func (p clusterPeers) Lend(ctx context.Context, owner budget.Holder, request Request) (Answer, error) {
+// RequestPermit implements Peers.
+func (p clusterPeers) RequestPermit(ctx context.Context, owner budget.Holder, request Request) (Answer, error) {
 	n, err := p.reach(ctx, owner.Address)
 	if err != nil {
 		return Answer{}, err
 	}
-	if p.cluster.vantageOf(owner.Address) != p.cluster.vantageOf(p.from.self.Address) {
+	if p.cluster.locationOf(owner.Address) != p.cluster.locationOf(p.from.self.Address) {
 		p.cluster.set(func() { p.cluster.crossRegion++ })
 	}
-	return n.lender.Answer(request), nil
+	return n.allocator.Answer(request), nil
 }
 
 // send has a node request one permit for a tenant, and records whether it was issued.
@@ -252,7 +252,7 @@
 	n.waitWhilePaused()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	err := n.borrower.Admit(ctx, forward.LimitRequest{Tenant: name, Program: program})
+	err := n.client.Admit(ctx, forward.RateLimitRequest{Tenant: name, Program: program})
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if err != nil {
--- a/internal/server/core.go
+++ b/internal/server/core.go
@@ -12,18 +12,18 @@
 
 // components are the parts of a node that requests use besides the forwarder and the worker list.
 type components struct {
-	budgets    *budget.Book
-	history    *history.Keeper
-	directory  *directory.Directory // nil: the node runs without peers
-	neighbours forward.Neighbours   // nil likewise
+	budgets      *budget.Accounts
+	history      *history.TurnStore
+	directory    *directory.Directory // nil: the node runs without peers
+	historyPeers forward.HistoryPeers // nil likewise
 	// store is the shared store, called directly or through other nodes.
 	store relayedStore
 	// limits enforces the request limits of tenants; nil if the node runs without peers.
-	limits forward.Limits
+	limits forward.RateLimiter
 	// allowance limits requests to cold workers; nil likewise.
-	allowance forward.Allowance
-	// room finds workers with free capacity; nil likewise.
-	room *roomTracker
+	allowance forward.WarmupLimiter
+	// capacity tracks the free capacity of workers; nil likewise.
+	capacity *capacityTracker
 }
 
 // newComponents returns the components of a node and registers their handlers for calls of other
@@ -32,84 +32,83 @@
 	if peers.address == "" {
 		return newStandaloneComponents(options, gate)
 	}
-	self, vantage, client := options.self(), options.Settings.vantage(), peers.client
-	relay := &relayClient{transport: peers.transport, vantage: vantage, timeout: gate.Patience, countCall: options.Metrics.RelayedCalls.Inc}
+	self, location, client := options.self(), options.Settings.location(), peers.client
+	relay := &relayClient{transport: peers.transport, location: location, timeout: gate.HedgeDelay, countCall: options.Metrics.RelayedCalls.Inc}
 	relayed := store.NewRelayed(gate, relay, options.Logger)
 	dir := directory.New(directory.Options{
-		Store: gate, Self: self, Peers: client, Patience: client.timeout, Vantage: vantage, Logger: options.Logger,
-		LentFor: max(options.Settings.Limits.Window, warmup.LentFor),
-		Grants:  client, CountGrant: options.Metrics.Grant,
+		Store: gate, Self: self, Peers: client, ResponseTimes: client.timeout, Location: location, Logger: options.Logger,
+		PermitDuration: max(options.Settings.LimitTolerance.Window, warmup.UnsettledPeriod),
+		Grants:         client, OnGrantOutcome: options.Metrics.Grant,
 	})
-	options.Metrics.RegisterGrantGauges(dir.GrantRights)
+	options.Metrics.RegisterGrantGauges(dir.CountGrantableSlots)
 	peers.transport.owners = dir.Owners
-	budgets := budget.NewBook(budget.Options{
-		Store: relayed, Self: self, Peers: client, Patience: client.timeout, Locator: dir, Granter: dir, Vantage: vantage,
+	budgets := budget.NewAccounts(budget.Options{
+		Store: relayed, Self: self, Peers: client, ResponseTimes: client.timeout, Locator: dir, Granter: dir, Location: location,
 	})
-	relay.candidates = func() []budget.Holder { return withRemoteOwners(vantage, budgets.Met(), dir.Owners()) }
+	relay.candidates = func() []budget.Holder { return withRemoteOwners(location, budgets.RecentPeers(), dir.Owners()) }
 	historyOptions := options.historyOptions(relayed)
-	historyOptions.Together = newGatherWriter(options, relayed, peers, dir)
+	historyOptions.BatchWriter = newGroupCommitWriter(options, relayed, peers, dir)
 	turns := history.New(historyOptions)
 	peers.handleProgramCalls(options.Process, budgets, turns, dir)
 	handleRelayCalls(peers.mux, options.Process, gate)
 	return components{
-		budgets: budgets, history: turns, directory: dir, neighbours: client, store: relayed,
+		budgets: budgets, history: turns, directory: dir, historyPeers: client, store: relayed,
 		limits:    newTenantLimits(options, peers, verifier, dir),
 		allowance: newColdAllowance(options, peers, verifier, dir),
-		room:      newRoomTracker(options, peers, verifier, dir),
+		capacity:  newCapacityTracker(options, peers, verifier, dir),
 	}
 }
 
 // newStandaloneComponents returns the components of a node that runs without peers.
 func newStandaloneComponents(options Options, gate *store.Gate) components {
 	return components{
-		budgets: budget.NewBook(budget.Options{Store: gate, Self: options.self()}),
+		budgets: budget.NewAccounts(budget.Options{Store: gate, Self: options.self()}),
 		history: history.New(options.historyOptions(gate)),
 		store:   gate,
 	}
 }
 
-// newTenantLimits returns the borrower of tenants' request limits, and serves as lender to other
-// nodes.
-func newTenantLimits(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.Limits {
-	vantage := options.Settings.vantage()
-	layout := directory.NewLayout(vantage.Places)
-	lender := quota.NewLender(quota.LenderOptions{
-		Leases: dir, Layout: layout, Tolerance: options.Settings.Limits,
+// newTenantLimits returns the client that requests permits from tenants' limits, and registers this
+// node as an allocator of such permits.
+func newTenantLimits(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.RateLimiter {
+	location := options.Settings.location()
+	layout := directory.NewLayout(location.Zones)
+	allocator := quota.NewAllocator(quota.AllocatorOptions{
+		Leases: dir, Layout: layout, Tolerance: options.Settings.LimitTolerance,
 		LimitOf: verifier.limitOf, Proof: verifier.fresh.Proof,
 	})
-	peers.handleProofsAndLimits(lender, verifier)
-	return quota.NewBorrower(quota.BorrowerOptions{
-		Self: options.self(), Layout: layout, Region: vantage.Region(), Owners: dir,
-		Peers: peers.client, Patience: peers.client.timeout, Lender: lender,
-		Learn: verifier.adoptProof, Count: options.Metrics.LimitAnswer,
+	peers.handleProofsAndLimits(allocator, verifier)
+	return quota.NewClient(quota.ClientOptions{
+		Self: options.self(), Layout: layout, Region: location.OwnRegion(), Owners: dir,
+		Peers: peers.client, ResponseTimes: peers.client.timeout, Allocator: allocator,
+		OnProof: verifier.adoptProof, OnOutcome: options.Metrics.LimitAnswer,
 	})
 }
 
-// newColdAllowance returns the borrower of requests to cold workers, and serves as lender to
-// other nodes.
-func newColdAllowance(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.Allowance {
-	places := options.Settings.Places
-	slots := warmup.Slots{Layout: directory.NewLayout(places), Places: places}
-	lender := warmup.NewLender(dir, slots, verifier.coldLimit)
-	peers.handleColdLending(lender)
-	return warmup.NewBorrower(warmup.BorrowerOptions{
+// newColdAllowance returns the client that requests permits for cold workers, and registers this node
+// as an allocator of such permits.
+func newColdAllowance(options Options, peers *peers, verifier *verifier, dir *directory.Directory) forward.WarmupLimiter {
+	zones := options.Settings.Regions
+	slots := warmup.Slots{Layout: directory.NewLayout(zones), Zones: zones}
+	allocator := warmup.NewAllocator(dir, slots, verifier.coldLimit)
+	peers.handleColdPermits(allocator)
+	return warmup.NewClient(warmup.ClientOptions{
 		Self: options.self(), Slots: slots, Owners: dir,
-		Peers: peers.client, Patience: peers.client.timeout, Lender: lender,
-		Count: options.Metrics.ColdAnswer,
+		Peers: peers.client, ResponseTimes: peers.client.timeout, Allocator: allocator,
+		OnOutcome: options.Metrics.ColdAnswer,
 	})
 }
 
 // self returns the process name and address by which other nodes call this one.
 func (o Options) self() budget.Holder {
-	return budget.Holder{Process: o.Process, Address: o.Settings.Peers}
+	return budget.Holder{Process: o.Process, Address: o.Settings.PeerAddress}
 }
 
-// historyOptions returns the options of the history keeper, which stores turns in the given
-// store.
+// historyOptions returns the options of the turn store, which keeps its rows in the given store.
 func (o Options) historyOptions(table store.Store) history.Options {
 	return history.Options{
 		Store:      table,
 		CacheBytes: int(o.Settings.MemoryBytes / historyMemoryDivisor),
-		Region:     o.Settings.Places.Region(o.Settings.Zone),
+		Region:     o.Settings.Regions.Region(o.Settings.Zone),
 	}
 }
--- a/internal/server/peers_test.go
+++ b/internal/server/peers_test.go
@@ -13,33 +13,33 @@
 	"github.com/cloverwheel/cloverwheel/internal/directory"
 	"github.com/cloverwheel/cloverwheel/internal/locality"
 	"github.com/cloverwheel/cloverwheel/internal/peer"
-	"github.com/cloverwheel/cloverwheel/internal/wait"
+	"github.com/cloverwheel/cloverwheel/internal/timing"
 )
 
 // slowTransport answers after a delay, or never.
 type slowTransport struct {
 	peer.Transport
-	delay      atomic.Int64 // ns
-	silent     atomic.Bool
-	inProgress atomic.Int64
+	delay        atomic.Int64 // ns
+	unresponsive atomic.Bool
+	inProgress   atomic.Int64
 }
 
 // Call implements peer.Transport.
 func (s *slowTransport) Call(ctx context.Context, _ peer.Address, _ string, _ []byte) ([]byte, error) {
 	s.inProgress.Add(1)
 	defer s.inProgress.Add(-1)
-	if s.silent.Load() {
+	if s.unresponsive.Load() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	if err := wait.For(ctx, time.Duration(s.delay.Load())); err != nil {
+	if err := timing.Sleep(ctx, time.Duration(s.delay.Load())); err != nil {
 		return nil, err
 	}
 	return peer.Encode(directory.Answer{Owner: true})
 }
 
 // Guards against timeouts that are permanently too short for a zone, or too long after a slow or
-// silent period.
+// unresponsive period.
 func TestPeerTimeoutFollowsZoneLatency(t *testing.T) {
 	const least, most = 30 * time.Millisecond, 200 * time.Millisecond
 	process := locality.ProcessName("far", "node", "1")
@@ -61,14 +61,14 @@
 					}
 				}
 				for name, disturb := range map[string]func(){
-					"calm":   func() {},
-					"slow":   func() { transport.delay.Store(int64(100 * latency)) },
-					"silent": func() { transport.silent.Store(true) },
+					"calm":         func() {},
+					"slow":         func() { transport.delay.Store(int64(100 * latency)) },
+					"unresponsive": func() { transport.unresponsive.Store(true) },
 				} {
 					disturb()
 					callFor(4500 * time.Millisecond)
 					transport.delay.Store(int64(latency))
-					transport.silent.Store(false)
+					transport.unresponsive.Store(false)
 					callFor(2 * time.Second)
 					for range 20 {
 						require.NoError(t, call(), name)
@@ -83,18 +83,18 @@
 }
 
 // Guards against detecting a dead connection only after the timeout of the calls that wait on it.
-func TestSilenceTimeoutIsWithinCallTimeouts(t *testing.T) {
+func TestUnresponsiveTimeoutIsWithinCallTimeouts(t *testing.T) {
 	p := newPeers(Options{Metrics: NewMetrics()})
-	require.Positive(t, p.options.QuietTime)
-	require.LessOrEqual(t, p.options.QuietTime, minProofTimeout)
-	require.Less(t, p.options.QuietTime, p.options.DialTimeout)
+	require.Positive(t, p.options.UnresponsiveAfter)
+	require.LessOrEqual(t, p.options.UnresponsiveAfter, minProofTimeout)
+	require.Less(t, p.options.UnresponsiveAfter, p.options.DialTimeout)
 }
 
 // Guards against an unresponsive node accumulating calls whose callers have given up.
 func TestAbandonedCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		transport := &slowTransport{}
-		transport.silent.Store(true)
+		transport.unresponsive.Store(true)
 		client := &peerClient{transport: newUncountedTransport(transport, nil)}
 		for range 1000 {
 			go func() {
--- a/internal/server/question.go
+++ b/internal/server/proofquery.go
@@ -9,8 +9,6 @@
 	"github.com/cloverwheel/cloverwheel/internal/store"
 )
 
-// This file queries the store for the proofs that the verifier keeps.
-
 const (
 	// queryInterval is the minimum time between two store queries; each unanswered query adds as
 	// much again. At most maxOutstandingQueries are unanswered at once. Overlapping queries
@@ -47,7 +45,7 @@
 		err := v.query(ctx, claims)
 		v.finishQuery(ctx, err, maxBackoff)
 		if err == nil && len(claims) > 0 {
-			v.directory.Settle(ctx)
+			v.directory.MarkSettled(ctx)
 		}
 	}()
 }
@@ -82,7 +80,7 @@
 	var conflict *store.Conflict
 	switch {
 	case err == nil:
-		v.fresh.Prove(row.Version, sent)
+		v.fresh.AddProof(row.Version, sent)
 		v.recordClaims(claims, nil, sent)
 	case errors.As(err, &conflict):
 		v.applyRow(conflict.Find(row.Key), sent)
@@ -132,7 +130,7 @@
 	v.queries.outstanding--
 	entry := v.options.Logger.WithField("proof_ms", age)
 	switch {
-	case store.Answered(err):
+	case store.IsDefinite(err):
 		if v.queries.backoff > 0 {
 			entry.Info("configuration verified as the newest again")
 		}
--- a/internal/store/hedge.go
+++ b/internal/store/hedge.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Paced is a Store that tracks its usual latency.
-type Paced interface {
-	// Patience returns how long to wait for a response before sending another attempt.
-	Patience() time.Duration
+// LatencyTracker is a Store that tracks its usual latency.
+type LatencyTracker interface {
+	// HedgeDelay returns how long to wait for a response before sending another attempt.
+	HedgeDelay() time.Duration
 }
 
-// defaultPatience applies to stores that are not Paced.
-const defaultPatience = 60 * time.Millisecond
+// defaultHedgeDelay applies to stores that do not implement LatencyTracker.
+const defaultHedgeDelay = 60 * time.Millisecond
 
 // hedgeDelays are the delays before the additional attempts of a hedged commit, each counted
-// from the attempt before, as multiples of the store's patience.
+// from the attempt before, as multiples of the store's hedge delay (LatencyTracker.HedgeDelay).
 var hedgeDelays = []time.Duration{1, 4, 8}
 
-// PatienceWith returns how long to wait for a response from table before another attempt. The
+// HedgeDelayAtLeast returns how long to wait for a response from table before another attempt. The
 // result is never less than least.
-func PatienceWith(table Store, least time.Duration) time.Duration {
-	return max(least, patienceOf(table))
+func HedgeDelayAtLeast(table Store, least time.Duration) time.Duration {
+	return max(least, hedgeDelayOf(table))
 }
 
-func patienceOf(table Store) time.Duration {
-	if paced, ok := table.(Paced); ok {
-		return paced.Patience()
+func hedgeDelayOf(table Store) time.Duration {
+	if paced, ok := table.(LatencyTracker); ok {
+		return paced.HedgeDelay()
 	}
-	return defaultPatience
+	return defaultHedgeDelay
 }
 
 // Bounds of the pause after a failed attempt when no other attempt is in flight.
@@ -41,9 +41,9 @@
 
 // CommitHedged commits a transaction with hedged requests: while no attempt has responded, it
 // sends the same transaction again on another connection, and returns the first conclusive
-// result. ErrPartClosed is conclusive. After ErrThrottled it backs off, and gives up if the
+// result. ErrPartUnavailable is conclusive. After ErrThrottled it backs off, and gives up if the
 // deadline of ctx comes before the next attempt and no attempt is in flight. It also gives up
-// when ctx ends. The error is ErrNotDone only if no attempt can have had an effect.
+// when ctx ends. The error is ErrNotApplied only if no attempt can have had an effect.
 //
 // Since several attempts may reach the table, the caller must be able to recognize its own
 // write in the rows of a Conflict.
@@ -91,8 +91,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	h.launch(ctx)
-	patience := patienceOf(h.table)
-	timer := time.NewTimer(patience * hedgeDelays[0])
+	hedgeDelay := hedgeDelayOf(h.table)
+	timer := time.NewTimer(hedgeDelay * hedgeDelays[0])
 	defer timer.Stop()
 	for {
 		select {
@@ -101,12 +101,12 @@
 		case <-timer.C:
 			h.launch(ctx)
 			if h.inFlight <= len(hedgeDelays) {
-				timer.Reset(patience * hedgeDelays[h.inFlight-1])
+				timer.Reset(hedgeDelay * hedgeDelays[h.inFlight-1])
 			}
 		case result := <-h.results:
 			h.inFlight--
 			h.note(result)
-			if Answered(result.err) {
+			if IsDefinite(result.err) {
 				return result.version, result.err
 			}
 			if result.conclusive() {
@@ -151,13 +151,13 @@
 	return notDone(err, !h.uncertain && h.inFlight == 0)
 }
 
-// notDone returns err as an ErrNotDone if certain, and otherwise as an error that is not an
-// ErrNotDone.
+// notDone returns err as an ErrNotApplied if certain, and otherwise as an error that is not an
+// ErrNotApplied.
 func notDone(err error, certain bool) error {
 	switch {
 	case certain:
-		return errors.Join(ErrNotDone, err)
-	case !errors.Is(err, ErrNotDone):
+		return errors.Join(ErrNotApplied, err)
+	case !errors.Is(err, ErrNotApplied):
 		return err
 	}
 	return fmt.Errorf("the transaction may have had an effect: %s", err)
@@ -170,9 +170,9 @@
 }
 
 // uncertain reports whether it is unknown if the attempt had an effect.
-func (r commitResult) uncertain() bool { return !Answered(r.err) && !errors.Is(r.err, ErrNotDone) }
+func (r commitResult) uncertain() bool { return !IsDefinite(r.err) && !errors.Is(r.err, ErrNotApplied) }
 
 // conclusive reports whether the commit should fail without another attempt.
 func (r commitResult) conclusive() bool {
-	return errors.Is(r.err, ErrPartClosed)
+	return errors.Is(r.err, ErrPartUnavailable)
 }
--- a/internal/store/probe.go
+++ b/internal/store/probe.go
@@ -57,7 +57,7 @@
 
 // probeTimeout returns the timeout of a probe.
 func (g *Gate) probeTimeout() time.Duration {
-	return max(minProbeTimeout, probeTimeoutFactor*g.latency.Longest(0, maxProbeTimeout/probeTimeoutFactor))
+	return max(minProbeTimeout, probeTimeoutFactor*g.latency.Timeout(0, maxProbeTimeout/probeTimeoutFactor))
 }
 
 // beginProbe reports whether a probe is due, and if so counts it as sent.
@@ -85,6 +85,6 @@
 		return
 	}
 	g.logger.WithField("closed_ms", now.Sub(g.closedAt).Milliseconds()).WithField("probes", g.probes.sent).
-		WithField("unanswered", g.probes.inFlight-1).WithField("patience_ms", g.Patience().Milliseconds()).
+		WithField("unanswered", g.probes.inFlight-1).WithField("patience_ms", g.HedgeDelay().Milliseconds()).
 		Info("table does not respond; probing it")
 }
--- a/internal/follow/churn.go
+++ b/internal/tablesync/churn.go
@@ -1,4 +1,4 @@
-package follow
+package tablesync
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 // stops reading the feed and rereads its part at intervals instead.
 
 const (
-	// freshDivisor divides Options.Fresh to give the interval between rereads, which is maxRereadInterval
+	// freshDivisor divides Options.MaxStaleness to give the interval between rereads, which is maxRereadInterval
 	// at most.
 	freshDivisor      = 2
 	maxRereadInterval = 3 * time.Second
@@ -32,9 +32,9 @@
 	minRateWindow = 50 * time.Millisecond
 	// wholeRereadInterval is the interval between rereads of a table that is kept whole and grows fast.
 	wholeRereadInterval = time.Second
-	// firstGatherDivisor divides Options.Gather for the first changes after a quiet time. The shorter wait
+	// firstBatchDivisor divides Options.BatchDelay for the first changes after a quiet time. The shorter wait
 	// shows sooner whether many changes follow.
-	firstGatherDivisor = 8
+	firstBatchDivisor = 8
 )
 
 // rereadInterval returns the interval between rereads during churn.
@@ -42,10 +42,10 @@
 	if f.span.whole {
 		return wholeRereadInterval
 	}
-	if f.options.Fresh <= 0 {
+	if f.options.MaxStaleness <= 0 {
 		return maxRereadInterval
 	}
-	return min(f.options.Fresh/freshDivisor, maxRereadInterval)
+	return min(f.options.MaxStaleness/freshDivisor, maxRereadInterval)
 }
 
 // assessChanges switches to rereading if the table changes too fast; changes is the number of rows just
@@ -78,7 +78,7 @@
 // Before its feed has been idle for the first time, it may be a table that is still being filled.
 func (f *Follower) mayChurn() bool { return !f.span.whole || !f.wasIdle }
 
-// invalidate has the table read anew. The rows already known stay in use until then.
+// invalidate has the table read anew. The rows already cached stay in use until then.
 func (f *Follower) invalidate() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -88,7 +88,7 @@
 // outgrown reports whether too many rows are kept, so that the table must be read anew: a short table
 // has become long, or many rows were added within the part.
 func (f *Follower) outgrown() bool {
-	kept := f.options.Part.Kept()
+	kept := f.options.Part.RowCount()
 	if f.span.whole {
 		return !f.span.grown && kept > maxWholeRows
 	}
@@ -150,5 +150,5 @@
 			}
 		}
 	}
-	return max(len(rows), f.names.Load().Size(names))
+	return max(len(rows), f.names.Load().EstimateCount(names))
 }
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// Guards against lookups that miss a tenant or match an unknown key or name.
 func TestLookupByKeyAndName(t *testing.T) {
 	registry := NewRegistry([]Entry{
 		{Tenant: Tenant{Name: "stalls"}, Keys: []Key{KeyOf("a"), KeyOf("b")}},
@@ -34,10 +35,11 @@
 	})
 	require.Nil(t, registry.ByKey(KeyOf("shared")))
 	require.Equal(t, "one", registry.ByKey(KeyOf("own")).Name, "a key listed twice by its tenant stays valid")
-	require.Equal(t, 1, registry.Doubled())
+	require.Equal(t, 1, registry.SharedKeys())
 }
 
-func TestFollowRecordsRemovedKeys(t *testing.T) {
+// Guards against losing a removed key over several configurations, and keeping one that was added again.
+func TestRecordRemovedKeys(t *testing.T) {
 	entry := func(name string, keys ...string) Entry {
 		e := Entry{Tenant: Tenant{Name: name}}
 		for _, key := range keys {
@@ -47,18 +49,18 @@
 	}
 	first := NewRegistry([]Entry{entry("stalls", "a", "b")})
 	second := NewRegistry([]Entry{entry("stalls", "b", "c")})
-	removed, added := second.Follow(first, 2)
+	removed, added := second.RecordRemovedKeys(first, 2)
 	require.Equal(t, []int{1, 1}, []int{removed, added})
 	third := NewRegistry([]Entry{entry("stalls", "c")})
-	third.Follow(second, 5)
+	third.RecordRemovedKeys(second, 5)
 	for key, version := range map[string]int64{"a": 2, "b": 5} {
-		former, ok := third.Former(KeyOf(key))
+		removedKey, ok := third.RemovedKey(KeyOf(key))
 		require.True(t, ok)
-		require.Equal(t, RemovedKey{Tenant: "stalls", Version: version}, former)
+		require.Equal(t, RemovedKey{Tenant: "stalls", Version: version}, removedKey)
 	}
 	fourth := NewRegistry([]Entry{entry("stalls", "a", "c")})
-	fourth.Follow(third, 6)
-	_, ok := fourth.Former(KeyOf("a"))
+	fourth.RecordRemovedKeys(third, 6)
+	_, ok := fourth.RemovedKey(KeyOf("a"))
 	require.False(t, ok, "the key was added again")
 }
 
--- a/internal/warmup/cluster_test.go
+++ b/internal/warmup/cluster_test.go
@@ -18,7 +18,7 @@
 
 // cluster is a set of nodes that issue and request permits for one cold worker.
 type cluster struct {
-	bearing Bearing
+	coldCapacity ColdCapacity
 
 	mutex   sync.Mutex
 	owner   *node // of the worker's slot, in the store
@@ -30,10 +30,10 @@
 
 // node is one process. A process that is started in its place replaces it.
 type node struct {
-	cluster  *cluster
-	process  string
-	borrower *Borrower
-	lender   *Lender
+	cluster   *cluster
+	process   string
+	client    *Client
+	allocator *Allocator
 
 	dead      bool
 	isolated  bool      // partitioned from other nodes
@@ -42,14 +42,14 @@
 
 	leaseNumber uint64 // of its lease
 	since       time.Time
-	// unsettled is set if an owner before the predecessor may still have lent.
+	// unsettled is set if an owner before the predecessor may still have issued permits.
 	unsettled  bool
 	renewed    time.Time
 	knownOwner *node // owner of the slot in the last state that the node read
 }
 
-func newTestCluster(nodes int, bearing Bearing) *cluster {
-	c := &cluster{bearing: bearing, nodes: make([]*node, nodes)}
+func newTestCluster(nodes int, coldCapacity ColdCapacity) *cluster {
+	c := &cluster{coldCapacity: coldCapacity, nodes: make([]*node, nodes)}
 	for index := range nodes {
 		c.start(index)
 	}
@@ -62,9 +62,9 @@
 	defer c.mutex.Unlock()
 	c.claims++
 	n := &node{cluster: c, process: fmt.Sprint("p", c.claims)}
-	n.lender = NewLender(n, Slots{}, func(string) Bearing { return c.bearing })
-	n.borrower = NewBorrower(BorrowerOptions{
-		Self: budget.Holder{Process: n.process, Address: n.process}, Owners: n, Peers: n, Lender: n.lender, Count: func(Outcome) {},
+	n.allocator = NewAllocator(n, Slots{}, func(string) ColdCapacity { return c.coldCapacity })
+	n.client = NewClient(ClientOptions{
+		Self: budget.Holder{Process: n.process, Address: n.process}, Owners: n, Peers: n, Allocator: n.allocator, OnOutcome: func(Outcome) {},
 	})
 	if before := c.nodes[index]; before != nil {
 		before.dead = true
@@ -79,7 +79,7 @@
 	defer c.mutex.Unlock()
 	c.claims++
 	before := c.owner
-	n.unsettled = before != nil && time.Since(before.since) <= LentFor
+	n.unsettled = before != nil && time.Since(before.since) <= UnsettledPeriod
 	c.owner, n.knownOwner = n, n
 	n.leaseNumber, n.since, n.renewed = c.claims, since, time.Now()
 }
@@ -119,8 +119,8 @@
 func (n *node) Lease(int) (directory.Lease, bool) {
 	n.cluster.mutex.Lock()
 	defer n.cluster.mutex.Unlock()
-	lease := directory.Lease{Number: n.leaseNumber, Since: n.since, Until: n.renewed.Add(directory.LongestLease)}
-	lease.Before.All = n.unsettled
+	lease := directory.Lease{Number: n.leaseNumber, Since: n.since, Until: n.renewed.Add(directory.MaxLeaseDuration)}
+	lease.Prior.All = n.unsettled
 	return lease, n.knownOwner == n
 }
 
@@ -134,14 +134,14 @@
 	return budget.Holder{Process: n.knownOwner.process, Address: n.knownOwner.process}, true
 }
 
-// Heard implements Owners.
-func (n *node) Heard(int) {}
+// RecordAnswer implements Owners.
+func (n *node) RecordAnswer(int) {}
 
-// Missed implements Owners.
-func (n *node) Missed(int, budget.Holder) {}
+// RecordNoAnswer implements Owners.
+func (n *node) RecordNoAnswer(int, budget.Holder) {}
 
-// LendCold implements Peers.
-func (n *node) LendCold(_ context.Context, owner budget.Holder, request Request) (Answer, error) {
+// RequestColdPermit implements Peers.
+func (n *node) RequestColdPermit(_ context.Context, owner budget.Holder, request Request) (Answer, error) {
 	time.Sleep(2 * time.Millisecond)
 	n.cluster.mutex.Lock()
 	index := slices.IndexFunc(n.cluster.nodes, func(other *node) bool { return other.process == owner.Address })
@@ -155,7 +155,7 @@
 	if asked.isDead() {
 		return Answer{}, errUnreachable
 	}
-	answer := asked.lender.Answer(request)
+	answer := asked.allocator.Answer(request)
 	asked.waitWhilePaused()
 	time.Sleep(2 * time.Millisecond)
 	return answer, nil
@@ -163,23 +163,23 @@
 
 // send has a node send one request to the worker if it gets a permit. The request arrives
 // after delay.
-func (c *cluster) send(index int, delay time.Duration) forward.Loan {
+func (c *cluster) send(index int, delay time.Duration) forward.WarmupPermit {
 	c.mutex.Lock()
 	n := c.nodes[index]
 	c.mutex.Unlock()
 	n.waitWhilePaused()
-	loan := n.borrower.Borrow(context.Background(), forward.ColdRequest{Worker: "w", Service: "s"})
+	permit := n.client.Acquire(context.Background(), forward.WarmupRequest{Worker: "w", Service: "s"})
 	n.waitWhilePaused()
 	if n.isDead() {
-		return forward.Loan{}
+		return forward.WarmupPermit{}
 	}
-	if !time.Now().Before(loan.Until) {
+	if !time.Now().Before(permit.ExpiresAt) {
 		c.set(func() { c.refused++ })
-		return loan
+		return permit
 	}
 	time.Sleep(delay)
 	c.recordArrival()
-	return loan
+	return permit
 }
 
 func (c *cluster) recordArrival() { c.set(func() { c.arrived = append(c.arrived, time.Now()) }) }
@@ -222,7 +222,7 @@
 				c.claim(c.nodes[index], time.Now())
 			}
 		case 1, 2: // another node claims the slot while its owner may be alive
-			c.claim(n, time.Now().Add(directory.LongestLease))
+			c.claim(n, time.Now().Add(directory.MaxLeaseDuration))
 		case 3:
 			c.set(func() { c.owner.paused = time.Now().Add(time.Duration(random.IntN(7000)) * time.Millisecond) })
 		case 4:
